--- a/src/peppershore/process/consensus/__init__.py
+++ b/src/peppershore/process/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replication of an ordered log over a group of replicas (of the Raft family)."""
+"""Raft consensus: replicates an ordered log over a group of replicas."""
--- a/src/peppershore/process/consensus/core.py
+++ b/src/peppershore/process/consensus/core.py
@@ -1,8 +1,9 @@
-"""The consensus core of one replica: a deterministic state machine of the Raft family.
+"""Deterministic Raft state machine of one replica.
 
-Inputs are method calls with the monotonic time; what they ask for is collected
-and handed out by ``take_outputs``.  Entries are opaque.  Elections, the duties
-of a follower and those of a leader live in modules of their own.
+Inputs are method calls that carry the monotonic time in seconds. The resulting
+outputs (messages, writes, notifications) are collected until ``take_outputs``
+returns them. The payload of an entry is opaque. ``election``, ``following`` and
+``leadership`` hold the logic of the individual roles.
 """
 
 from __future__ import annotations
@@ -62,17 +63,19 @@
 NEVER = float("-inf")
 
 EARLY_ELECTION_SPREAD = 0.1
-"""Part of the election timeout over which those campaign at random who learned at the
-same moment that nobody leads."""
+"""Upper bound of a random campaign delay, as a fraction of the election timeout.
+
+It spreads the campaigns of replicas that learn at the same time that nobody leads.
+"""
 
 
 class Consensus:
-    """One replica's part in keeping one log equal on all replicas."""
+    """Raft state of one replica: term, vote, log, role and pending outputs."""
 
     def __init__(
         self, settings: ConsensusSettings, stored: StoredState, randomness: Randomness
     ) -> None:
-        """Take up what the store holds; nothing happens before ``start``."""
+        """Restore the stored state; the replica is passive until ``start``."""
         self.settings = settings
         self.identity = stored.identity
         self.group_id = stored.group_id
@@ -82,7 +85,7 @@
         self.commit_index = 0 if stored.snapshot is None else stored.snapshot.index
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.leader_heard_at = NEVER
+        self.last_leader_contact = NEVER
         self.former_leases = FormerLeases(settings.election_seconds)
         self.leadership: Leadership | None = None
         self.election: Election | None = None
@@ -91,20 +94,24 @@
         self._following = Following(self)
         self._randomness = randomness
         self._election_due = 0.0
-        self._ticked_at = 0.0
+        self._last_tick_at = 0.0
         self._outputs: list[Output] = []
 
     # --- inputs --------------------------------------------------------------
 
     def start(self, now: float) -> None:
-        """Begin; votes are withheld while a former leader's lease may count."""
+        """Start the election timer and the period of withheld votes.
+
+        This replica grants no votes while a leader from before its start may still
+        hold a lease. The only voter of a group campaigns at the next tick.
+        """
         self.former_leases.begin(now)
         self._postpone_election(now)
         if voters_of(self.membership) == (self.settings.replica,):
             self._election_due = now
 
     def found(self, membership: Membership, now: float) -> None:
-        """Begin a new group with this founding membership."""
+        """Bootstrap a new group with this initial membership."""
         assert self.group_id == 0
         self.join_group(group_id_of(membership))
         self.enter_term(FIRST_TERM, voted_for="")
@@ -114,18 +121,21 @@
         self.flush(now)
 
     def join_group(self, group_id: int) -> None:
-        """Note for good which group this replica belongs to."""
+        """Record permanently which group this replica belongs to."""
         assert self.group_id == 0
         self.group_id = group_id
         self.durability.add(SaveGroup(group_id))
 
     def tick(self, now: float) -> None:
-        """Send a heartbeat as leader; campaign when no leader is heard of."""
-        stood_still = now - self._ticked_at > self.settings.election_seconds / 2
-        self._ticked_at = now
+        """Send heartbeats as leader; as voter, campaign once the election timeout expires.
+
+        A leader without answers from a majority for an election timeout steps down.
+        """
+        was_suspended = now - self._last_tick_at > self.settings.election_seconds / 2
+        self._last_tick_at = now
         if self.leadership is not None:
-            if stood_still:
-                self.leadership.asks_anew(now)
+            if was_suspended:
+                self.leadership.restart_quorum_check(now)
             if self.leadership.quorum_lost(now):
                 self.follow("", self.term, "no majority answers", now)
             else:
@@ -135,15 +145,15 @@
         self.flush(now)
 
     def receive(self, name: str, identity: int, message: Message, now: float) -> None:
-        """Take a consensus message from the replica of that name and identity.
+        """Handle a consensus message from the replica of that name and store identity.
 
-        Answers count only if the identity is that of the member: a blank disk
-        under a member's name has voted for nothing and holds nothing.
+        Replies count only if the identity is that of the member: a new store under
+        a member's name has granted no votes and acknowledged no entries.
         """
         if isinstance(message, AppendRequest):
-            self._following.take_append(name, message, now)
+            self._following.handle_append(name, message, now)
         elif isinstance(message, SnapshotChunk):
-            self._following.take_chunk(name, message, now)
+            self._following.handle_chunk(name, message, now)
         elif isinstance(message, VoteRequest):
             answer_vote_request(self, name, message, now)
         elif self._is_member(name, identity):
@@ -151,10 +161,10 @@
         self.flush(now)
 
     def note_not_leading(self, name: str, now: float) -> float | None:
-        """A replica said that it does not lead.
+        """Record that another replica reported that it does not lead.
 
-        Gives the seconds until the next ``tick`` should come, if that ended this
-        replica's wait for a former leader.
+        If this ends the wait for a former leader's lease, return the seconds until
+        the next ``tick`` is due, else None.
         """
         waited = self.awaits_former_leader(now)
         self.former_leases.note_not_leading(name)
@@ -166,64 +176,74 @@
         return seconds
 
     def propose(self, payload: bytes) -> int | None:
-        """Append a command; its index if this replica leads, else None.
+        """Append a command; return its index, or None if this replica does not lead.
 
-        Nothing is sent or written before ``flush``, so that proposals that come
-        together travel together.
+        Nothing is sent or written before ``flush``, so proposals made before the
+        same flush are batched.
         """
         if not self.ready_to_propose:
             return None
         return self._append_own(EntryKind.COMMAND, payload)
 
     def propose_membership(self, membership: Membership) -> int | None:
-        """Append a membership that differs in one member; None if it can't be now."""
+        """Append a membership that differs in one member; return its index.
+
+        Return None if this replica accepts no proposals or the newest membership is
+        not committed yet.
+        """
         unsettled = self.memberships.current_index > self.commit_index
         if unsettled or not self.ready_to_propose:
             return None
         return self._append_own(EntryKind.MEMBERSHIP, encode_membership(membership))
 
     def read(self, request: int, now: float) -> None:
-        """Ask for a confirmed index; answered by ReadConfirmed or ReadFailed."""
+        """Request a read index; the output is ReadConfirmed or ReadFailed."""
         if self.leadership is None:
             self.emit(ReadFailed(request))
         else:
             self.leadership.read(request, now)
 
-    def hand_over(self) -> None:
-        """Give up leadership to the most advanced voter, for a planned stop."""
+    def transfer_leadership(self) -> None:
+        """Transfer leadership to the voter with the most advanced log (planned stop)."""
         if self.leadership is not None:
-            self.leadership.hand_over()
+            self.leadership.transfer_leadership()
 
     def compact(self, index: int, parts: tuple[SnapshotPart, ...]) -> None:
-        """Keep the state after the entry at ``index``; drop old entries."""
+        """Save a snapshot of the state after ``index`` and drop old entries.
+
+        ``index`` must be committed.
+        """
         assert index <= self.commit_index
-        under_way = None
+        in_transfer = None
         if self.leadership is not None:
-            under_way = self.leadership.oldest_snapshot_under_way()
+            in_transfer = self.leadership.oldest_snapshot_in_transfer()
         kept = self.settings.kept_entries
-        self.durable_log.compact(index, parts, compaction_point(index, kept, under_way))
+        self.durable_log.compact(index, parts, compaction_point(index, kept, in_transfer))
 
     def persisted(self, token: int, now: float) -> None:
-        """The records of that write are durable."""
+        """Handle the completion of the write ``token``: its records are durable."""
         self.disk_refused = False
         self.durability.persisted(token)
         self.flush(now)
 
     def disk_failed(self, now: float) -> None:
-        """The disk refused a write: lead and vote no more until it takes one."""
+        """Step down after a failed write; do not lead or vote until a write succeeds."""
         self.disk_refused = True
         self.follow("", self.term, "the disk refuses writes", now)
 
     def retry_disk(self) -> None:
-        """Ask again for all that is not durable yet."""
-        again = self.durability.issue_again()
+        """Request one write of all records that are not durable yet."""
+        again = self.durability.reissue()
         if again is None:
             self.disk_refused = False
         else:
             self.emit(Persist(again.token, again.records, retry=True))
 
     def flush(self, now: float) -> None:
-        """Write what was collected and, as leader, send what peers lack."""
+        """Request the write of collected records; as leader, replicate new entries.
+
+        While the disk refuses writes, only ``retry_disk`` requests one.
+        """
         if self.leadership is not None:
             self.leadership.replicate(now)
         if not self.disk_refused:
@@ -232,40 +252,40 @@
                 self.emit(write)
 
     def take_outputs(self) -> list[Output]:
-        """Hand out what was asked for since the last call."""
+        """Return the outputs collected since the last call."""
         taken = self._outputs
         self._outputs = []
         return taken
 
-    # --- state that the parts share ------------------------------------------
+    # --- state shared with the role modules ------------------------------------------
 
     @property
     def log(self) -> ReplicatedLog:
-        """The entries after the compaction point."""
+        """Log entries after the compaction point."""
         return self.durable_log.entries
 
     @property
     def snapshot(self) -> StateSnapshot | None:
-        """The newest snapshot of the state."""
+        """Newest snapshot of the state machine; None before the first one."""
         return self.durable_log.snapshot
 
     @property
     def memberships(self) -> MembershipHistory:
-        """The memberships along the log."""
+        """Memberships along the log."""
         return self.durable_log.memberships
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in the log, committed or not."""
+        """Newest membership in the log, committed or not."""
         return self.memberships.current
 
     def awaits_former_leader(self, now: float) -> bool:
-        """Whether a leader of before this replica's start may still hold a lease."""
-        return self.former_leases.may_count(self._others_that_may_have_led, now)
+        """Return whether a leader from before this start may still hold a lease."""
+        return self.former_leases.may_be_valid(self._possible_former_leaders, now)
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this very store is a voter and can write."""
+        """Whether this replica, with this store, is a voter whose disk accepts writes."""
         own = find_member(self.membership, self.settings.replica)
         if own is None or self.disk_refused:
             return False
@@ -273,24 +293,34 @@
 
     @property
     def ready_to_propose(self) -> bool:
-        """Whether this replica leads and has applied all earlier terms' entries."""
+        """Whether this replica leads and accepts proposals.
+
+        True once its term's first entry, and so every earlier one, is committed;
+        False during a leadership transfer.
+        """
         leadership = self.leadership
         return leadership is not None and leadership.announced
 
     def emit(self, output: Output) -> None:
-        """Add an output."""
+        """Add an output for the next ``take_outputs``."""
         self._outputs.append(output)
 
     def send(self, peer: str, message: Message) -> None:
-        """Send at once: the message promises nothing about this replica's disk."""
+        """Send without waiting for the disk.
+
+        Only for messages that do not depend on records still being written.
+        """
         self.emit(SendToPeer(peer, message))
 
     def send_when_durable(self, peer: str, message: Message) -> None:
-        """Send once all records collected so far are durable."""
+        """Send after all records collected so far are durable."""
         self.durability.when_durable(lambda: self.send(peer, message))
 
     def campaign(self, pre_vote: bool, transfer: bool, now: float) -> None:
-        """Start an election, of pre-votes first unless the leader asked for it."""
+        """Start a campaign, with or without the pre-vote phase.
+
+        ``transfer`` marks a campaign that the leader requested.
+        """
         self._set_leader("")
         self._postpone_election(now)
         self.election = Election(self, pre_vote, transfer)
@@ -300,19 +330,19 @@
             self.election.begin_vote(now)
 
     def enter_term(self, term: int, voted_for: str) -> None:
-        """Move to a term with this vote."""
+        """Set and persist the current term and this replica's vote in it."""
         self.term = term
         self.voted_for = voted_for
         self.durability.add(SaveHardState(HardState(term, voted_for)))
 
     def vote_for(self, name: str, now: float) -> None:
-        """Give this term's vote."""
+        """Grant this replica's vote of the current term to a candidate."""
         if self.voted_for != name:
             self.enter_term(self.term, name)
         self._postpone_election(now)
 
     def lead(self, now: float) -> None:
-        """Won the election: append this term's first entry and take the lead."""
+        """Become leader: append the term's first, empty entry and send heartbeats."""
         self.role = Role.LEADER
         self.election = None
         self.leadership = Leadership(self, now)
@@ -321,7 +351,10 @@
         self.leadership.broadcast(now)
 
     def follow(self, leader: str, term: int, reason: str, now: float) -> None:
-        """Follow ``leader`` ("" for nobody yet) in ``term``; leave any other role."""
+        """Become a follower of ``leader`` in ``term``; ``leader`` is "" while unknown.
+
+        ``reason`` is reported if this replica was the leader.
+        """
         if term > self.term:
             self.enter_term(term, voted_for="")
         if self.leadership is not None:
@@ -331,32 +364,32 @@
         self.role = Role.FOLLOWER
         self.election = None
         if leader:
-            self.leader_heard_at = now
+            self.last_leader_contact = now
         self._set_leader(leader)
         self._postpone_election(now)
 
     def commit_to(self, index: int) -> None:
-        """Hand out the entries up to ``index`` as committed."""
+        """Advance the commit index to ``index`` and output the committed entries."""
         if index <= self.commit_index:
             return
         first = self.commit_index + 1
         self.commit_index = index
         entries = tuple(self.log.entry_at(each) for each in range(first, index + 1))
         self.emit(EntriesCommitted(entries))
-        if self.leadership is not None and self.leadership.begins_with(index):
+        if self.leadership is not None and self.leadership.note_commit(index):
             self.emit(LeadershipGained(self.term))
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Add entries to the log, in memory and on disk."""
+        """Append entries to the log in memory and queue them for the disk."""
         self.durable_log.append(entries)
 
     def truncate_from(self, index: int) -> None:
-        """Drop uncommitted entries that the leader doesn't have."""
+        """Drop the uncommitted entries from ``index`` on, as the leader lacks them."""
         assert index > self.commit_index
         self.durable_log.truncate_from(index)
 
     def install(self, snapshot: StateSnapshot) -> None:
-        """Replace log and state by a snapshot that is ahead of both."""
+        """Replace the log and the state by a snapshot that is ahead of both."""
         self.durable_log.install(snapshot)
         self.commit_index = snapshot.index
         self.emit(StateInstalled(snapshot))
@@ -365,18 +398,18 @@
 
     def _receive_from_member(self, name: str, message: Message, now: float) -> None:
         if isinstance(message, VoteReply):
-            self._take_vote_reply(name, message, now)
+            self._handle_vote_reply(name, message, now)
         elif isinstance(message, AppendReply):
             if self._reply_counts(message.term, now) and self.leadership is not None:
-                self.leadership.take_append_reply(name, message)
-                self._leave_if_removed(now)
+                self.leadership.handle_append_reply(name, message)
+                self._step_down_if_removed(now)
         elif isinstance(message, SnapshotReply):
             if self._reply_counts(message.term, now) and self.leadership is not None:
-                self.leadership.take_snapshot_reply(name, message)
+                self.leadership.handle_snapshot_reply(name, message)
         elif isinstance(message, ElectNow):
-            self._take_elect_now(message, now)
+            self._handle_elect_now(message, now)
 
-    def _take_vote_reply(self, name: str, reply: VoteReply, now: float) -> None:
+    def _handle_vote_reply(self, name: str, reply: VoteReply, now: float) -> None:
         election = self.election
         if not reply.granted:
             if reply.term > self.term:
@@ -392,11 +425,11 @@
             self.follow("", term, "a peer has a higher term", now)
         return term == self.term
 
-    def _take_elect_now(self, message: ElectNow, now: float) -> None:
+    def _handle_elect_now(self, message: ElectNow, now: float) -> None:
         if message.term == self.term and self.leadership is None and self.may_campaign:
             self.campaign(pre_vote=False, transfer=True, now=now)
 
-    def _leave_if_removed(self, now: float) -> None:
+    def _step_down_if_removed(self, now: float) -> None:
         own = find_member(self.membership, self.settings.replica)
         settled = self.memberships.current_index <= self.commit_index
         if own is None and settled:
@@ -414,7 +447,7 @@
             self.leadership.own_log_durable(index)
 
     @property
-    def _others_that_may_have_led(self) -> frozenset[str]:
+    def _possible_former_leaders(self) -> frozenset[str]:
         memberships = (self.membership, self.memberships.before_current)
         names = {member.name for each in memberships for member in each.members}
         return frozenset(names - {self.settings.replica})
--- a/src/peppershore/process/consensus/durability.py
+++ b/src/peppershore/process/consensus/durability.py
@@ -1,4 +1,4 @@
-"""Holds back what may only happen once records are durable."""
+"""Delays actions until the records that they depend on are durable."""
 
 from __future__ import annotations
 
@@ -24,39 +24,39 @@
 
 
 class DurabilityQueue:
-    """Collects records, numbers their writes, and releases actions in order.
+    """Batches records into numbered writes and runs dependent actions in order.
 
-    A refused write is kept and issued again later: to the rest of the core a
-    disk that refuses is a disk that takes very long.
+    A failed write is retained and issued again later, so the rest of the core
+    treats a disk that refuses writes like a very slow one.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to write."""
+        """Create an empty queue."""
         self._collected: list[Record] = []
         self._issued: deque[_Issued] = deque()
-        self._held: deque[_Held] = deque()
+        self._waiting_actions: deque[_Held] = deque()
         self._last_token = 0
 
     def add(self, record: Record) -> None:
-        """Collect a record for the next write."""
+        """Add a record to the next write."""
         self._collected.append(record)
 
     def when_durable(self, action: Action) -> None:
-        """Run the action once all records collected so far are durable."""
+        """Run the action once all records added so far are durable, maybe at once."""
         if not self._collected and not self._issued:
             action()
             return
         token = self._last_token + 1 if self._collected else self._last_token
-        self._held.append(_Held(token, action))
+        self._waiting_actions.append(_Held(token, action))
 
     def issue(self) -> Persist | None:
-        """Give the write of the records collected since the last one, if any."""
+        """Return a write of the records added since the last one; None without any."""
         if not self._collected:
             return None
         return self._issue(tuple(self._collected))
 
-    def issue_again(self) -> Persist | None:
-        """Give one write of all records that are not durable."""
+    def reissue(self) -> Persist | None:
+        """Return one write of all records that are not durable; None without any."""
         records = [record for issued in self._issued for record in issued.records]
         records += self._collected
         self._issued.clear()
@@ -65,15 +65,15 @@
         return self._issue(tuple(records))
 
     def persisted(self, token: int) -> None:
-        """Take note that the writes up to ``token`` are durable; run what waited."""
+        """Mark the writes up to ``token`` durable; run the actions that waited for them."""
         while self._issued and self._issued[0].token <= token:
             self._issued.popleft()
-        while self._held and self._held[0].token <= token:
-            self._held.popleft().action()
+        while self._waiting_actions and self._waiting_actions[0].token <= token:
+            self._waiting_actions.popleft().action()
 
     @property
     def idle(self) -> bool:
-        """Whether everything collected is durable."""
+        """Whether all added records are durable."""
         return not self._collected and not self._issued
 
     def _issue(self, records: tuple[Record, ...]) -> Persist:
--- a/src/peppershore/process/consensus/durable_log.py
+++ b/src/peppershore/process/consensus/durable_log.py
@@ -1,4 +1,4 @@
-"""The replica's log, memberships and snapshot; each change also becomes a record."""
+"""The replica's log, memberships and snapshot; each change is also queued for disk."""
 
 from __future__ import annotations
 
@@ -20,26 +20,31 @@
     StoredState,
 )
 
-MAX_KEPT_FACTOR = 10
-"""A snapshot under way holds back at most so many times the entries kept."""
+MAX_RETAINED_FACTOR = 10
+"""Limit on the entries retained for a snapshot in transfer, as a multiple of ``kept``.
 
+Without a limit, a slow receiver would stop log compaction.
+"""
 
-def compaction_point(snapshot_index: int, kept: int, under_way: int | None) -> int:
-    """First entry to keep: some for peers behind, more while one gets a snapshot.
 
-    ``under_way`` is the index of the oldest snapshot that a peer is receiving.
+def compaction_point(snapshot_index: int, kept: int, in_transfer: int | None) -> int:
+    """Return the log index up to which entries may be dropped.
+
+    ``kept`` entries before the snapshot are retained for peers that lag slightly,
+    and more while a peer receives a snapshot: ``in_transfer`` is the index of the
+    oldest snapshot being sent, None without one.
     """
     point = snapshot_index - kept
-    if under_way is None:
+    if in_transfer is None:
         return point
-    return max(min(point, under_way), snapshot_index - MAX_KEPT_FACTOR * kept)
+    return max(min(point, in_transfer), snapshot_index - MAX_RETAINED_FACTOR * kept)
 
 
 class DurableLog:
-    """What this replica holds of the group's log, in memory and on its way to disk."""
+    """This replica's copy of the log, in memory and queued for the disk."""
 
     def __init__(self, stored: StoredState) -> None:
-        """Take up what the store holds."""
+        """Restore log, memberships and snapshot from the stored state."""
         self.durability = DurabilityQueue()
         self.snapshot = stored.snapshot
         self.entries = _stored_entries(stored)
@@ -47,7 +52,7 @@
         self._next_part = _first_free_part(stored.snapshot)
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Add entries at the end."""
+        """Append entries and queue them for the disk."""
         for entry in entries:
             self.entries.append(entry)
             if entry.kind is EntryKind.MEMBERSHIP:
@@ -55,24 +60,27 @@
         self.durability.add(SaveEntries(entries))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from ``index`` on; the next append replaces them on disk."""
+        """Drop the entries from ``index`` on; on disk the next append replaces them."""
         self.entries.truncate_from(index)
         self.memberships.truncate_from(index)
 
     def new_part(self, data: bytes) -> SnapshotPart:
-        """Give a piece of an encoded state its number."""
+        """Return a snapshot part with the next free number."""
         part = SnapshotPart(self._next_part, data)
         self._next_part += 1
         return part
 
     def save_part(self, part: SnapshotPart) -> None:
-        """Write a part ahead of the snapshot that will name it."""
+        """Queue a part for the disk, before the snapshot that will refer to it."""
         self.durability.add(SaveSnapshotPart(part))
 
     def compact(
         self, index: int, parts: tuple[SnapshotPart, ...], first_kept_index: int
     ) -> None:
-        """Keep the state after the entry at ``index``, and the first kept entries on."""
+        """Set the snapshot of the state after ``index`` and drop old entries.
+
+        Entries after ``first_kept_index`` are retained, and the term at it.
+        """
         term = self.entries.term_at(index)
         assert term is not None
         membership = self.memberships.at(index)
@@ -81,7 +89,7 @@
         self.durability.add(SaveSnapshot(self.snapshot, self.entries.base_index))
 
     def install(self, snapshot: StateSnapshot) -> None:
-        """Replace everything by a snapshot that is ahead of it."""
+        """Replace the log and memberships by a snapshot that is ahead of them."""
         self.snapshot = snapshot
         self.entries = ReplicatedLog(snapshot.index, snapshot.term)
         self.memberships = MembershipHistory(snapshot.index, snapshot.membership)
--- a/src/peppershore/process/consensus/election.py
+++ b/src/peppershore/process/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and whom this replica gives its own to."""
+"""Elections: campaigns of this replica, and its answers to vote requests."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Election:
-    """One campaign of this replica, first for pre-votes, then for votes."""
+    """One phase of a campaign of this replica: the pre-vote or the vote."""
 
     def __init__(self, core: Consensus, pre_vote: bool, transfer: bool) -> None:
-        """Prepare a campaign; ``begin_*`` starts it."""
+        """Prepare a phase; ``begin_pre_vote`` or ``begin_vote`` starts it."""
         self.pre_vote = pre_vote
         self._core = core
         self._transfer = transfer
         self._granted: set[str] = set()
 
     def begin_pre_vote(self, now: float) -> None:
-        """Ask whether a vote could be won, without changing any term."""
+        """Request pre-votes: ask whether an election could be won, in the same term."""
         core = self._core
         core.role = Role.PRE_CANDIDATE
         self._request(core.term + 1)
         self.count(core.settings.replica, now)
 
     def begin_vote(self, now: float) -> None:
-        """Enter the next term, vote for this replica and ask the others."""
+        """Enter the next term, vote for this replica and request the other votes."""
         core = self._core
         core.role = Role.CANDIDATE
         core.enter_term(core.term + 1, voted_for=core.settings.replica)
@@ -39,7 +39,7 @@
         self._request(term)
 
     def count(self, voter: str, now: float) -> None:
-        """A voter granted: with a majority go on to the vote, or lead."""
+        """Count a granted vote; with a majority start the vote phase, or lead."""
         core = self._core
         self._granted.add(voter)
         voters = voters_of(core.membership)
@@ -68,8 +68,8 @@
 def answer_vote_request(
     core: Consensus, name: str, request: VoteRequest, now: float
 ) -> None:
-    """Grant or deny a vote or pre-vote to the replica of that name."""
-    if not request.transfer and _must_wait(core, request, now):
+    """Answer a vote or pre-vote request of the replica of that name."""
+    if not request.transfer and _must_withhold_vote(core, request, now):
         _deny(core, name, request)
         return
     if request.pre_vote:
@@ -91,23 +91,30 @@
     core.send_when_durable(name, VoteReply(request.term, True, True))
 
 
-def _must_wait(core: Consensus, request: VoteRequest, now: float) -> bool:
-    """Whether no vote may be given yet, as a leader may hold a lease."""
-    if _leader_heard(core, now):
+def _must_withhold_vote(core: Consensus, request: VoteRequest, now: float) -> bool:
+    """Return whether the vote must be withheld because a leader may hold a lease.
+
+    Within an election timeout of this replica's start, a candidate must also have
+    an equal log: see ``former_leases``.
+    """
+    if _leader_may_hold_lease(core, now):
         return True
-    early = core.former_leases.started_lately(now)
-    return early and (request.last_term, request.last_index) != _end_of_log(core)
+    in_waiting_period = core.former_leases.started_recently(now)
+    return in_waiting_period and (request.last_term, request.last_index) != _end_of_log(
+        core
+    )
 
 
-def _leader_heard(core: Consensus, now: float) -> bool:
-    """Whether a leader may still hold a lease that counts on this replica.
+def _leader_may_hold_lease(core: Consensus, now: float) -> bool:
+    """Return whether a leader may hold a lease that depends on this replica.
 
-    A replica that started a moment ago may have promised a lease before.
+    A replica may have acknowledged heartbeats just before it restarted, and so
+    extended a lease that it no longer remembers.
     """
     if core.leadership is not None:
         return core.leadership.lease_valid(now)
-    heard_lately = now < core.leader_heard_at + core.settings.election_seconds
-    return heard_lately or core.awaits_former_leader(now)
+    contacted_recently = now < core.last_leader_contact + core.settings.election_seconds
+    return contacted_recently or core.awaits_former_leader(now)
 
 
 def _may_vote_for(core: Consensus, name: str, request: VoteRequest) -> bool:
--- a/src/peppershore/process/consensus/following.py
+++ b/src/peppershore/process/consensus/following.py
@@ -1,4 +1,4 @@
-"""What a follower does with the messages of a leader."""
+"""Follower side of log replication and snapshot transfer."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class IncomingSnapshot:
-    """A snapshot of which the first bytes arrived."""
+    """A snapshot that is being received in chunks."""
 
     def __init__(self, index: int, term: int, membership: Membership) -> None:
-        """Begin with nothing received."""
+        """Start without any received data."""
         self.index = index
         self.term = term
         self.membership = membership
@@ -30,15 +30,19 @@
 
 
 class Following:
-    """Takes entries and snapshots from whoever leads the newest term."""
+    """Handles entries and snapshot chunks from the leader of the newest term."""
 
     def __init__(self, core: Consensus) -> None:
-        """Bind to the core whose log is kept."""
+        """Bind to the core whose log is updated."""
         self._core = core
         self._incoming: IncomingSnapshot | None = None
 
-    def take_append(self, leader: str, request: AppendRequest, now: float) -> None:
-        """Append what follows this replica's log, or say where they differ."""
+    def handle_append(self, leader: str, request: AppendRequest, now: float) -> None:
+        """Append the leader's entries, or reject them with an index that may match.
+
+        A request that starts before the compaction point is answered with the commit
+        index.
+        """
         core = self._core
         if not self._accept_leader(leader, request.term, request.round, now):
             return
@@ -54,8 +58,8 @@
         core.commit_to(min(request.commit_index, last))
         self._reply(leader, True, last, request.round)
 
-    def take_chunk(self, leader: str, chunk: SnapshotChunk, now: float) -> None:
-        """Collect a piece of a snapshot; install it once it is whole."""
+    def handle_chunk(self, leader: str, chunk: SnapshotChunk, now: float) -> None:
+        """Store a snapshot chunk; install the snapshot once it is complete."""
         core = self._core
         if not self._accept_leader(leader, chunk.term, chunk.round, now):
             return
@@ -110,7 +114,11 @@
             return
 
     def _hint(self, previous: int) -> int:
-        """Highest index before the run of entries that differ."""
+        """Return the highest index at which this log may match the leader's.
+
+        This is the end of this log, or the entry before the conflicting term's first
+        one, but never below the commit index.
+        """
         log = self._core.log
         if previous > log.last_index:
             return log.last_index
--- a/src/peppershore/process/consensus/founding.py
+++ b/src/peppershore/process/consensus/founding.py
@@ -1,7 +1,7 @@
-"""How a group begins: only when every replica of the first membership is blank.
+"""Bootstrap of a group, only while every replica of the first membership is blank.
 
-A replica that lost its disk finds peers that belong to a group already (or
-doesn't find them all) and so never begins a second group under the same name.
+A replica that lost its disk finds peers that already belong to a group, or does not
+reach all of them, and so never founds a second group under the same name.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 
 class FoundingProgress(msgspec.Struct, frozen=True):
-    """Who is still needed, and who shows that the group exists already."""
+    """Whether the group can be founded, and which replicas prevent it.
+
+    ``missing`` replicas are not reached; ``already_in_group`` shows that the group
+    exists.
+    """
 
     ready: bool
     missing: tuple[str, ...]
@@ -24,19 +28,19 @@
 
 
 class Founding:
-    """Watches over the beginning of a group, on one blank replica.
+    """Decides on one blank replica whether it may found the group.
 
-    The replica whose name sorts first begins the group; the others wait for it.
+    Only the replica whose name sorts first founds the group; the others wait.
     """
 
     def __init__(self, replicas: tuple[PeerReplica, ...], own_name: str) -> None:
-        """Take the first membership from the settings."""
+        """Set the replicas of the first membership, as the settings name them."""
         self._replicas = tuple(sorted(replicas, key=lambda replica: replica.name))
         self._own_name = own_name
         self._reported: FoundingProgress | None = None
 
     def progress(self, peers: PeerLinks) -> FoundingProgress:
-        """Whether all others are reached and blank."""
+        """Return which replicas are missing or in a group, and whether to found now."""
         missing: list[str] = []
         in_group: list[str] = []
         for replica in self._replicas:
@@ -52,7 +56,10 @@
         return FoundingProgress(ready, tuple(missing), tuple(in_group))
 
     def membership(self, own_identity: int, peers: PeerLinks) -> Membership:
-        """The founding membership, with the identities the peers gave."""
+        """Return the first membership, with the store identities of all replicas.
+
+        All peers must be connected.
+        """
         members: list[ReplicaMember] = []
         for replica in self._replicas:
             identity = own_identity
@@ -64,7 +71,7 @@
         return Membership(tuple(members))
 
     def should_report(self, progress: FoundingProgress) -> bool:
-        """Whether this progress differs from the one reported last."""
+        """Return whether the progress differs from the last reported one; store it."""
         if progress == self._reported:
             return False
         self._reported = progress
--- a/src/peppershore/process/consensus/greeting.py
+++ b/src/peppershore/process/consensus/greeting.py
@@ -1,4 +1,4 @@
-"""How replicas greet each other, and how a group begins."""
+"""Handshake (hello messages) between replicas, and the bootstrap of a group."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class Greeting:
-    """Says hello on links to other replicas, judges theirs, and founds the group."""
+    """Sends hellos to other replicas, validates theirs, and founds the group."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Greet for this replica."""
+        """Bind to the replica on whose behalf hellos are sent."""
         self._replica = replica
         self._founding = Founding(replica.settings.replicas, replica.name)
 
     def greet(self, link: LinkId) -> None:
-        """Say hello on a link."""
+        """Send this replica's hello on a link."""
         replica = self._replica
         consensus = replica.consensus
         hello = ReplicaHello(
@@ -38,12 +38,12 @@
         replica.send(link, hello)
 
     def greet_again(self) -> None:
-        """Say hello on all links: the group of this replica has changed."""
+        """Send this replica's hello again on all links to replicas."""
         for link in self._replica.peers.all_links():
             self.greet(link)
 
-    def take(self, link: LinkId, hello: ReplicaHello) -> None:
-        """Take a hello; refuse one that is none of this group's replicas."""
+    def handle_hello(self, link: LinkId, hello: ReplicaHello) -> None:
+        """Handle a hello; close the link if its sender is no replica of this group."""
         replica = self._replica
         problem = self._problem(link, hello)
         if problem:
@@ -54,20 +54,20 @@
             return
         first = replica.peers.identity_on(link) is None
         replica.peers.greeted(link, hello)
-        if first and not replica.peers.opened_by_us(link):
+        if first and not replica.peers.is_outgoing(link):
             self.greet(link)
-        replica.joining.heard(hello.replica)
-        replica.joining.greeted(link, hello.replica, hello.identity)
+        replica.joining.record_contact(hello.replica)
+        replica.joining.describe_group_to_non_member(link, hello.replica, hello.identity)
         member = find_member(replica.consensus.membership, hello.replica)
         if member is not None and member.identity != hello.identity:
             replica.report(notices.OtherStoreSeen(replica.name, hello.replica))
         if hello.not_leading:
             replica.note_not_leading(hello)
         if first and replica.consensus.leadership is not None:
-            replica.consensus.leadership.peer_restarted(hello.replica)
+            replica.consensus.leadership.peer_reconnected(hello.replica)
 
     def found_if_possible(self) -> None:
-        """Begin the group once every first member is reached and blank."""
+        """Found the group once every first member is connected and blank."""
         replica = self._replica
         consensus = replica.consensus
         progress = self._founding.progress(replica.peers)
--- a/src/peppershore/process/consensus/joining.py
+++ b/src/peppershore/process/consensus/joining.py
@@ -1,9 +1,10 @@
-"""How a replica finds its group from a few seeds, and how the leader keeps the group.
+"""Discovery of a group through seed addresses, and its automatic membership changes.
 
-A process knows addresses that may lag, be down or lead to others.  It greets them;
-whoever belongs to a group tells a stranger of its members; the stranger greets
-those too, and so reaches the leader, which takes it in.  In a group that keeps
-itself, a replica's name is the address of its links.
+The seed addresses in a replica's settings may be outdated, down or in use by other
+replicas. A joining replica sends its hello to them. A member answers a non-member with
+the list of members; the joining replica then sends its hello to those too and so
+reaches the leader, which adds it. In a group that manages its own membership, the name
+of a replica is the address of its links.
 """
 
 from __future__ import annotations
@@ -23,95 +24,108 @@
 if TYPE_CHECKING:
     from peppershore.process.consensus.replica import ReplicaCore
 
-LEADERLESS_SECONDS = 1.0
-"""Without a leader for so long, a replica looks for its group at the seeds again."""
+SEED_SEARCH_DELAY_SECONDS = 1.0
+"""Time without a leader after which a member contacts the seeds again."""
 
-GREET_AGAIN_SECONDS = 0.5
-"""How often a replica without a leader greets whom it reaches."""
+GREETING_INTERVAL_SECONDS = 0.5
+"""Interval between hellos on all links while a replica has no leader."""
 
 CAUGHT_UP_ENTRIES = 3
-"""A learner at most so far behind the log's end may become a voter."""
+"""Largest lag, in entries behind the log's end, at which a learner may vote."""
 
 
 class SeedsChanged(Event, frozen=True):
-    """The settings name other seeds now."""
+    """The reloaded settings name other seeds."""
 
     seeds: tuple[str, ...]
 
 
 class Joining:
-    """The part of one replica in a group that keeps its own membership."""
+    """Finds the group and, on the leader, changes its membership automatically."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Begin with the seeds of the settings."""
+        """Start with the seeds of the settings."""
         self._replica = replica
         self._seeds: tuple[str, ...] = replica.settings.seeds
-        self._told: dict[str, str] = {}
-        self._heard: dict[str, float] = {}
+        self._described_members: dict[str, str] = {}
+        self._last_contact: dict[str, float] = {}
         self._leads_since = 0.0
         self._leaderless_since = 0.0
-        self._greeted_at = 0.0
+        self._last_greeting_at = 0.0
 
     @property
-    def keeps_itself(self) -> bool:
-        """Whether this group changes its membership without a person."""
+    def manages_membership(self) -> bool:
+        """Whether this group manages its membership without an operator."""
         return self._replica.settings.wanted_voters > 0
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings name other seeds now."""
+        """Replace the seeds by those of reloaded settings."""
         self._seeds = seeds
 
     def leadership_gained(self) -> None:
-        """This replica leads from now on."""
+        """Record the time at which this replica became leader."""
         self._leads_since = self._replica.now
 
-    def heard(self, name: str) -> None:
-        """A peer sent a message."""
-        self._heard[name] = self._replica.now
+    def record_contact(self, name: str) -> None:
+        """Record the time at which a message of this peer arrived."""
+        self._last_contact[name] = self._replica.now
 
-    def wanted(self) -> dict[str, str]:
-        """Give the strangers to keep links to, while this replica has no leader."""
+    def temporary_peers(self) -> dict[str, str]:
+        """Return peers besides the members to keep links to, as addresses by name.
+
+        These are the seeds and the members that another replica described. The result
+        is empty while a leader is known, and for a member during the first
+        ``SEED_SEARCH_DELAY_SECONDS`` without one.
+        """
         replica = self._replica
-        if not self.keeps_itself:
+        if not self.manages_membership:
             return {}
         if replica.consensus.leader:
             self._leaderless_since = replica.now
             return {}
-        without = replica.now - self._leaderless_since
-        if replica.consensus.group_id != 0 and without < LEADERLESS_SECONDS:
+        leaderless_seconds = replica.now - self._leaderless_since
+        if (
+            replica.consensus.group_id != 0
+            and leaderless_seconds < SEED_SEARCH_DELAY_SECONDS
+        ):
             return {}
-        return {seed: seed for seed in self._seeds} | self._told
+        return {seed: seed for seed in self._seeds} | self._described_members
 
-    def greeted(self, link: LinkId, name: str, identity: int) -> None:
-        """Tell a replica that is no member who is."""
+    def describe_group_to_non_member(self, link: LinkId, name: str, identity: int) -> None:
+        """Send the list of members to a replica that is no member, or has a new store."""
         replica = self._replica
-        if not self.keeps_itself or replica.consensus.group_id == 0:
+        if not self.manages_membership or replica.consensus.group_id == 0:
             return
         member = find_member(replica.consensus.membership, name)
         if member is None or member.identity != identity:
             membership = replica.consensus.membership
             replica.send(link, GroupDescribed(membership.members))
 
-    def take_description(self, message: GroupDescribed) -> None:
-        """Look for the leader among these members too."""
+    def handle_group_described(self, message: GroupDescribed) -> None:
+        """Open links to these members, to find the leader among them."""
         members = Membership(message.members).members
-        self._told = {member.name: member.address for member in members}
-        self._replica.want_peers()
+        self._described_members = {member.name: member.address for member in members}
+        self._replica.update_peer_links()
 
     def tick(self) -> None:
-        """As leader, bring the membership one step nearer to what it should be.
+        """As leader, propose the next membership change that is due.
 
-        Without a leader, say hello again: a leader takes in whom it heard lately.
+        Without a leader, send hellos again, as a leader only adds replicas from which
+        it received a message recently.
         """
         replica = self._replica
         consensus = replica.consensus
-        if self.keeps_itself and not consensus.leader:
+        if self.manages_membership and not consensus.leader:
             self._greet_again()
-        if not self.keeps_itself or not consensus.ready_to_propose or replica.stopping:
+        if (
+            not self.manages_membership
+            or not consensus.ready_to_propose
+            or replica.stopping
+        ):
             return
         if consensus.memberships.current_index > consensus.commit_index:
             return
-        changed = next_membership(self._view())
+        changed = next_membership(self._group_view())
         if changed is None:
             return
         replica.report(notices.MembershipProposed(replica.name, changed.members))
@@ -120,19 +134,19 @@
 
     def _greet_again(self) -> None:
         replica = self._replica
-        if replica.now - self._greeted_at < GREET_AGAIN_SECONDS:
+        if replica.now - self._last_greeting_at < GREETING_INTERVAL_SECONDS:
             return
-        self._greeted_at = replica.now
+        self._last_greeting_at = replica.now
         replica.greet_all()
 
-    def _view(self) -> GroupView:
+    def _group_view(self) -> GroupView:
         replica = self._replica
         present = {
             known.name: PresentReplica(
                 name=known.name,
                 address=known.name,
                 identity=known.identity,
-                heard_seconds=replica.now - self._heard.get(known.name, 0.0),
+                heard_seconds=replica.now - self._last_contact.get(known.name, 0.0),
                 caught_up=self._is_caught_up(known.name),
             )
             for known in replica.peers.greeted_peers()
--- a/src/peppershore/process/consensus/leadership.py
+++ b/src/peppershore/process/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What only a leader does: replication, commit, lease, reads, hand-over."""
+"""Leader side of Raft: replication, commit, lease, reads, leadership transfer."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     from peppershore.process.consensus.core import Consensus
 
 CLOCK_DRIFT_BOUND = 0.05
-"""Each replica's monotonic clock runs at most this much too fast or too slow."""
+"""Largest rate error of a replica's monotonic clock, fast or slow, as a fraction."""
 
 LEASE_FRACTION = (1 - CLOCK_DRIFT_BOUND) / (1 + CLOCK_DRIFT_BOUND)
-"""Part of the election timeout for which a confirmed leader may trust its lease."""
+"""Length of a leader's lease, as a fraction of the election timeout."""
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A read that waits for the quorum's answers to ``round``."""
+    """A read that waits until a quorum has answered the messages of ``round``."""
 
     request: int
     index: int
@@ -37,32 +37,35 @@
 
 
 class Leadership:
-    """State of one leader in one term."""
+    """State of the leader of one term."""
 
     def __init__(self, core: Consensus, now: float) -> None:
-        """Start to lead ``core.term``; the core appends the term's first entry."""
+        """Start to lead ``core.term``; the caller then appends the term's first entry."""
         self.term = core.term
         self.first_index = core.log.last_index + 1
         self.own_match = 0
-        self.handing_over_to = ""
+        self.transfer_target = ""
         self._announced = False
         self._core = core
         self._round = 0
         self._round_started: dict[int, float] = {}
         self._confirmed_round = 0
         self._confirmed_at = now
-        self._asked_anew_at = now
+        self._quorum_check_restarted_at = now
         self._peers: dict[str, PeerProgress] = {}
         self._reads: list[PendingRead] = []
-        self._round_wanted = False
+        self._round_requested = False
 
     @property
     def announced(self) -> bool:
-        """Whether the term's first entry is committed and no hand-over began."""
-        return self._announced and not self.handing_over_to
+        """Whether the term's first entry is committed and no transfer has begun."""
+        return self._announced and not self.transfer_target
 
-    def begins_with(self, commit_index: int) -> bool:
-        """Whether this commit is the one that lets the leader take proposals."""
+    def note_commit(self, commit_index: int) -> bool:
+        """Record the commit index; return whether it newly covers the first entry.
+
+        From that commit on the leader accepts proposals.
+        """
         if self._announced or commit_index < self.first_index:
             return False
         self._announced = True
@@ -71,77 +74,80 @@
     # --- replication ---------------------------------------------------------
 
     def broadcast(self, now: float) -> None:
-        """Begin a new round: a heartbeat or entries to every peer."""
+        """Begin a new round: send entries or a heartbeat to every peer."""
         self._round += 1
         self._round_started[self._round] = now
-        self._round_wanted = False
+        self._round_requested = False
         for peer in self._current_peers().values():
             self._send_append(peer, heartbeat=True)
-        self._note_answers()
+        self._process_acknowledgements()
 
     def replicate(self, now: float) -> None:
-        """Send new entries to the peers that are ready for them."""
-        if self._round_wanted:
+        """Send new entries to the peers whose window allows it.
+
+        If a read waits for a new round, begin the round as well.
+        """
+        if self._round_requested:
             self.broadcast(now)
         for peer in self._current_peers().values():
             self._send_append(peer, heartbeat=False)
 
-    def take_append_reply(self, name: str, reply: AppendReply) -> None:
-        """Count a member's answer; commit, confirm reads and send more."""
+    def handle_append_reply(self, name: str, reply: AppendReply) -> None:
+        """Record a member's reply; commit entries, confirm reads and send more."""
         peer = self._current_peers().get(name)
         if peer is None:
             return
-        peer.take_round(reply.round)
+        peer.record_round(reply.round)
         if reply.accepted:
-            peer.take_match(reply.last_index)
+            peer.record_match(reply.last_index)
         else:
-            peer.take_mismatch(reply.last_index)
-        self._note_answers()
-        self._hand_over_if_ready()
+            peer.record_mismatch(reply.last_index)
+        self._process_acknowledgements()
+        self._transfer_if_ready()
         self._send_append(peer, heartbeat=False)
 
-    def take_snapshot_reply(self, name: str, reply: SnapshotReply) -> None:
-        """A member holds part of the snapshot: send the next piece."""
+    def handle_snapshot_reply(self, name: str, reply: SnapshotReply) -> None:
+        """Record how much of the snapshot a member holds and send the next chunk."""
         peer = self._current_peers().get(name)
         if peer is None:
             return
-        peer.take_round(reply.round)
-        self._note_answers()
+        peer.record_round(reply.round)
+        self._process_acknowledgements()
         if peer.snapshot is None or peer.snapshot.index != reply.index:
             return
-        if peer.take_received_bytes(reply.received_bytes):
+        if peer.record_received_bytes(reply.received_bytes):
             self._send_snapshot(peer)
 
-    def peer_restarted(self, name: str) -> None:
-        """The link to a member is new: nothing sent before counts on arrival."""
+    def peer_reconnected(self, name: str) -> None:
+        """Resume replication on a new link: messages sent before it may be lost."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.restart()
 
     def match_index(self, name: str) -> int:
-        """Highest index known to be durable at that member."""
+        """Return the highest index known to be durable at that member."""
         if name == self._core.settings.replica:
             return self.own_match
         peer = self._peers.get(name)
         return 0 if peer is None else peer.match_index
 
-    def oldest_snapshot_under_way(self) -> int | None:
-        """Index of the oldest snapshot a peer is still receiving."""
+    def oldest_snapshot_in_transfer(self) -> int | None:
+        """Return the index of the oldest snapshot being sent; None without one."""
         indexes = [peer.snapshot.index for peer in self._peers.values() if peer.snapshot]
         return min(indexes, default=None)
 
     def own_log_durable(self, index: int) -> None:
-        """This replica's own disk holds the log up to ``index``."""
+        """Record that this replica's own disk holds the log up to ``index``."""
         self.own_match = max(self.own_match, index)
-        self._note_answers()
+        self._process_acknowledgements()
 
-    def _note_answers(self) -> None:
+    def _process_acknowledgements(self) -> None:
         self._advance_commit()
         self._advance_confirmed_round()
         self._confirm_reads()
 
     def _advance_commit(self) -> None:
-        """Commit what a majority holds durably, if it ends in this term."""
+        """Commit what a majority holds durably, if its last entry is of this term."""
         core = self._core
         voters = voters_of(core.membership)
         matches = sorted((self.match_index(name) for name in voters), reverse=True)
@@ -154,10 +160,14 @@
     # --- lease, check-quorum and reads ---------------------------------------
 
     def lease_valid(self, now: float) -> bool:
-        """Whether no other leader can have been elected yet, within drift bound."""
-        if self.handing_over_to:
+        """Return whether this leader holds its lease.
+
+        During a lease no other leader can be elected, if no clock exceeds
+        ``CLOCK_DRIFT_BOUND``.
+        """
+        if self.transfer_target:
             return False
-        if self._alone():
+        if self._is_sole_voter():
             return True
         if self._confirmed_round == 0:
             return False
@@ -165,57 +175,60 @@
         return now < self._confirmed_at + lease
 
     def quorum_lost(self, now: float) -> bool:
-        """Check-quorum: whether no majority answered for an election timeout."""
-        if self._alone():
+        """Return whether no majority answered for an election timeout (check quorum)."""
+        if self._is_sole_voter():
             return False
-        since = max(self._confirmed_at, self._asked_anew_at)
+        since = max(self._confirmed_at, self._quorum_check_restarted_at)
         return now >= since + self._core.settings.election_seconds
 
-    def asks_anew(self, now: float) -> None:
-        """This process stood still, so nobody was asked: count from now.
+    def restart_quorum_check(self, now: float) -> None:
+        """Start the check-quorum timeout anew, as this process was suspended.
 
-        The lease is not lengthened by that.
+        No peer was contacted during the suspension. The lease is not extended.
         """
-        self._asked_anew_at = now
+        self._quorum_check_restarted_at = now
 
     def read(self, request: int, now: float) -> None:
-        """Confirm a read by the lease, or by a round that begins after it."""
+        """Confirm a read by the lease, or else by a round that begins after it."""
         core = self._core
         if core.commit_index >= self.first_index and self.lease_valid(now):
             core.emit(ReadConfirmed(request, core.commit_index))
             return
         index = max(core.commit_index, self.first_index)
         self._reads.append(PendingRead(request, index, self._round + 1))
-        self._round_wanted = True
+        self._round_requested = True
 
     def end(self) -> None:
-        """This leadership is over: no waiting read is confirmed."""
+        """End this leadership: fail all reads that wait for confirmation."""
         for read in self._reads:
             self._core.emit(ReadFailed(read.request))
         self._reads.clear()
 
-    # --- hand-over -----------------------------------------------------------
+    # --- leadership transfer -------------------------------------------------
 
-    def hand_over(self) -> None:
-        """Let the most advanced voter campaign, once its log is complete."""
+    def transfer_leadership(self) -> None:
+        """Transfer leadership to the voter with the most advanced log.
+
+        Once its log is complete, it is asked to campaign at once.
+        """
         peers = self._current_peers()
         voters = [name for name in voters_of(self._core.membership) if name in peers]
         if not voters:
             return
-        self.handing_over_to = max(
+        self.transfer_target = max(
             voters, key=lambda name: (peers[name].match_index, peers[name].answered_round)
         )
-        self._hand_over_if_ready()
+        self._transfer_if_ready()
 
-    def _hand_over_if_ready(self) -> None:
-        peer = self._peers.get(self.handing_over_to)
+    def _transfer_if_ready(self) -> None:
+        peer = self._peers.get(self.transfer_target)
         if peer is None or peer.match_index < self._core.log.last_index:
             return
-        self._core.send(self.handing_over_to, ElectNow(self.term))
+        self._core.send(self.transfer_target, ElectNow(self.term))
 
     # --- internals -----------------------------------------------------------
 
-    def _alone(self) -> bool:
+    def _is_sole_voter(self) -> bool:
         return voters_of(self._core.membership) == (self._core.settings.replica,)
 
     def _current_peers(self) -> dict[str, PeerProgress]:
@@ -282,7 +295,7 @@
             may_send = peer.may_send_entries(settings.max_unanswered_messages)
         if sent:
             return
-        if heartbeat or peer.must_hear_of_commit(core.commit_index):
+        if heartbeat or peer.needs_commit_notice(core.commit_index):
             self._send_request(peer, peer.next_index - 1, ())
 
     def _send_request(
@@ -299,7 +312,7 @@
             self._round,
             entries,
         )
-        peer.told_commit_index = core.commit_index
+        peer.sent_commit_index = core.commit_index
         core.send(peer.name, request)
 
     def _send_snapshot_or_heartbeat(self, peer: PeerProgress, heartbeat: bool) -> None:
--- a/src/peppershore/process/consensus/log.py
+++ b/src/peppershore/process/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: entries after the point of compaction."""
+"""The replicated log in memory: the entries after the compaction point."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class ReplicatedLog:
-    """Entries with consecutive indexes after ``base_index``.
+    """Entries with consecutive indexes after ``base_index``, the compaction point.
 
-    Index and term of the last dropped entry are kept, so that a peer whose log
-    ends right there can still be matched.
+    Index and term of the last dropped entry are retained, so that the log of a peer
+    that ends exactly there can still be matched.
     """
 
     def __init__(
         self, base_index: int, base_term: int, entries: Sequence[LogEntry] = ()
     ) -> None:
-        """Start after ``base_index``; the entries must follow it without gaps."""
+        """Start after ``base_index``; ``entries`` must follow it without gaps."""
         self.base_index = base_index
         self._base_term = base_term
         self._entries: list[LogEntry] = []
@@ -35,7 +35,7 @@
         return self._entries[-1].term if self._entries else self._base_term
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at ``index``; None if it isn't (or no longer) here."""
+        """Return the term of the entry at ``index``; None if this log does not hold it."""
         if index == self.base_index:
             return self._base_term
         if self.base_index < index <= self.last_index:
@@ -43,11 +43,11 @@
         return None
 
     def entry_at(self, index: int) -> LogEntry:
-        """The entry at an index between compaction point and end."""
+        """Return the entry at an index after the compaction point."""
         return self._entries[index - self.base_index - 1]
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry."""
+        """Append the next entry; its index must follow ``last_index``."""
         assert entry.index == self.last_index + 1
         self._entries.append(entry)
 
@@ -68,7 +68,10 @@
     def entries_after(
         self, index: int, max_entries: int, max_bytes: int
     ) -> tuple[LogEntry, ...]:
-        """The next entries after ``index``: at least one if there is any."""
+        """Return entries after ``index``, within the two bounds.
+
+        The first one is returned even if it exceeds ``max_bytes`` of payload.
+        """
         chosen: list[LogEntry] = []
         size = 0
         start = index - self.base_index
@@ -80,7 +83,7 @@
         return tuple(chosen)
 
     def first_index_of_term_at(self, index: int) -> int:
-        """First index here that has the same term as the entry at ``index``."""
+        """Return the first index in this log with the same term as that at ``index``."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
--- a/src/peppershore/process/consensus/membership_changes.py
+++ b/src/peppershore/process/consensus/membership_changes.py
@@ -1,8 +1,8 @@
-"""Membership changes that an operator asked for, one at a time.
+"""Membership changes that an operator requested, carried out one at a time.
 
-A replica is added as a learner; when it has caught up, the leader makes it a
-voter.  A replica that is lost is removed and its successor added; a blank disk
-under an old name is a new member and comes back by remove and add.
+A replica is added as a learner; once it has caught up, the leader makes it a voter. A
+lost replica is removed and its replacement added. A replica that comes back under its
+name with a blank disk is a new member: it must be removed and added again.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 if TYPE_CHECKING:
     from peppershore.process.consensus.replica import ReplicaCore
 
-CHANGE_BOUND_SECONDS = 60.0
+CHANGE_TIMEOUT_SECONDS = 60.0
 CAUGHT_UP_ENTRIES = 100
-"""A learner at most so far behind the log's end becomes a voter."""
+"""Largest lag, in entries behind the log's end, at which a learner becomes a voter."""
 
 ACTION_ADD = "add"
 ACTION_REMOVE = "remove"
-NOT_LEADER = "this replica no longer leads; ask `replica list` what came of it"
+NOT_LEADER = "this replica no longer leads; check the outcome with `replica list`"
 
 
 class _Request(msgspec.Struct, frozen=True):
@@ -40,15 +40,15 @@
 
 
 class MembershipChanges:
-    """Carries out the requested changes on the leader, the oldest first."""
+    """Requested changes on the leader, carried out oldest first."""
 
     def __init__(self, replica: ReplicaCore) -> None:
         """Start without requests."""
         self._replica = replica
         self._requests: list[_Request] = []
 
-    def prospects(self) -> dict[str, str]:
-        """Addresses of replicas that are about to be added, by name."""
+    def pending_additions(self) -> dict[str, str]:
+        """Return the addresses of the replicas to be added, by name."""
         return {
             request.change.replica: request.change.address
             for request in self._requests
@@ -56,33 +56,40 @@
         }
 
     def request(self, link: LinkId, change: MembershipChange) -> None:
-        """Take an operator's change; the answer follows when it is committed."""
+        """Accept an operator's change, or answer at once why it is rejected.
+
+        The answer to an accepted change follows once the change is committed. A change
+        past its deadline (``CHANGE_TIMEOUT_SECONDS``) is answered when it is the oldest.
+        """
         problem = self._problem(change)
         if problem:
             self._replica.send(link, MembershipAnswered(problem))
             return
-        deadline = self._replica.now + CHANGE_BOUND_SECONDS
+        deadline = self._replica.now + CHANGE_TIMEOUT_SECONDS
         self._requests.append(_Request(link, change, deadline))
-        self._replica.want_peers()
+        self._replica.update_peer_links()
         self.tick()
 
     def tick(self) -> None:
-        """Move the oldest request on, and make caught-up learners voters."""
+        """Advance the oldest request, and make a caught-up learner a voter.
+
+        In a group that manages its own membership, learners are not promoted here.
+        """
         consensus = self._replica.consensus
         if not consensus.ready_to_propose:
             return
         if self._requests:
             self._advance(self._requests[0])
-        if not self._replica.joining.keeps_itself:
+        if not self._replica.joining.manages_membership:
             self._promote_caught_up()
 
     def membership_committed(self) -> None:
-        """Answer the requests that are done with this membership."""
+        """Answer the requests that the committed membership fulfils."""
         for request in [each for each in self._requests if self._done(each.change)]:
             self._answer(request, "")
 
     def leadership_lost(self) -> None:
-        """Another leader may or may not finish what is under way."""
+        """Answer all requests with ``NOT_LEADER``; a new leader may complete them."""
         for request in self._requests:
             self._replica.send(request.link, MembershipAnswered(NOT_LEADER))
         self._requests.clear()
@@ -90,7 +97,7 @@
     def _problem(self, change: MembershipChange) -> str:
         member = find_member(self._replica.consensus.membership, change.replica)
         if change.action == ACTION_ADD:
-            return "" if member is None else self._problem_of_again(change, member)
+            return "" if member is None else self._problem_of_repeated_add(change, member)
         if change.action != ACTION_REMOVE:
             return f"unknown action {change.action!r}: add or remove"
         if member is None:
@@ -99,8 +106,14 @@
             return f"{change.replica} is the only voter"
         return ""
 
-    def _problem_of_again(self, change: MembershipChange, member: ReplicaMember) -> str:
-        """Adding a member again only waits for it: the first answer may be lost."""
+    def _problem_of_repeated_add(
+        self, change: MembershipChange, member: ReplicaMember
+    ) -> str:
+        """Return why an existing member can't be added again; "" if it can.
+
+        The operator may retry after a lost answer: the request then only waits until
+        the member is a voter.
+        """
         if member.address != change.address:
             return f"{change.replica} is a member already, at {member.address}"
         peers = self._replica.peers
@@ -115,7 +128,7 @@
         if self._done(request.change):
             self._answer(request, "")
         elif replica.now >= request.deadline:
-            reason = "not done in time; it goes on if the replica can be reached"
+            reason = "timed out; the change continues once the replica can be reached"
             self._answer(request, reason)
         else:
             self._propose(request.change)
--- a/src/peppershore/process/consensus/notices.py
+++ b/src/peppershore/process/consensus/notices.py
@@ -1,4 +1,4 @@
-"""What a replica reports to logs and metrics."""
+"""Events that a replica reports to its log and metrics."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class LeadershipStarted(Notice, frozen=True):
-    """This replica leads the group."""
+    """This replica became the leader of the group."""
 
     replica: str
     term: int
 
 
 class LeadershipEnded(Notice, frozen=True):
-    """This replica no longer leads the group."""
+    """This replica stopped leading the group."""
 
     replica: str
     reason: str
 
 
 class LeaderObserved(Notice, frozen=True):
-    """This replica follows another leader ("" for none)."""
+    """The leader that this replica knows has changed; "" means none is known."""
 
     replica: str
     leader: str
@@ -31,21 +31,21 @@
 
 
 class GroupFounded(Notice, frozen=True):
-    """All replicas of the first membership were blank and reachable."""
+    """This replica founded the group; all first members were blank and reachable."""
 
     replica: str
     group_id: int
 
 
 class GroupJoined(Notice, frozen=True):
-    """This replica's blank store received its first entries of a group."""
+    """A leader contacted this blank replica, which now belongs to the leader's group."""
 
     replica: str
     group_id: int
 
 
 class FoundingAwaited(Notice, frozen=True):
-    """A blank store waits: for peers not reached, or to be added by an operator."""
+    """A blank replica waits to reach the first members, or to be added to the group."""
 
     level: ClassVar[str] = "warning"
     replica: str
@@ -54,7 +54,7 @@
 
 
 class OtherStoreSeen(Notice, frozen=True):
-    """A replica came under a member's name with another store; it isn't counted."""
+    """A replica with a member's name has another store; its replies do not count."""
 
     level: ClassVar[str] = "warning"
     replica: str
@@ -62,7 +62,7 @@
 
 
 class PeerRefused(Notice, frozen=True):
-    """A link was refused: wrong cluster, group, name or certificate."""
+    """A link was rejected: wrong cluster, group, name or certificate."""
 
     level: ClassVar[str] = "warning"
     replica: str
@@ -71,7 +71,7 @@
 
 
 class StorageRefused(Notice, frozen=True):
-    """The disk refused a write; this replica leads and votes no more until it takes one."""
+    """A write to disk failed; this replica neither leads nor votes until one succeeds."""
 
     level: ClassVar[str] = "error"
     replica: str
@@ -79,13 +79,13 @@
 
 
 class StorageRecovered(Notice, frozen=True):
-    """The disk takes writes again."""
+    """A write to disk succeeded after failed ones."""
 
     replica: str
 
 
 class MembershipProposed(Notice, frozen=True):
-    """The leader of a group that keeps itself proposes these members."""
+    """The leader of a group that manages its membership proposes these members."""
 
     replica: str
     members: tuple[ReplicaMember, ...]
--- a/src/peppershore/process/consensus/outputs.py
+++ b/src/peppershore/process/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""What the consensus core asks of the replica around it."""
+"""Outputs of the consensus core, carried out by the replica around it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class Output(msgspec.Struct, frozen=True):
-    """Base of all outputs; they are carried out in order."""
+    """Base class of the outputs, which are carried out in order."""
 
 
 class SendToPeer(Output, frozen=True):
-    """Send a message to a member or future member of the group."""
+    """Send a message to another replica, which need not be a member yet."""
 
     peer: str
     message: Message
 
 
 class Persist(Output, frozen=True):
-    """Make records durable; answered by ``persisted`` or ``disk_failed``.
+    """Make records durable; the result is reported by ``persisted`` or ``disk_failed``.
 
-    After a failed write no later one is taken but a ``retry``, which holds all
+    After a failed write only a write with ``retry`` is accepted, which contains all
     records that are not durable.
     """
 
@@ -33,13 +33,13 @@
 
 
 class EntriesCommitted(Output, frozen=True):
-    """These entries are committed, in log order, each given exactly once."""
+    """Entries that became committed, in log order; each is output exactly once."""
 
     entries: tuple[LogEntry, ...]
 
 
 class StateInstalled(Output, frozen=True):
-    """Replace the state machine's state by that of the snapshot."""
+    """Replace the state of the state machine by that of the snapshot."""
 
     snapshot: StateSnapshot
 
@@ -51,26 +51,29 @@
 
 
 class LeadershipLost(Output, frozen=True):
-    """This replica no longer leads; what it proposed may still commit."""
+    """This replica no longer leads; entries it proposed may still be committed."""
 
     reason: str
 
 
 class LeaderChanged(Output, frozen=True):
-    """The leader this replica follows; "" while it knows none."""
+    """The leader that this replica follows changed; "" while it knows none."""
 
     leader: str
     term: int
 
 
 class ReadConfirmed(Output, frozen=True):
-    """A quorum confirmed that ``index`` covers all that was committed when asked."""
+    """The read may be served once ``index`` is applied.
+
+    ``index`` covers all entries that were committed when the read was requested.
+    """
 
     request: int
     index: int
 
 
 class ReadFailed(Output, frozen=True):
-    """Nobody confirmed the read; ask again, perhaps another replica."""
+    """The read was not confirmed; the caller may retry, perhaps at another replica."""
 
     request: int
--- a/src/peppershore/process/consensus/peers.py
+++ b/src/peppershore/process/consensus/peers.py
@@ -1,4 +1,4 @@
-"""Links to the other replicas of the group, and who they say they are."""
+"""Links to the other replicas of the group, and the identities they announced."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PeerIdentity(msgspec.Struct, frozen=True):
-    """Who is at the other end of a link, by its hello."""
+    """The replica at the other end of a link, according to its hello."""
 
     name: str
     identity: int
@@ -32,18 +32,18 @@
 
 
 class PeerLinks:
-    """Keeps one link open to every wanted peer and knows those peers opened."""
+    """Links to the peers: one kept open to each target peer, and those peers opened."""
 
     def __init__(self, numbers: LinkNumbers) -> None:
-        """Open nothing before ``want``."""
+        """Start without target peers; ``numbers`` supplies the ids of new links."""
         self._numbers = numbers
         self._outgoing: dict[str, _Outgoing] = {}
         self._names: dict[LinkId, str] = {}
         self._greeted: dict[LinkId, PeerIdentity] = {}
         self._accepted: dict[str, LinkId] = {}
 
-    def want(self, addresses: dict[str, str]) -> list[Command]:
-        """Keep links to exactly these peers, by name and address."""
+    def set_targets(self, addresses: dict[str, str]) -> list[Command]:
+        """Set the peers to keep links to, as addresses by name; close other links."""
         commands: list[Command] = []
         for name in [name for name in self._outgoing if name not in addresses]:
             commands += self._drop(name, "no longer a member")
@@ -56,7 +56,7 @@
         return commands
 
     def connect(self, now: float) -> list[Command]:
-        """Open the links that are due."""
+        """Open the missing links whose reconnect interval has passed."""
         commands: list[Command] = []
         for name, outgoing in self._outgoing.items():
             if outgoing.link is None and now >= outgoing.next_attempt:
@@ -66,12 +66,12 @@
                 commands.append(OpenLink(outgoing.link, outgoing.address))
         return commands
 
-    def opened_by_us(self, link: LinkId) -> bool:
-        """Whether this replica opened the link."""
+    def is_outgoing(self, link: LinkId) -> bool:
+        """Return whether this replica opened the link."""
         return link in self._names
 
     def closed(self, link: LinkId) -> str | None:
-        """A link is gone; give the name of the peer it led to, if any."""
+        """Remove a closed link; return the name of its peer, None for other clients."""
         known = self._greeted.pop(link, None)
         name = self._names.pop(link, None)
         if name is not None:
@@ -87,7 +87,7 @@
         return known.name
 
     def greeted(self, link: LinkId, hello: ReplicaHello) -> None:
-        """The peer on this link said who it is."""
+        """Record the identity that the peer on this link announced."""
         self._greeted[link] = PeerIdentity(hello.replica, hello.identity, hello.group_id)
         name = self._names.get(link)
         if name is None:
@@ -96,39 +96,39 @@
             self._outgoing[name].greeted = True
 
     def expected_name(self, link: LinkId) -> str | None:
-        """The peer's name a link was opened for."""
+        """Return the name of the peer that a link was opened to; None if accepted."""
         return self._names.get(link)
 
     def identity_on(self, link: LinkId) -> PeerIdentity | None:
-        """Who greeted on this link; None for other clients."""
+        """Return who sent a hello on this link; None for other clients."""
         return self._greeted.get(link)
 
     def identity_of(self, name: str) -> PeerIdentity | None:
-        """Who answers on the link this replica opened to that peer."""
+        """Return who sent a hello on the link opened to that peer; None if nobody did."""
         outgoing = self._outgoing.get(name)
         if outgoing is None or outgoing.link is None or not outgoing.greeted:
             return None
         return self._greeted.get(outgoing.link)
 
     def greeted_peers(self) -> tuple[PeerIdentity, ...]:
-        """Who greeted on any open link; of two links to one name the newer counts."""
+        """Return who sent a hello on any open link; per name, the newest link counts."""
         newest = {known.name: known for _, known in sorted(self._greeted.items())}
         return tuple(newest.values())
 
     def send(self, name: str, message: Message) -> list[Command]:
-        """Send on the link opened to the peer, else on one it opened, else drop."""
+        """Send on the link opened to the peer, or on one it opened; else drop."""
         link = self.link_to(name)
         return [] if link is None else [SendMessage(link, message)]
 
     def link_to(self, name: str) -> LinkId | None:
-        """The link on which that peer is reached now."""
+        """Return the link on which that peer is connected; None without one."""
         outgoing = self._outgoing.get(name)
         if outgoing is not None and outgoing.greeted:
             return outgoing.link
         return self._accepted.get(name)
 
     def all_links(self) -> tuple[LinkId, ...]:
-        """Every link on which a peer greeted."""
+        """Return every link on which a peer sent its hello."""
         return tuple(self._greeted)
 
     def _drop(self, name: str, reason: str) -> list[Command]:
--- a/src/peppershore/process/consensus/reads.py
+++ b/src/peppershore/process/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Reads that wait for a quorum's confirmation or for the state to catch up."""
+"""Reads that wait for a quorum's confirmation, or for entries to be applied."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 
 
 class RemoteRead(msgspec.Struct, frozen=True):
-    """A read that another replica forwarded to this leader."""
+    """A read that another replica forwarded to this one."""
 
     peer: str
     request: int
 
 
 class ReadTable:
-    """Numbers reads and remembers where each one stands."""
+    """Request numbers and progress of pending reads."""
 
     def __init__(self) -> None:
-        """Start without reads."""
+        """Create an empty table."""
         self._last_request = 0
         self._remote: dict[int, RemoteRead] = {}
         self._forwarded: set[int] = set()
         self._confirmed: dict[int, int] = {}
 
-    def take_local(self) -> int:
-        """Number a read of this replica's own client."""
+    def register_local(self) -> int:
+        """Return the request number of a new read of a local client."""
         self._last_request += 1
         return self._last_request
 
-    def take_for_peer(self, peer: str, request: int) -> int:
-        """Number a read that another replica forwarded."""
-        number = self.take_local()
+    def register_for_peer(self, peer: str, request: int) -> int:
+        """Register a read that another replica forwarded; return its request number."""
+        number = self.register_local()
         self._remote[number] = RemoteRead(peer, request)
         return number
 
-    def take_remote(self, request: int) -> RemoteRead | None:
-        """Whose forwarded read this is, once; None for an own client's."""
+    def pop_remote(self, request: int) -> RemoteRead | None:
+        """Remove and return the forwarded read; None if it is a local client's."""
         return self._remote.pop(request, None)
 
     def forward(self, request: int) -> None:
-        """The read was forwarded to the leader."""
+        """Record that a local read was forwarded to the leader."""
         self._forwarded.add(request)
 
-    def forwarded_answered(self, request: int) -> bool:
-        """The leader answered; whether that read still waited."""
+    def finish_forwarded(self, request: int) -> bool:
+        """Remove a forwarded read on its answer; return whether it was still pending."""
         if request not in self._forwarded:
             return False
         self._forwarded.remove(request)
         return True
 
     def fail_forwarded(self, consensus: Consensus) -> None:
-        """The leader is gone: no forwarded read will be answered."""
+        """Fail all forwarded reads, as the leader will not answer them."""
         for request in sorted(self._forwarded):
             consensus.emit(ReadFailed(request))
         self._forwarded.clear()
 
     def confirm(self, request: int, index: int) -> None:
-        """The read may be answered once the entry at ``index`` is applied."""
+        """Record that a read may be answered once the entry at ``index`` is applied."""
         self._confirmed[request] = index
 
-    def take_ready(self, applied_index: int) -> list[int]:
-        """Reads that may be answered now."""
+    def pop_ready(self, applied_index: int) -> list[int]:
+        """Remove and return the reads that may be answered at ``applied_index``."""
         ready = [each for each, index in self._confirmed.items() if index <= applied_index]
         for request in ready:
             del self._confirmed[request]
--- a/src/peppershore/process/consensus/records.py
+++ b/src/peppershore/process/consensus/records.py
@@ -1,7 +1,7 @@
-"""What a replica keeps on disk, and the durable writes its core asks for.
+"""Stored state of a replica, and the records that change it durably.
 
-The records of one ``PersistLog`` become durable together or not at all, and
-in the order in which the core gave them.
+The records of one ``PersistLog`` become durable atomically, and in the order in which
+the core issued them.
 """
 
 from __future__ import annotations
@@ -14,27 +14,28 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """The newest term seen and the replica voted for in it ("" for nobody)."""
+    """The newest term seen and the replica voted for in it; "" if none."""
 
     term: int = 0
     voted_for: str = ""
 
 
 class SnapshotPart(msgspec.Struct, frozen=True):
-    """A piece of an encoded state; its store never uses ``number`` again."""
+    """A part of an encoded state; a store never reuses its ``number``."""
 
     number: int
     data: bytes
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Return a representation that shows only the length of the data."""
         return describe(self)
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
     """State of the state machine after applying the entry at ``index``.
 
-    The state is the parts put together; a part may be that of an older snapshot.
+    The state is the concatenation of the parts; a part may be shared with an older
+    snapshot.
     """
 
     index: int
@@ -44,16 +45,16 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the state."""
+        """Size of the state in bytes."""
         return sum(len(part.data) for part in self.parts)
 
     @property
     def state(self) -> bytes:
-        """The whole state, copied together."""
+        """The complete state, copied into one byte string."""
         return b"".join(part.data for part in self.parts)
 
     def piece(self, start: int, end: int) -> bytes:
-        """The bytes of the state from ``start`` up to ``end``."""
+        """Return the bytes of the state from ``start`` up to before ``end``."""
         found: list[bytes] = []
         offset = 0
         for part in self.parts:
@@ -66,10 +67,10 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """All that a store holds when its replica starts.
+    """Content of a store when its replica starts.
 
-    ``identity`` was drawn when the store was made.  ``group_id`` names the
-    group's founding membership; 0 means that the store is blank.
+    ``identity`` was chosen at random when the store was created. ``group_id`` identifies
+    the group by its founding membership; 0 means that the store is blank.
     """
 
     identity: int
@@ -80,34 +81,34 @@
 
 
 class SaveHardState(msgspec.Struct, frozen=True):
-    """Replace term and vote."""
+    """Replace the stored term and vote."""
 
     hard_state: HardState
 
 
 class SaveGroup(msgspec.Struct, frozen=True):
-    """Note for good which group this store belongs to."""
+    """Record permanently which group this store belongs to."""
 
     group_id: int
 
 
 class SaveEntries(msgspec.Struct, frozen=True):
-    """Drop every stored entry from the first given index on, then append."""
+    """Drop the stored entries from the index of the first new one on, then append."""
 
     entries: tuple[LogEntry, ...]
 
 
 class SaveSnapshotPart(msgspec.Struct, frozen=True):
-    """Keep a part of a snapshot that is being made; it counts once named by one."""
+    """Store a part of a snapshot in progress; unused until a ``SaveSnapshot`` names it."""
 
     part: SnapshotPart
 
 
 class SaveSnapshot(msgspec.Struct, frozen=True):
-    """Replace the snapshot and drop the entries before ``first_kept_index``,
-    which itself stays for its term.
+    """Replace the snapshot and drop the entries before ``first_kept_index``.
 
-    Parts that are stored are not written again; those not named any more go.
+    The entry at ``first_kept_index`` is retained for its term. Parts that are stored
+    already are not written again; parts that the snapshot does not name are deleted.
     """
 
     snapshot: StateSnapshot
@@ -115,7 +116,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True):
-    """Replace the snapshot and drop all entries: the log goes on after it."""
+    """Replace the snapshot and drop all entries; the log continues after it."""
 
     snapshot: StateSnapshot
 
@@ -131,10 +132,10 @@
 
 
 class PersistLog(PersistRecords, frozen=True):
-    """Make the records durable, in order and all together.
+    """Make the records durable, in order and atomically.
 
-    After a failed write the shell refuses every later one but a ``retry``, which
-    holds all records that are not durable.
+    After a failed write the shell rejects all writes until one with ``retry``, which
+    contains all records that are not durable.
     """
 
     records: tuple[Record, ...]
--- a/src/peppershore/process/consensus/replica.py
+++ b/src/peppershore/process/consensus/replica.py
@@ -1,7 +1,7 @@
 """The core of one replica of a group: consensus, peers, disk and state machine.
 
-A role's core (control, claims) derives from ``ReplicaCore``: it gives a state
-machine and takes what concerns its own clients by overriding ``ReplicaHooks``.
+The cores of the roles (control, claims) derive from ``ReplicaCore``: they supply a
+state machine and handle their own clients by overriding ``ReplicaHooks``.
 """
 
 from __future__ import annotations
@@ -51,13 +51,13 @@
 
 TICK_TIMER = "consensus-tick"
 TIMER_MARGIN_SECONDS = 0.001
-"""A timer so much late surely finds due what it was set for."""
+"""Added to a timer's delay so that its action is certainly due when it fires."""
 
 FLUSH_TIMER = "consensus-flush"
 DISK_TIMER = "consensus-disk"
 STOP_TIMER = "consensus-stop"
 DISK_RETRY_SECONDS = 1.0
-STOP_BOUND_SECONDS = 3.0
+STOP_TIMEOUT_SECONDS = 3.0
 
 _CONSENSUS_MESSAGES = (
     VoteRequest,
@@ -71,12 +71,12 @@
 
 
 class ReplicaCore(ReplicaHooks):
-    """Drives consensus, feeds the state machine, and keeps links to the peers."""
+    """Drives consensus, applies entries to the state machine, and links the peers."""
 
     def __init__(
         self, settings: ReplicaSettings, stored: StoredState, machine: StateMachine
     ) -> None:
-        """Take up a stored state; nothing happens before ``Started``."""
+        """Restore a stored state; the replica is passive until ``Started``."""
         self.settings = settings
         self.name = settings.consensus.replica
         self.now = 0.0
@@ -95,7 +95,7 @@
         self.joining = Joining(self)
 
     def step(self, event: events.Event, now: float) -> list[Command]:
-        """Take one event; give what to do."""
+        """Handle one event; return the resulting commands."""
         self.now = now
         self._take(event)
         self._carry_out_outputs()
@@ -107,7 +107,7 @@
 
     @property
     def leads(self) -> bool:
-        """Whether proposals are taken here."""
+        """Whether this replica leads and accepts proposals."""
         return self.consensus.ready_to_propose
 
     @property
@@ -117,23 +117,26 @@
 
     @property
     def next_index(self) -> int:
-        """Index that the next proposal will get."""
+        """Index that the next proposal gets."""
         return self.consensus.log.last_index + 1
 
     @property
     def leader_address(self) -> str:
-        """Address of the leader this replica follows; "" if it knows none."""
+        """Address of the leader; "" if this replica knows none."""
         leader = self.consensus.leader
         member = find_member(self.consensus.membership, leader)
         return "" if member is None else member.address
 
     @property
     def snapshots_made(self) -> int:
-        """Snapshots made since the start."""
+        """Number of snapshots made since the start."""
         return self._snapshotting.made
 
     def propose(self, payload: bytes) -> int | None:
-        """Append a command if this replica leads; proposals of one moment share a write."""
+        """Append a command; return its index, or None if this replica does not lead.
+
+        Proposals of the same turn of the event loop share a write.
+        """
         index = self.consensus.propose(payload)
         if index is not None and not self._flush_timer_set:
             self._flush_timer_set = True
@@ -141,11 +144,11 @@
         return index
 
     def read(self) -> int:
-        """Ask for a confirmed read; ``on_read`` answers with this request's number."""
-        return self._reads.ask()
+        """Start a linearizable read; return the request number passed to ``on_read``."""
+        return self._reads.begin_read()
 
     def command(self, command: Command) -> None:
-        """Add a command to this step."""
+        """Add a command to those that the current step returns."""
         self._commands.append(command)
 
     def send(self, link: LinkId, message: Message) -> None:
@@ -153,42 +156,43 @@
         self.command(SendMessage(link, message))
 
     def report(self, notice: Notice) -> None:
-        """Report to logs and metrics."""
+        """Report a notice to the log and metrics."""
         self.command(Report(notice))
 
     def send_to_peer(self, name: str, message: Message) -> None:
-        """Send to another replica, if it is reached."""
+        """Send a message to another replica; drop it if that is not connected."""
         self._commands += self.peers.send(name, message)
 
     def greet_all(self) -> None:
-        """Say hello on every link to another replica."""
+        """Send a hello on every link to another replica."""
         self._greeting.greet_again()
 
     def note_not_leading(self, hello: ReplicaHello) -> None:
-        """Take another replica's word that it does not lead.
+        """Record that another replica reported in its hello that it does not lead.
 
-        With a new store it speaks for the former one only where its name is its
-        address: there it can't stand beside a process that still leads.
+        A replica with a new store speaks for the member of that name only in a group
+        that manages its membership: there the name is the address of its links, so no
+        other process can still lead under it.
         """
         member = find_member(self.consensus.membership, hello.replica)
         is_member = member is not None and member.identity == hello.identity
-        if not is_member and not self.joining.keeps_itself:
+        if not is_member and not self.joining.manages_membership:
             return
         seconds = self.consensus.note_not_leading(hello.replica, self.now)
         if seconds is not None:
             self.command(SetTimer(TICK_TIMER, seconds + TIMER_MARGIN_SECONDS))
 
-    def want_peers(self) -> None:
-        """Keep links to all members, and to those that are about to be one."""
+    def update_peer_links(self) -> None:
+        """Keep links to all members, and to replicas that are about to join."""
         wanted = {
             member.name: member.address for member in self.consensus.membership.members
         }
         if self.consensus.group_id == 0 and not self.settings.join:
             wanted |= {each.name: each.address for each in self.settings.replicas}
-        wanted |= self.changes.prospects()
-        wanted |= self.joining.wanted()
+        wanted |= self.changes.pending_additions()
+        wanted |= self.joining.temporary_peers()
         wanted.pop(self.name, None)
-        self._commands += self.peers.want(wanted)
+        self._commands += self.peers.set_targets(wanted)
         self._commands += self.peers.connect(self.now)
 
     # --- events --------------------------------------------------------------
@@ -233,13 +237,13 @@
         elif timer == DISK_TIMER:
             self.consensus.retry_disk()
         elif timer == STOP_TIMER:
-            self.command(Exit("the bound of the planned stop ran out"))
+            self.command(Exit("the planned stop timed out"))
         else:
             self.on_timer(timer)
 
     def _tick(self) -> None:
         self.command(SetTimer(TICK_TIMER, self.settings.consensus.heartbeat_seconds))
-        self.want_peers()
+        self.update_peer_links()
         if self.consensus.group_id == 0 and not self.settings.join:
             self._greeting.found_if_possible()
         self.consensus.tick(self.now)
@@ -264,7 +268,7 @@
 
     def _link_opened(self, event: events.LinkOpened) -> None:
         self.on_link_opened(event.link, event.identity)
-        if self.peers.opened_by_us(event.link):
+        if self.peers.is_outgoing(event.link):
             self._greeting.greet(event.link)
 
     def _link_closed(self, link: LinkId) -> None:
@@ -273,29 +277,29 @@
         if peer is None:
             return
         if peer == self.consensus.leader:
-            self._reads.leader_gone()
+            self._reads.leader_lost()
         if self.consensus.leadership is not None:
-            self.consensus.leadership.peer_restarted(peer)
+            self.consensus.leadership.peer_reconnected(peer)
 
     # --- messages ------------------------------------------------------------
 
     def _take_message(self, link: LinkId, message: Message) -> None:
         if isinstance(message, ReplicaHello):
-            self._greeting.take(link, message)
+            self._greeting.handle_hello(link, message)
             return
         peer = self.peers.identity_on(link)
         if peer is not None:
-            self.joining.heard(peer.name)
+            self.joining.record_contact(peer.name)
         if peer is None:
             self.on_client_message(link, message)
         elif isinstance(message, GroupDescribed):
-            self.joining.take_description(message)
+            self.joining.handle_group_described(message)
         elif isinstance(message, _CONSENSUS_MESSAGES):
             self._take_consensus_message(peer, message)
         elif isinstance(message, ReadIndexRequest):
-            self._reads.take_request(peer.name, message)
+            self._reads.handle_request(peer.name, message)
         elif isinstance(message, ReadIndexReply):
-            self._reads.take_reply(message)
+            self._reads.handle_reply(message)
         elif not isinstance(message, Refused):
             self.on_peer_message(peer.name, message)
 
@@ -343,10 +347,10 @@
             self.on_leadership_lost()
         elif isinstance(output, outputs.LeaderChanged):
             self.report(notices.LeaderObserved(self.name, output.leader, output.term))
-            self._reads.leader_gone()
+            self._reads.leader_lost()
             self.on_leader_changed()
         else:
-            self._reads.take_output(output)
+            self._reads.handle_output(output)
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
@@ -365,7 +369,7 @@
         voters = voters_of(self.consensus.membership)
         self.report(notices.MembershipChanged(self.name, voters, learners))
         self.changes.membership_committed()
-        self.want_peers()
+        self.update_peer_links()
 
     # --- planned stop --------------------------------------------------------
 
@@ -373,7 +377,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.command(SetTimer(STOP_TIMER, STOP_BOUND_SECONDS))
+        self.command(SetTimer(STOP_TIMER, STOP_TIMEOUT_SECONDS))
         for link in self.client_links():
             self.send(link, Goodbye("stopping"))
         self._exit_if_stopped()
@@ -383,6 +387,6 @@
             return
         alone = voters_of(self.consensus.membership) == (self.name,)
         if self.consensus.leadership is not None and not alone:
-            self.consensus.hand_over()
+            self.consensus.transfer_leadership()
         elif self.consensus.durability.idle:
             self.command(Exit("stopped as planned"))
--- a/src/peppershore/process/consensus/replica_hooks.py
+++ b/src/peppershore/process/consensus/replica_hooks.py
@@ -1,4 +1,4 @@
-"""What the core of a role overrides to take part in its replica's life."""
+"""Hooks that the core of a role overrides to handle events of its replica."""
 
 from __future__ import annotations
 
@@ -8,58 +8,58 @@
 
 
 class ReplicaHooks:
-    """Hooks that ``ReplicaCore`` calls; by default each does nothing."""
+    """Hooks that ``ReplicaCore`` calls; the default of each does nothing."""
 
     def on_event(self, event: events.Event) -> None:
-        """Take an event that only the role knows."""
+        """Handle an event that is specific to the role."""
 
     def on_timer(self, timer: str) -> None:
-        """Take a timer that the role set."""
+        """Handle a timer that the role set."""
 
     def on_tick(self) -> None:
-        """Do what is due at every heartbeat."""
+        """Run periodic work, once per heartbeat interval."""
 
     def on_link_opened(self, link: LinkId, identity: str) -> None:
-        """A link is usable; whether a client or a peer is there shows later."""
+        """Handle an opened link; its first message shows whether it is to a replica."""
 
     def on_link_closed(self, link: LinkId) -> None:
-        """A link is gone."""
+        """Handle a closed link."""
 
     def may_be_replica(self, link: LinkId, name: str) -> bool:
-        """Whether whoever is on this link may be the replica of that name."""
+        """Return whether the remote end of the link may be the replica of that name."""
         return True
 
     def on_client_message(self, link: LinkId, message: Message) -> None:
-        """Take a message of a client."""
+        """Handle a message of a client."""
 
     def on_peer_message(self, peer: str, message: Message) -> None:
-        """Take a message of another replica that isn't consensus."""
+        """Handle a message of another replica other than those of consensus."""
 
     def on_applied(self) -> None:
-        """The state machine moved on."""
+        """Handle that entries were applied to the state machine."""
 
     def on_state_installed(self) -> None:
-        """The state machine was replaced by a snapshot's state."""
+        """Handle that the state was replaced by that of a snapshot."""
 
     def on_leadership_gained(self) -> None:
-        """Proposals are taken from now on; the state is that of all earlier terms."""
+        """Start to accept proposals; all entries of earlier terms are applied."""
 
     def on_leadership_lost(self) -> None:
-        """Proposals without outcome may still commit; nothing is known here."""
+        """Stop accepting proposals; pending ones may be committed or not."""
 
     def on_leader_changed(self) -> None:
-        """Another leader, or none, is known."""
+        """Handle that another leader, or none, is known."""
 
     def on_disk_refused(self) -> None:
-        """The disk refuses writes: nothing new will be seen here until it takes one."""
+        """Handle a failed write; no new entries are accepted until a write succeeds."""
 
     def on_read(self, request: int, confirmed: bool) -> None:
-        """A read may be answered from the state now, or could not be confirmed."""
+        """Answer a read from the current state, or fail it if it is not confirmed."""
 
     def has_unanswered(self) -> bool:
-        """Whether a planned stop should wait for answers."""
+        """Return whether a planned stop must wait for pending answers."""
         return False
 
     def client_links(self) -> tuple[LinkId, ...]:
-        """Links of clients that should hear of a planned stop."""
+        """Return the client links to notify of a planned stop."""
         return ()
--- a/src/peppershore/process/consensus/replica_process.py
+++ b/src/peppershore/process/consensus/replica_process.py
@@ -1,4 +1,4 @@
-"""One replica of a group as a process: its store, shell, admin listener and stop."""
+"""Process of one replica of a group: store, shell, admin listener and shutdown."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class StoreNotOpened(Notice, frozen=True):
-    """The replica's store is damaged, newer, foreign or in use; nothing was changed."""
+    """The store is damaged, of a newer version, of another replica, or in use.
+
+    Nothing was changed in it.
+    """
 
     level = "error"
     path: str
@@ -36,7 +39,7 @@
 
 
 class ReplicaPlace(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a replica runs: its group, name, addresses, folder and certificates."""
+    """Settings of a replica's process: group, name, addresses, folder, certificates."""
 
     role: str
     replica: str
@@ -48,7 +51,7 @@
 
     @classmethod
     def of(cls, role: str, settings: ControlSettings | ClaimsSettings) -> ReplicaPlace:
-        """Take from a replica's settings what does not depend on its role."""
+        """Return the part of a replica's settings that is common to all roles."""
         return cls(
             role=role,
             replica=settings.replica,
@@ -61,12 +64,12 @@
 
 
 class ReplicaProcess(Generic[ReplicaKind]):
-    """Owns everything of one replica's process but what only its role knows."""
+    """Owns the parts of a replica's process that are common to all roles."""
 
     def __init__(
         self, place: ReplicaPlace, make_core: Callable[[StoredState], ReplicaKind]
     ) -> None:
-        """Open the store and build the core; raises SystemExit if the store is refused."""
+        """Open the store and create the core; raise SystemExit if the store is unusable."""
         self.metrics = ProcessMetrics(LogIdentity(place.role, place.replica))
         self._place = place
         self._opened = self._open_store()
@@ -87,7 +90,7 @@
         on_ready: Callable[[int], None] | None,
         pages: Mapping[str, PageSource] | None = None,
     ) -> None:
-        """Run until the planned stop; tell ``on_ready`` the port bound."""
+        """Run until the planned stop; call ``on_ready`` with the port listened on."""
         self._security.start(self.metrics)
         stop_on_signals(self.shell)
         host, _, port = self._place.listen.rpartition(":")
--- a/src/peppershore/process/consensus/replica_reads.py
+++ b/src/peppershore/process/consensus/replica_reads.py
@@ -1,4 +1,4 @@
-"""How a replica confirms reads: by its own leadership, or by asking the leader."""
+"""Linearizable reads: confirmed locally on the leader, else by the leader."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 class ReplicaReads:
-    """The reads of this replica's clients, and those that peers forward to it."""
+    """Reads of this replica's clients, and those that other replicas forward to it."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Start without reads."""
+        """Start without pending reads."""
         self._replica = replica
         self._table = ReadTable()
 
-    def ask(self) -> int:
-        """Ask for a confirmed read; ``on_read`` answers with this request's number."""
+    def begin_read(self) -> int:
+        """Start a read; return the request number passed to ``on_read``."""
         replica = self._replica
-        request = self._table.take_local()
+        request = self._table.register_local()
         if replica.consensus.leadership is not None:
             replica.consensus.read(request, replica.now)
         elif not self._forward(request):
             replica.consensus.emit(ReadFailed(request))
         return request
 
-    def take_request(self, peer: str, message: ReadIndexRequest) -> None:
-        """A follower forwards a read to this replica."""
-        request = self._table.take_for_peer(peer, message.request)
+    def handle_request(self, peer: str, message: ReadIndexRequest) -> None:
+        """Handle a read that another replica forwards to this one."""
+        request = self._table.register_for_peer(peer, message.request)
         self._replica.consensus.read(request, self._replica.now)
 
-    def take_reply(self, message: ReadIndexReply) -> None:
-        """The leader answered a forwarded read."""
-        if not self._table.forwarded_answered(message.request):
+    def handle_reply(self, message: ReadIndexReply) -> None:
+        """Handle the leader's answer to a forwarded read."""
+        if not self._table.finish_forwarded(message.request):
             return
         if message.confirmed:
             self._table.confirm(message.request, message.index)
@@ -45,8 +45,8 @@
         else:
             self._replica.on_read(message.request, confirmed=False)
 
-    def take_output(self, output: Output) -> None:
-        """The consensus core confirmed a read, or could not."""
+    def handle_output(self, output: Output) -> None:
+        """Handle a read that the consensus core confirmed or failed."""
         if isinstance(output, ReadConfirmed):
             if not self._answer_peer(output.request, output.index, True):
                 self._table.confirm(output.request, output.index)
@@ -57,12 +57,12 @@
             self._replica.on_read(output.request, confirmed=False)
 
     def answer_ready(self) -> None:
-        """Answer the confirmed reads that the state has caught up with."""
-        for request in self._table.take_ready(self._replica.applied_index):
+        """Answer the confirmed reads whose index has been applied."""
+        for request in self._table.pop_ready(self._replica.applied_index):
             self._replica.on_read(request, confirmed=True)
 
-    def leader_gone(self) -> None:
-        """Nobody will answer what was forwarded to the leader."""
+    def leader_lost(self) -> None:
+        """Fail the reads forwarded to a leader that is lost."""
         self._table.fail_forwarded(self._replica.consensus)
 
     def _forward(self, request: int) -> bool:
@@ -76,8 +76,8 @@
         return True
 
     def _answer_peer(self, request: int, index: int, confirmed: bool) -> bool:
-        """Answer the peer that forwarded this read; False if it is a client's own."""
-        remote = self._table.take_remote(request)
+        """Answer the peer that forwarded this read; return False for a local read."""
+        remote = self._table.pop_remote(request)
         if remote is None:
             return False
         reply = ReadIndexReply(remote.request, index, confirmed)
--- a/src/peppershore/process/consensus/replica_shell.py
+++ b/src/peppershore/process/consensus/replica_shell.py
@@ -1,4 +1,4 @@
-"""The shell of a replica: merges the core's durable writes into group commits."""
+"""The shell of a replica: merges the core's writes into group commits."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class ReplicaShell(Shell):
-    """Writes all records that came within one turn of the loop in one synced commit.
+    """Writes all records of one turn of the event loop in one synced commit.
 
-    While a commit is being synced, messages queue up in the sockets; what they
-    ask for shares the next commit.
+    While a commit is being synced, messages queue up in the sockets; the writes that
+    they cause share the next commit.
     """
 
     def __init__(
@@ -32,12 +32,12 @@
         server_tls: ssl.SSLContext | None = None,
         authorize: Authorize = allow_all,
     ) -> None:
-        """Bind a core and its open store to the running loop."""
+        """Bind a core and its open store to the running event loop."""
         super().__init__(core, notice_sink, client_tls, server_tls, authorize)
         self.commits = 0
         self._store = store
         self._pending: list[PersistLog] = []
-        self._refusing = False
+        self._rejecting_writes = False
         self.handle(PersistLog, self._persist)
 
     def _persist(self, command: PersistLog) -> None:
@@ -50,15 +50,15 @@
         self._pending = []
         if pending[-1].retry:
             pending = pending[-1:]
-            self._refusing = False
-        if self._refusing:
+            self._rejecting_writes = False
+        if self._rejecting_writes:
             self._fail(pending, "an earlier write was refused")
             return
         records = [record for command in pending for record in command.records]
         written = self._store.write(records)
         self.commits += 1
         if isinstance(written, Failure):
-            self._refusing = True
+            self._rejecting_writes = True
             self._fail(pending, written.failure().reason)
             return
         self.dispatch(RecordsPersisted(pending[-1].token))
--- a/src/peppershore/process/consensus/replica_statuses.py
+++ b/src/peppershore/process/consensus/replica_statuses.py
@@ -1,4 +1,4 @@
-"""The replicas of a group as one of them sees them, for operators."""
+"""Status of the replicas of a group, as one of them knows it, for operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def replica_statuses(replica: ReplicaCore) -> tuple[ReplicaStatus, ...]:
-    """Give each member: its role, and how far its log is known to be on disk."""
+    """Return each member's role and the highest index known to be durable there.
+
+    A replica that does not lead returns its own applied index, and 0 for the others.
+    """
     consensus = replica.consensus
     return tuple(
         ReplicaStatus(
--- a/src/peppershore/process/consensus/role.py
+++ b/src/peppershore/process/consensus/role.py
@@ -6,7 +6,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica currently does."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
--- a/src/peppershore/process/consensus/settings.py
+++ b/src/peppershore/process/consensus/settings.py
@@ -1,4 +1,4 @@
-"""Bounds and times of the consensus core, and what every replica needs besides."""
+"""Settings of the consensus core and of replicas in general."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class ConsensusSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds and times of the consensus core.
+    """Limits and intervals of the consensus core.
 
-    ``kept_entries`` stay in the log behind a snapshot, for peers slightly behind.
+    ``kept_entries`` is the number of entries retained in the log before a snapshot,
+    for peers that lag slightly.
     """
 
     replica: str
@@ -26,10 +27,11 @@
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What every replica needs, whatever its group replicates.
+    """Settings of a replica, independent of the state that its group replicates.
 
-    With ``wanted_voters`` above 0 the group keeps its own membership: it takes in
-    whoever greets it, lets so many vote, and is found through ``seeds``.
+    If ``wanted_voters`` is above 0, the group manages its own membership: it adds
+    every replica that contacts it, has ``wanted_voters`` voters, and is found through
+    ``seeds``.
     """
 
     cluster: str
@@ -42,7 +44,7 @@
 
 
 def replica_settings(settings: ControlSettings | ClaimsSettings) -> ReplicaSettings:
-    """Give what the replica below a role's core needs; times in seconds."""
+    """Return the replica's part of a role's settings, with times in seconds."""
     consensus = ConsensusSettings(
         replica=settings.replica,
         heartbeat_seconds=settings.heartbeat_milliseconds / MILLISECONDS_PER_SECOND,
--- a/src/peppershore/process/consensus/snapshotting.py
+++ b/src/peppershore/process/consensus/snapshotting.py
@@ -1,8 +1,8 @@
-"""Makes a replica's snapshots: at once, or piece by piece between other work.
+"""Creation of a replica's snapshots: at once, or piece by piece between other work.
 
-A piecewise snapshot writes one part with each of a run of commits, so that no
-turn of the loop takes long, and counts only once the record naming all its parts
-is durable.  A crash before that leaves the older snapshot and its log entries.
+A piecewise snapshot writes its parts in separate commits, so that no turn of the event
+loop takes long. It is valid only once the record that names all its parts is durable.
+After a crash before that, the older snapshot and its log entries are still in place.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     from peppershore.process.consensus.replica import ReplicaCore
 
 SNAPSHOT_TIMER = "consensus-snapshot"
-PIECE_PAUSE_SECONDS = 0.01
-"""Between two parts: what came meanwhile is answered first."""
+PIECE_INTERVAL_SECONDS = 0.01
+"""Interval between two parts, in which other events are handled."""
 
 
 class Snapshotting:
-    """Begins a snapshot when enough entries were applied, and carries it through."""
+    """Starts a snapshot once enough entries were applied, and completes it."""
 
     def __init__(self, replica: ReplicaCore, machine: StateMachine) -> None:
-        """Bind to the replica and its machine; nothing is under way."""
+        """Bind to the replica and its state machine, without a snapshot in progress."""
         self._replica = replica
         self._machine = machine
         self._index = 0
@@ -39,7 +39,7 @@
         self.made = 0
 
     def begin_if_due(self) -> None:
-        """Begin a snapshot once ``snapshot_entries`` were applied since the last."""
+        """Start a snapshot if ``snapshot_entries`` were applied since the last one."""
         replica = self._replica
         if self._pieces is not None:
             return
@@ -50,17 +50,17 @@
         if isinstance(self._machine, PiecewiseStateMachine):
             self._index = replica.applied_index
             self._pieces = self._machine.begin_snapshot()
-            self._wait()
+            self._schedule_next_piece()
             return
         part = replica.consensus.durable_log.new_part(self._machine.snapshot())
         self._compact(replica.applied_index, (part,))
 
     def advance(self) -> None:
-        """Write the next part; after the last one, the snapshot that names them."""
+        """Write the next part or, after the last one, the snapshot that names them."""
         if self._pieces is None:
             return
         if self._replica.consensus.disk_refused:
-            self._wait()
+            self._schedule_next_piece()
             return
         piece = self._next_unstored(self._pieces)
         if piece is None:
@@ -71,15 +71,15 @@
         self._parts.append(piece)
         self._replica.consensus.durable_log.save_part(piece)
         self._replica.consensus.flush(self._replica.now)
-        self._wait()
+        self._schedule_next_piece()
 
     def cancel(self) -> None:
-        """Give up what is under way: the state was replaced, or it is done."""
+        """Discard the snapshot in progress: it is done, or the state was replaced."""
         self._pieces = None
         self._parts = []
 
     def _next_unstored(self, pieces: Iterator[Piece]) -> SnapshotPart | None:
-        """Pass over pieces that are stored; number the next new one."""
+        """Skip pieces that are stored already; return the next new one as a part."""
         for piece in pieces:
             if isinstance(piece, SnapshotPart):
                 self._parts.append(piece)
@@ -94,5 +94,5 @@
         self._replica.consensus.compact(index, parts)
         self._replica.consensus.flush(self._replica.now)
 
-    def _wait(self) -> None:
-        self._replica.command(SetTimer(SNAPSHOT_TIMER, PIECE_PAUSE_SECONDS))
+    def _schedule_next_piece(self) -> None:
+        self._replica.command(SetTimer(SNAPSHOT_TIMER, PIECE_INTERVAL_SECONDS))
--- a/src/peppershore/process/consensus/state_machine.py
+++ b/src/peppershore/process/consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""What a group replicates: a deterministic state machine over opaque commands."""
+"""Interface of the replicated, deterministic state machine."""
 
 from __future__ import annotations
 
@@ -11,43 +11,46 @@
 
 
 class StateMachine(Protocol):
-    """Applies committed commands; equal logs give equal states on all replicas."""
+    """Applies committed commands; equal logs result in equal states on all replicas."""
 
     def apply(self, index: int, payload: bytes) -> None:
-        """Apply the command of the entry at ``index``; its outcome stays inside."""
+        """Apply the command of the entry at ``index``; the state holds its result."""
         ...
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Return the encoded state."""
         ...
 
     def restore(self, state: bytes) -> None:
-        """Replace the whole state by one that ``snapshot`` encoded."""
+        """Replace the state by one that ``snapshot`` returned."""
         ...
 
 
 class NewPiece(msgspec.Struct, frozen=True):
-    """A piece of a state that is not stored; ``stored_as`` is told its part."""
+    """A piece of a state that is not stored yet.
+
+    ``stored_as`` is called with the part under which the piece is stored.
+    """
 
     data: bytes
     stored_as: Callable[[SnapshotPart], None]
 
 
 Piece = SnapshotPart | NewPiece
-"""A piece of a state: one that an older snapshot has stored, or a new one."""
+"""A piece of a state: a part stored for an older snapshot, or a new piece."""
 
 
 @runtime_checkable
 class PiecewiseStateMachine(StateMachine, Protocol):
-    """A state machine whose snapshot is made piece by piece while it goes on.
+    """A state machine that encodes its snapshot piece by piece between other work.
 
-    ``restore`` takes the bytes of all pieces put together.
+    ``restore`` is called with the concatenated bytes of all pieces.
     """
 
     def begin_snapshot(self) -> Iterator[Piece]:
-        """Give the pieces of the state as it is now, each worked out when asked for.
+        """Return an iterator that encodes the pieces of the current state lazily.
 
-        Entries may be applied between two pieces; they don't show in them.  A
-        snapshot begun before is given up.
+        Entries applied between two pieces do not affect them. A snapshot in progress
+        is discarded.
         """
         ...
--- a/src/peppershore/process/consensus/upkeep.py
+++ b/src/peppershore/process/consensus/upkeep.py
@@ -1,8 +1,8 @@
-"""How a group keeps its own membership: lost stores, newcomers, silent voters.
+"""Automatic membership changes: lost stores, joining replicas, silent voters.
 
-A decision is a list of rules over immutable values, tried in order; each gives one
-single change of membership or none.  Only the leader carries it out, through the
-log, so a leader that was cut off changes nothing.
+The rules are pure functions, tried in order; each returns one single membership change
+or none. Only the leader proposes the change, through the log, so a leader that is
+partitioned from the majority changes nothing.
 """
 
 from __future__ import annotations
@@ -21,19 +21,22 @@
 )
 
 SILENT_SECONDS = 2.0
-"""A voter not heard for so long gives its vote to a replica that stands by."""
+"""Time without a message after which a voter may be replaced by a learner."""
 
-GONE_SECONDS = 60.0
-"""A learner not heard for so long is removed; it is added again when it comes back."""
+LEARNER_REMOVAL_SECONDS = 60.0
+"""Time without a message after which a learner is removed.
+
+It is added again when it comes back.
+"""
 
 MAXIMUM_MEMBERS = 32
 
 
 class PresentReplica(msgspec.Struct, frozen=True):
-    """A replica that greeted this leader.
+    """A replica that sent its hello to this leader.
 
-    ``heard_seconds`` is how long ago it was heard; ``caught_up`` whether its store
-    holds durably all that the leader's log holds, or nearly.
+    ``heard_seconds`` is the time since its last message. ``caught_up`` is whether its
+    store durably holds all, or nearly all, entries of the leader's log.
     """
 
     name: str
@@ -43,17 +46,17 @@
     caught_up: bool
 
     @property
-    def is_heard(self) -> bool:
-        """Whether it takes part now."""
+    def is_responsive(self) -> bool:
+        """Whether its last message is less than ``SILENT_SECONDS`` old."""
         return self.heard_seconds < SILENT_SECONDS
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """What a leader knows when it decides.
+    """The leader's view of the group, on which the rules decide.
 
-    ``present`` holds the other replicas by name.  ``led_seconds`` is for how long it
-    has led: whoever was not heard since counts as silent only after that time.
-    ``wanted_voters`` is how many replicas should vote.
+    ``present`` holds the other connected replicas by name. ``led_seconds`` is the time
+    since this replica became leader; no replica counts as silent for longer than that.
+    ``wanted_voters`` is the target number of voters.
     """
 
     leader: str
@@ -67,7 +70,7 @@
 
 
 def next_membership(view: GroupView) -> Membership | None:
-    """Give the next membership, or None if the present one is as it should be."""
+    """Return the next membership to propose, or None if no change is due."""
     for rule in RULES:
         changed = rule(view)
         if changed is not None and _can_commit(view, changed):
@@ -76,9 +79,9 @@
 
 
 def _replace_lost_store(view: GroupView) -> Membership | None:
-    """Failure: a replica comes back under its name with an empty disk.
+    """Make a member a learner that came back under its name with a new store.
 
-    What the lost store voted and held is gone, so the new one is a learner first.
+    The votes and entries of the lost store are gone, so it may not vote yet.
     """
     for member in view.membership.members:
         present = view.present.get(member.name)
@@ -90,40 +93,40 @@
     return None
 
 
-def _take_newcomer_in(view: GroupView) -> Membership | None:
-    """Failure: a machine is gone for good, and another one stands elsewhere."""
+def _add_joining_replica(view: GroupView) -> Membership | None:
+    """Add a replica that is no member, e.g. on the successor of a lost machine."""
     if len(view.membership.members) >= MAXIMUM_MEMBERS:
         return None
     for name in sorted(view.present):
         present = view.present[name]
-        if present.is_heard and find_member(view.membership, name) is None:
+        if present.is_responsive and find_member(view.membership, name) is None:
             learner = ReplicaMember(name, present.address, present.identity, voter=False)
             return with_member(view.membership, learner)
     return None
 
 
-def _fill_up_voters(view: GroupView) -> Membership | None:
-    """Failure: fewer replicas vote than the losses to be borne ask for."""
+def _promote_missing_voter(view: GroupView) -> Membership | None:
+    """Promote a learner if fewer replicas vote than fault tolerance requires."""
     if len(voters_of(view.membership)) >= view.wanted_voters:
         return None
-    return _promoted(view)
+    return _with_promoted_learner(view)
 
 
-def _stand_in_for_silent_voter(view: GroupView) -> Membership | None:
-    """Failure: a voter is silent while another replica stands by.
+def _replace_silent_voter(view: GroupView) -> Membership | None:
+    """Promote a learner if a voter is silent; a later change demotes the voter.
 
-    The one that stands by votes first and the silent one leaves after that, so that
-    never fewer stores hold what is accepted.
+    The learner becomes a voter first, so that accepted entries are never held by fewer
+    stores.
     """
     if len(voters_of(view.membership)) != view.wanted_voters:
         return None
     if not any(_is_silent(view, name) for name in voters_of(view.membership)):
         return None
-    return _promoted(view)
+    return _with_promoted_learner(view)
 
 
-def _retire_surplus_voter(view: GroupView) -> Membership | None:
-    """More vote than should: a silent one becomes a learner, else the last by name."""
+def _demote_surplus_voter(view: GroupView) -> Membership | None:
+    """Demote a surplus voter: the last silent one by name, else the last by name."""
     voters = voters_of(view.membership)
     if len(voters) <= view.wanted_voters:
         return None
@@ -134,55 +137,58 @@
     return with_member(view.membership, msgspec.structs.replace(retired, voter=False))
 
 
-def _forget_gone_learner(view: GroupView) -> Membership | None:
-    """A learner was not heard for long: its machine is gone for good."""
+def _remove_silent_learner(view: GroupView) -> Membership | None:
+    """Remove a learner that was silent for long: its machine is permanently lost."""
     for member in view.membership.members:
-        if not member.voter and _silent_seconds(view, member.name) >= GONE_SECONDS:
+        if (
+            not member.voter
+            and _silent_seconds(view, member.name) >= LEARNER_REMOVAL_SECONDS
+        ):
             return without_member(view.membership, member.name)
     return None
 
 
 RULES: tuple[Rule, ...] = (
     _replace_lost_store,
-    _take_newcomer_in,
-    _fill_up_voters,
-    _retire_surplus_voter,
-    _stand_in_for_silent_voter,
-    _forget_gone_learner,
+    _add_joining_replica,
+    _promote_missing_voter,
+    _demote_surplus_voter,
+    _replace_silent_voter,
+    _remove_silent_learner,
 )
 
 
-def _promoted(view: GroupView) -> Membership | None:
-    """Let the first learner vote that is heard and holds what the leader holds."""
+def _with_promoted_learner(view: GroupView) -> Membership | None:
+    """Return the membership with the first responsive, caught-up learner as voter."""
     for member in view.membership.members:
         present = view.present.get(member.name)
         if member.voter or present is None or present.identity != member.identity:
             continue
-        if present.is_heard and present.caught_up:
+        if present.is_responsive and present.caught_up:
             voter = msgspec.structs.replace(member, voter=True)
             return with_member(view.membership, voter)
     return None
 
 
 def _can_commit(view: GroupView, changed: Membership) -> bool:
-    """Whether a majority of the changed membership's voters takes part now.
+    """Return whether a majority of the changed membership's voters is responsive.
 
-    A change that can't commit would block every other one.
+    A change that can't be committed would block every later one.
     """
-    taking_part = [
+    responsive = [
         name
         for name in voters_of(changed)
-        if name == view.leader or _takes_part(view, changed, name)
+        if name == view.leader or _is_responsive_member(view, changed, name)
     ]
-    return len(taking_part) >= quorum_size(changed)
+    return len(responsive) >= quorum_size(changed)
 
 
-def _takes_part(view: GroupView, membership: Membership, name: str) -> bool:
+def _is_responsive_member(view: GroupView, membership: Membership, name: str) -> bool:
     present = view.present.get(name)
     member = find_member(membership, name)
     if present is None or member is None:
         return False
-    return present.is_heard and present.identity == member.identity
+    return present.is_responsive and present.identity == member.identity
 
 
 def _is_silent(view: GroupView, name: str) -> bool:
--- a/tests/consensus/test_former_leases.py
+++ b/tests/consensus/test_former_leases.py
@@ -188,7 +188,7 @@
 def test_a_leader_of_this_life_is_waited_for_as_ever() -> None:
     leases = FormerLeases(ELECTION_SECONDS)
     leases.begin(100.0)
-    assert leases.may_count(frozenset({"b"}), 100.1)
+    assert leases.may_be_valid(frozenset({"b"}), 100.1)
     leases.note_not_leading("b")
-    assert not leases.may_count(frozenset({"b"}), 100.1)
-    assert not leases.may_count(frozenset({"b", "c"}), 100.0 + ELECTION_SECONDS)
+    assert not leases.may_be_valid(frozenset({"b"}), 100.1)
+    assert not leases.may_be_valid(frozenset({"b", "c"}), 100.0 + ELECTION_SECONDS)
