--- a/src/peppershore/process/consensus/core.py
+++ b/src/peppershore/process/consensus/core.py
@@ -233,11 +233,11 @@
 
     def retry_disk(self) -> None:
         """Request one write of all records that are not durable yet."""
-        again = self.durability.reissue()
-        if again is None:
+        write = self.durability.reissue()
+        if write is None:
             self.disk_refused = False
         else:
-            self.emit(Persist(again.token, again.records, retry=True))
+            self.emit(Persist(write.token, write.records, retry=True))
 
     def flush(self, now: float) -> None:
         """Request the write of collected records; as leader, replicate new entries.
@@ -257,7 +257,7 @@
         self._outputs = []
         return taken
 
-    # --- state shared with the role modules ------------------------------------------
+    # --- state shared with the role modules -----------------------------------
 
     @property
     def log(self) -> ReplicatedLog:
--- a/tests/consensus/control_cluster.py
+++ b/tests/consensus/control_cluster.py
@@ -1,4 +1,4 @@
-"""Control replicas under virtual time: seeded links, disks, clocks and faults."""
+"""Control replicas in virtual time, with seeded links, disks, clocks and faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Faults(msgspec.Struct, frozen=True):
-    """Probabilities per message and delays in seconds."""
+    """Probabilities of faults per message, and bounds of delays in seconds."""
 
     loss: float = 0.0
     duplicate: float = 0.0
@@ -38,7 +38,7 @@
 
 
 class Replica:
-    """One process: its core while it runs, and its disk, which outlives it."""
+    """One machine: its disk, and the core of its process while that runs."""
 
     def __init__(self, settings: ControlSettings, identity: int, clock_rate: float) -> None:
         self.settings = settings
@@ -55,12 +55,12 @@
         self.pending: list[PersistLog] = []
         self.refusing = False
         self.links: dict[int, tuple[str, int, int]] = {}
-        """Own link -> (peer's address, peer's link, peer's life)."""
+        """Local link id -> (peer address, link id at the peer, incarnation of the peer)."""
         self.clients: dict[int, Callable[[Message], None]] = {}
 
 
 class ControlCluster:
-    """Runs replicas, links and disks; checks the invariants after every step."""
+    """Simulates replicas, links and disks; checks the invariants after every step."""
 
     def __init__(
         self, names: tuple[str, ...], seed: int, faults: Faults = NO_FAULTS
@@ -83,7 +83,7 @@
     # --- processes -----------------------------------------------------------
 
     def add(self, name: str, join: bool = False) -> None:
-        """Give a machine with a blank disk."""
+        """Add a machine with a blank disk; its process is not started."""
         settings = self._settings(name, () if join else self._founders, join)
         drift = self.random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.replicas[name] = Replica(settings, self.random.getrandbits(60), 1 + drift)
@@ -118,7 +118,10 @@
         self.event(name, events.Started(self.random.getrandbits(60)))
 
     def crash(self, name: str) -> None:
-        """Kill the process: what was not synced is gone, whole writes at a time."""
+        """Kill the process; unsynced writes are lost.
+
+        At random the oldest of them survive, each one complete.
+        """
         replica = self.replicas[name]
         if replica.core is None:
             return
@@ -148,7 +151,7 @@
             self.event(name, event)
 
     def leader(self) -> str | None:
-        """Name of the running replica that leads the highest term."""
+        """Return the name of the running replica that leads the highest term."""
         leading = [
             (replica.core.consensus.term, name)
             for name, replica in self.replicas.items()
@@ -164,7 +167,7 @@
     # --- clients -------------------------------------------------------------
 
     def connect(self, name: str, take: Callable[[Message], None]) -> int | None:
-        """Open a client's link; None while the replica is down."""
+        """Open a client link and return its id; None while the replica is down."""
         replica = self.replicas[name]
         if replica.core is None:
             return None
@@ -196,7 +199,9 @@
     def run_until(self, condition: Callable[[], bool], bound_seconds: float = 20.0) -> None:
         end = self.time + bound_seconds
         while not condition():
-            assert self.time < end, "the bound of virtual time ran out"
+            assert self.time < end, (
+                "the condition did not hold within the bound of virtual time"
+            )
             self.run(0.01)
 
     # --- events and commands -------------------------------------------------
@@ -334,7 +339,7 @@
         return self.random.uniform(self.faults.shortest_delay, self.faults.longest_delay)
 
     def cut_off(self, name: str, outgoing: bool = True, incoming: bool = True) -> None:
-        """Silently lose what goes from or to one replica."""
+        """Drop all messages from or to one replica, without closing its links."""
         for other in self.replicas:
             if outgoing:
                 self.cut.add((name, other))
--- a/tests/consensus/invariants.py
+++ b/tests/consensus/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold on all replicas after every step, whatever failed."""
+"""Raft invariants that must hold on all replicas after every step."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Invariants:
-    """Election safety, leader completeness, state machine safety, change ids once."""
+    """Checks election safety, leader completeness, state machine safety, change ids."""
 
     def __init__(self) -> None:
         self.applied: dict[int, AppliedEntry] = {}
@@ -59,7 +59,7 @@
             assert log.term_at(index) == self.applied[index][0], "leader completeness"
 
     def check_logs_match(self, cores: list[ControlCore]) -> None:
-        """Log matching: equal index and term mean equal logs up to there."""
+        """Check log matching: entries of equal index and term imply equal earlier logs."""
         for left in cores:
             for right in cores:
                 self._check_pair(left, right)
--- a/tests/consensus/memory_store.py
+++ b/tests/consensus/memory_store.py
@@ -1,4 +1,4 @@
-"""A disk in memory that keeps what a replica's store would keep."""
+"""In-memory replacement of a replica's store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MemoryStore:
-    """Applies durable writes the way ``LogStore`` does."""
+    """Applies records to a stored state as ``LogStore`` does."""
 
     def __init__(self, identity: int) -> None:
         self.state = StoredState(identity)
@@ -39,7 +39,7 @@
     if isinstance(record, SaveEntries):
         return replace(state, entries=_with_entries(state, record.entries))
     if isinstance(record, SaveSnapshotPart):
-        return state  # counts only once a snapshot names it
+        return state  # has no effect until a snapshot names it
     if isinstance(record, InstallSnapshot):
         return replace(state, snapshot=record.snapshot, entries=())
     assert isinstance(record, SaveSnapshot)
--- a/tests/consensus/self_kept_cluster.py
+++ b/tests/consensus/self_kept_cluster.py
@@ -1,4 +1,4 @@
-"""Control replicas that found, find and keep their group themselves, in virtual time."""
+"""Control replicas that manage their group's membership, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def configuration(version: int, base: int = 0, timeout: int = 1_000) -> WholeConfiguration:
-    """Give a small configuration whose content shows in one time-out."""
+    """Return a small configuration; ``timeout`` makes its content distinguishable."""
     route = RouteDefinition(
         host="refund.example",
         path_prefix="/pay/",
@@ -42,7 +42,7 @@
 
 
 class SelfKeptCluster(ControlCluster):
-    """A group of ``voters``; the first three names are everybody's seeds."""
+    """A group with ``voters`` voters; the first three names are the seeds of all."""
 
     def __init__(
         self,
@@ -73,13 +73,13 @@
         )
 
     def restart_later(self, name: str) -> None:
-        """Start a machine again as the platform does: no longer the first start."""
+        """Restart a machine as the platform does, without the founding members."""
         replica = self.replicas[name]
         replica.settings = self._settings(name, (), True)
         self.start(name)
 
     def use_seeds(self, names: tuple[str, ...]) -> None:
-        """What the settings of machines that start from now on name."""
+        """Set the seeds in the settings of machines that are added from now on."""
         self._seeds = names
 
     def _carry_out(self, name: str, replica: Replica, command: commands.Command) -> None:
@@ -91,26 +91,26 @@
     # --- operators -----------------------------------------------------------
 
     def submit(self, name: str, wanted: WholeConfiguration) -> int:
-        """Hand a configuration to a replica; give the number of the question."""
+        """Submit a configuration to a replica; return the request number."""
         number = next(self._numbers)
         self.event(name, ReleaseSubmitted(number, wanted))
         return number
 
     def ask(self, name: str) -> int:
-        """Ask a replica for the newest configuration."""
+        """Request the newest configuration from a replica; return the request number."""
         number = next(self._numbers)
         self.event(name, ReleaseWanted(number))
         return number
 
     def outcome(self, number: int) -> ReleaseOutcome | ReleaseRead:
-        """Wait for the answer to a question."""
+        """Wait for the answer to a request and return it."""
         self.run_until(lambda: number in self.answers)
         return self.answers[number]
 
-    # --- what is seen --------------------------------------------------------
+    # --- observations --------------------------------------------------------
 
     def voters(self) -> tuple[str, ...]:
-        """Give the voters as the leader knows them; none without a leader."""
+        """Return the voters according to the leader; none without a leader."""
         leader = self.leader()
         if leader is None:
             return ()
@@ -118,7 +118,7 @@
         return tuple(member.name for member in members if member.voter)
 
     def members(self) -> tuple[str, ...]:
-        """Give all members as the leader knows them."""
+        """Return all members according to the leader; none without a leader."""
         leader = self.leader()
         if leader is None:
             return ()
@@ -126,18 +126,18 @@
         return tuple(member.name for member in members)
 
     def group_ids(self) -> set[int]:
-        """Give the groups that running replicas belong to."""
+        """Return the ids of the groups that running replicas belong to."""
         cores = [each.core for each in self.replicas.values() if each.core is not None]
         return {core.consensus.group_id for core in cores} - {0}
 
     def cut_off(self, name: str) -> None:
-        """Cut one replica off from all others, in silence."""
+        """Drop all messages between one replica and the others."""
         for other in self.replicas:
             if other != name:
                 self.cut |= {(name, other), (other, name)}
 
     def heal(self) -> None:
-        """Join all again."""
+        """End all partitions."""
         self.cut.clear()
 
 
--- a/tests/consensus/test_commit_notice.py
+++ b/tests/consensus/test_commit_notice.py
@@ -1,4 +1,7 @@
-"""Followers hear of a commit at once, not with the next heartbeat."""
+"""The leader sends a new commit index at once, not with the next heartbeat.
+
+Otherwise followers would apply an accepted edit up to one heartbeat interval late.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 NAMES = ("a", "b", "c", "d", "e")
 EDITS = 10
 ONE_EXCHANGE_SECONDS = 0.006
-"""More than a message and a sync take here; heartbeats are 50 ms apart."""
+"""Longer than a message and a disk sync in this test; heartbeats are 50 ms apart."""
 
 
 @pytest.mark.parametrize("count", [3, 5])
--- a/tests/consensus/test_faulty_cluster.py
+++ b/tests/consensus/test_faulty_cluster.py
@@ -1,4 +1,8 @@
-"""Seeded faults on a control cluster: the promises hold, and it recovers."""
+"""A control cluster under seeded faults keeps its guarantees and recovers.
+
+The faults are crashes, partitions, suspensions, full disks, lost and duplicated
+messages, and simultaneous restarts of all processes.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +15,15 @@
 NAMES = ("a", "b", "c", "d", "e")
 SEEDS = range(12)
 BEYOND_TOLERANCE = 0.15
-"""Chance that a fault hits although as many replicas are broken as tolerated."""
-HERD_SECONDS = 3.0
+"""Probability of a further fault while as many replicas are faulty as tolerated."""
+MASS_RESTART_SECONDS = 3.0
 FAULTY_SECONDS = 12.0
 RECOVERY_SECONDS = 6.0
 FAULTS = Faults(loss=0.02, duplicate=0.02, longest_delay=0.004, longest_sync=0.03)
 
 
 class FaultMaker:
-    """Breaks a random replica in a random way every few hundred milliseconds."""
+    """Injects a random fault into a random replica every few hundred milliseconds."""
 
     def __init__(self, cluster: ControlCluster) -> None:
         self._cluster = cluster
@@ -27,13 +31,13 @@
         self.active = True
         self.made = 0
         self._next()
-        cluster.later(HERD_SECONDS, self._herd)
+        cluster.later(MASS_RESTART_SECONDS, self._mass_restart)
 
-    def _herd(self) -> None:
-        """All processes die at one moment and come back together."""
+    def _mass_restart(self) -> None:
+        """Kill all healthy processes at one moment and restart them together."""
         if not self.active:
             return
-        self._cluster.later(HERD_SECONDS, self._herd)
+        self._cluster.later(MASS_RESTART_SECONDS, self._mass_restart)
         names = [
             name for name in sorted(self._cluster.replicas) if name not in self._broken
         ]
@@ -53,8 +57,8 @@
         beyond = len(self._broken) >= tolerated and chance.random() > BEYOND_TOLERANCE
         if healthy and not beyond:
             leader = self._cluster.leader()
-            aim_at_leader = leader in healthy and chance.random() < 0.4
-            name = leader if leader and aim_at_leader else chance.choice(healthy)
+            target_leader = leader in healthy and chance.random() < 0.4
+            name = leader if leader and target_leader else chance.choice(healthy)
             kind = chance.choice((self._crash, self._cut, self._pause, self._fill_disk))
             self._broken.add(name)
             self.made += 1
--- a/tests/consensus/test_former_leases.py
+++ b/tests/consensus/test_former_leases.py
@@ -1,4 +1,8 @@
-"""After a restart a voter waits for a former leader only as long as one may lead."""
+"""A restarted voter withholds its vote while a former leader may hold a lease.
+
+It must not vote earlier, as it forgot which lease it had acknowledged; and it must not
+wait longer, as then a group without any leader would wait for an election timeout.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 ELECTION_SECONDS = 0.4
 
 
-def led(seed: int) -> ControlCluster:
+def cluster_with_leader(seed: int) -> ControlCluster:
     cluster = ControlCluster(NAMES, seed=seed)
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run(2 * ELECTION_SECONDS)
@@ -48,7 +52,7 @@
 def test_all_killed_at_once_have_a_leader_long_before_an_election_timeout(
     seed: int,
 ) -> None:
-    cluster = led(seed)
+    cluster = cluster_with_leader(seed)
     restart(cluster, *NAMES)
     started = cluster.time
     cluster.run_until(lambda: cluster.leader() is not None)
@@ -59,8 +63,8 @@
 def test_voters_that_restart_elect_nobody_while_their_leader_holds_its_lease(
     seed: int,
 ) -> None:
-    """The leader is cut off, and its lease counts on what both answered before."""
-    cluster = led(seed)
+    """The leader is partitioned; its lease relies on what both voters acknowledged."""
+    cluster = cluster_with_leader(seed)
     leader = cluster.leader()
     assert leader is not None
     others = [name for name in NAMES if name != leader]
@@ -79,8 +83,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_restarts_leaves_its_leader_in_place(seed: int) -> None:
-    cluster = led(seed)
+def test_a_restarting_follower_does_not_disturb_its_leader(seed: int) -> None:
+    cluster = cluster_with_leader(seed)
     leader = cluster.leader()
     assert leader is not None
     term = cluster.core(leader).consensus.term
@@ -90,9 +94,9 @@
     assert cluster.core(leader).consensus.term == term
 
 
-def test_with_a_voter_that_says_nothing_the_others_wait() -> None:
-    """It may lead: it is not known whether it was killed as well."""
-    cluster = led(1)
+def test_voters_wait_while_a_possible_former_leader_is_unreachable() -> None:
+    """The unreachable voter may still lead, as nobody knows that it was killed too."""
+    cluster = cluster_with_leader(1)
     for name in NAMES:
         cluster.crash(name)
     cluster.run(0.01)
@@ -103,8 +107,8 @@
     cluster.run_until(lambda: cluster.leader() is not None)
 
 
-def test_a_member_back_with_an_empty_disk_is_known_not_to_lead() -> None:
-    """In a group whose names are addresses, nobody else answers at its address."""
+def test_a_member_back_with_a_blank_disk_counts_as_not_leading() -> None:
+    """Where names are addresses, no other process can still lead at its address."""
     cluster = SelfKeptCluster(NAMES)
     cluster.run_until(lambda: cluster.voters() == NAMES)
     cluster.run(2 * ELECTION_SECONDS)
@@ -119,7 +123,7 @@
     assert cluster.time - started < 0.5 * ELECTION_SECONDS
 
 
-# --- one voter by itself -------------------------------------------------------
+# --- a single voter ------------------------------------------------------------
 
 
 MEMBERS = Membership(
@@ -127,8 +131,8 @@
 )
 
 
-def voter(*memberships: Membership) -> Consensus:
-    """Give replica "a", just started with these memberships in its log."""
+def started_voter(*memberships: Membership) -> Consensus:
+    """Return replica "a", just started with these memberships in its log."""
     entries = tuple(
         LogEntry(index, 1, EntryKind.MEMBERSHIP, encode_membership(membership))
         for index, membership in enumerate(memberships, 1)
@@ -139,7 +143,7 @@
     return core
 
 
-def vote_of(core: Consensus, request: VoteRequest, now: float) -> bool:
+def grants_vote(core: Consensus, request: VoteRequest, now: float) -> bool:
     core.receive("b", 2, request, now)
     tokens = itertools.count(1)
     while True:
@@ -153,39 +157,39 @@
         assert next(tokens) < 10, "no answer to the request"
 
 
-def asks(last_index: int, pre_vote: bool = False) -> VoteRequest:
+def vote_request(last_index: int, pre_vote: bool = False) -> VoteRequest:
     return VoteRequest(2, last_index, 1, pre_vote)
 
 
-def test_a_vote_waits_for_everybody_who_may_have_led() -> None:
-    core = voter(MEMBERS)
-    assert not vote_of(core, asks(1), 100.1)
+def test_a_vote_is_withheld_until_all_possible_former_leaders_deny_leading() -> None:
+    core = started_voter(MEMBERS)
+    assert not grants_vote(core, vote_request(1), 100.1)
     assert core.note_not_leading("b", 100.1) is None
-    assert not vote_of(core, asks(1), 100.1)
+    assert not grants_vote(core, vote_request(1), 100.1)
     assert core.note_not_leading("c", 100.1) is not None
-    assert vote_of(core, asks(1), 100.1)
+    assert grants_vote(core, vote_request(1), 100.1)
 
 
-def test_one_that_the_newest_membership_leaves_out_may_have_led() -> None:
-    """Until that membership is committed, it leads on."""
-    core = voter(MEMBERS, without_member(MEMBERS, "c"))
+def test_a_member_removed_by_the_newest_membership_may_have_led() -> None:
+    """A removed leader keeps leading until that membership is committed."""
+    core = started_voter(MEMBERS, without_member(MEMBERS, "c"))
     core.note_not_leading("b", 100.1)
-    assert not vote_of(core, asks(2), 100.1)
+    assert not grants_vote(core, vote_request(2), 100.1)
     core.note_not_leading("c", 100.1)
-    assert vote_of(core, asks(2), 100.1)
+    assert grants_vote(core, vote_request(2), 100.1)
 
 
 @pytest.mark.parametrize("pre_vote", [True, False])
-def test_an_early_vote_is_given_only_between_equal_logs(pre_vote: bool) -> None:
-    """A longer log may know of members, so of leaders, that this one does not."""
-    core = voter(MEMBERS)
+def test_an_early_vote_is_granted_only_between_equal_logs(pre_vote: bool) -> None:
+    """A longer log may hold members, so possible leaders, that this one does not."""
+    core = started_voter(MEMBERS)
     core.note_not_leading("b", 100.1)
     core.note_not_leading("c", 100.1)
-    assert not vote_of(core, asks(2, pre_vote), 100.1)
-    assert vote_of(core, asks(2, pre_vote), 100.1 + ELECTION_SECONDS)
+    assert not grants_vote(core, vote_request(2, pre_vote), 100.1)
+    assert grants_vote(core, vote_request(2, pre_vote), 100.1 + ELECTION_SECONDS)
 
 
-def test_a_leader_of_this_life_is_waited_for_as_ever() -> None:
+def test_a_former_lease_is_possible_until_denied_or_expired() -> None:
     leases = FormerLeases(ELECTION_SECONDS)
     leases.begin(100.0)
     assert leases.may_be_valid(frozenset({"b"}), 100.1)
--- a/tests/consensus/workload.py
+++ b/tests/consensus/workload.py
@@ -1,4 +1,4 @@
-"""Operators, a relay and readers who judge what a control cluster tells them."""
+"""Operators, a relay and readers that check the answers of a control cluster."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Answers:
-    """All outcomes that any operator was told."""
+    """Outcomes that operators received, by change id; a retry must get the same one."""
 
     def __init__(self) -> None:
         self.outcomes: dict[str, EditOutcome] = {}
@@ -39,13 +39,13 @@
 
     def take(self, outcome: EditOutcome) -> None:
         first = self.outcomes.setdefault(outcome.change_id, outcome)
-        assert first == outcome, "a resend got another outcome"
+        assert first == outcome, "a retry got another outcome"
         if isinstance(outcome, EditAccepted):
             self.newest_accepted = max(self.newest_accepted, outcome.version)
 
 
 class Operator:
-    """Sends one edit after another; resends with the same id until answered."""
+    """Submits one edit after another; retries with the same id until answered."""
 
     def __init__(self, name: str, cluster: ControlCluster, answers: Answers) -> None:
         self._name = name
@@ -100,7 +100,7 @@
 
 
 class Reader:
-    """Asks for confirmed versions: none may be older than what was answered before."""
+    """Reads confirmed versions; none may be older than an edit accepted before."""
 
     def __init__(self, cluster: ControlCluster, answers: Answers) -> None:
         self._cluster = cluster
@@ -124,7 +124,7 @@
 
 
 class Relay:
-    """Follows one replica after another; its edits must come in order without gaps."""
+    """Follows one replica after another; edits must arrive in order without gaps."""
 
     def __init__(self, cluster: ControlCluster) -> None:
         self._cluster = cluster
