--- a/src/peppershore/process/consensus/__init__.py
+++ b/src/peppershore/process/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft consensus: replicates an ordered log over a group of replicas."""
+"""Raft-based consensus: replicates an ordered log over a group of replicas."""
--- a/src/peppershore/process/consensus/core.py
+++ b/src/peppershore/process/consensus/core.py
@@ -1,9 +1,9 @@
-"""Deterministic Raft state machine of one replica.
+"""Raft-based consensus core of one replica, as a deterministic state machine.
 
-Inputs are method calls that carry the monotonic time in seconds. The resulting
-outputs (messages, writes, notifications) are collected until ``take_outputs``
-returns them. The payload of an entry is opaque. ``election``, ``following`` and
-``leadership`` hold the logic of the individual roles.
+Inputs are method calls; those that depend on time take the monotonic time in seconds
+as ``now``. The resulting outputs (messages, writes, notifications) are collected until
+``take_outputs`` returns them. The payload of an entry is opaque. The modules
+``election``, ``following`` and ``leadership`` hold the logic of the individual roles.
 """
 
 from __future__ import annotations
@@ -163,8 +163,8 @@
     def note_not_leading(self, name: str, now: float) -> float | None:
         """Record that another replica reported that it does not lead.
 
-        If this ends the wait for a former leader's lease, return the seconds until
-        the next ``tick`` is due, else None.
+        If this ends the wait for a former leader's lease and no leader is known, return
+        the seconds until the next ``tick`` is due, else None.
         """
         waited = self.awaits_former_leader(now)
         self.former_leases.note_not_leading(name)
@@ -176,7 +176,7 @@
         return seconds
 
     def propose(self, payload: bytes) -> int | None:
-        """Append a command; return its index, or None if this replica does not lead.
+        """Append a command; return its index, or None if no proposals are accepted.
 
         Nothing is sent or written before ``flush``, so proposals made before the
         same flush are batched.
@@ -209,9 +209,9 @@
             self.leadership.transfer_leadership()
 
     def compact(self, index: int, parts: tuple[SnapshotPart, ...]) -> None:
-        """Save a snapshot of the state after ``index`` and drop old entries.
+        """Save a snapshot of the state after the entry at ``index``; drop old entries.
 
-        ``index`` must be committed.
+        ``parts`` hold the encoded state. The entry must be committed.
         """
         assert index <= self.commit_index
         in_transfer = None
@@ -232,7 +232,10 @@
         self.follow("", self.term, "the disk refuses writes", now)
 
     def retry_disk(self) -> None:
-        """Request one write of all records that are not durable yet."""
+        """Request one write of all records that are not durable yet.
+
+        Without such records, the disk counts as accepting writes again.
+        """
         write = self.durability.reissue()
         if write is None:
             self.disk_refused = False
@@ -295,8 +298,8 @@
     def ready_to_propose(self) -> bool:
         """Whether this replica leads and accepts proposals.
 
-        True once its term's first entry, and so every earlier one, is committed;
-        False during a leadership transfer.
+        True once its term's first entry is committed, so that all entries of earlier
+        terms were output to be applied; False during a leadership transfer.
         """
         leadership = self.leadership
         return leadership is not None and leadership.announced
@@ -319,7 +322,7 @@
     def campaign(self, pre_vote: bool, transfer: bool, now: float) -> None:
         """Start a campaign, with or without the pre-vote phase.
 
-        ``transfer`` marks a campaign that the leader requested.
+        ``transfer`` marks a campaign that the leader requested; it has no pre-votes.
         """
         self._set_leader("")
         self._postpone_election(now)
@@ -330,13 +333,13 @@
             self.election.begin_vote(now)
 
     def enter_term(self, term: int, voted_for: str) -> None:
-        """Set and persist the current term and this replica's vote in it."""
+        """Set the current term and this replica's vote in it; queue both for the disk."""
         self.term = term
         self.voted_for = voted_for
         self.durability.add(SaveHardState(HardState(term, voted_for)))
 
     def vote_for(self, name: str, now: float) -> None:
-        """Grant this replica's vote of the current term to a candidate."""
+        """Vote for a candidate in the current term and restart the election timer."""
         if self.voted_for != name:
             self.enter_term(self.term, name)
         self._postpone_election(now)
@@ -384,7 +387,7 @@
         self.durable_log.append(entries)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the uncommitted entries from ``index`` on, as the leader lacks them."""
+        """Drop the uncommitted entries from ``index`` on; the leader does not have them."""
         assert index > self.commit_index
         self.durable_log.truncate_from(index)
 
--- a/src/peppershore/process/consensus/durability.py
+++ b/src/peppershore/process/consensus/durability.py
@@ -13,7 +13,7 @@
 Action = Callable[[], None]
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _DelayedAction(msgspec.Struct, frozen=True):
     token: int
     action: Action
 
@@ -34,7 +34,7 @@
         """Create an empty queue."""
         self._collected: list[Record] = []
         self._issued: deque[_Issued] = deque()
-        self._waiting_actions: deque[_Held] = deque()
+        self._waiting_actions: deque[_DelayedAction] = deque()
         self._last_token = 0
 
     def add(self, record: Record) -> None:
@@ -42,12 +42,12 @@
         self._collected.append(record)
 
     def when_durable(self, action: Action) -> None:
-        """Run the action once all records added so far are durable, maybe at once."""
+        """Run the action once all records added so far are durable; at once if they are."""
         if not self._collected and not self._issued:
             action()
             return
         token = self._last_token + 1 if self._collected else self._last_token
-        self._waiting_actions.append(_Held(token, action))
+        self._waiting_actions.append(_DelayedAction(token, action))
 
     def issue(self) -> Persist | None:
         """Return a write of the records added since the last one; None without any."""
--- a/src/peppershore/process/consensus/durable_log.py
+++ b/src/peppershore/process/consensus/durable_log.py
@@ -23,12 +23,12 @@
 MAX_RETAINED_FACTOR = 10
 """Limit on the entries retained for a snapshot in transfer, as a multiple of ``kept``.
 
-Without a limit, a slow receiver would stop log compaction.
+Without a limit, a slow receiver would hold back log compaction.
 """
 
 
 def compaction_point(snapshot_index: int, kept: int, in_transfer: int | None) -> int:
-    """Return the log index up to which entries may be dropped.
+    """Return the log index after which entries must be retained.
 
     ``kept`` entries before the snapshot are retained for peers that lag slightly,
     and more while a peer receives a snapshot: ``in_transfer`` is the index of the
@@ -77,9 +77,9 @@
     def compact(
         self, index: int, parts: tuple[SnapshotPart, ...], first_kept_index: int
     ) -> None:
-        """Set the snapshot of the state after ``index`` and drop old entries.
+        """Set the snapshot of the state after the entry at ``index``; drop old entries.
 
-        Entries after ``first_kept_index`` are retained, and the term at it.
+        Entries after ``first_kept_index`` are retained, and the term of the entry at it.
         """
         term = self.entries.term_at(index)
         assert term is not None
--- a/src/peppershore/process/consensus/election.py
+++ b/src/peppershore/process/consensus/election.py
@@ -23,7 +23,7 @@
         self._granted: set[str] = set()
 
     def begin_pre_vote(self, now: float) -> None:
-        """Request pre-votes: ask whether an election could be won, in the same term."""
+        """Ask the voters whether an election could be won, without changing the term."""
         core = self._core
         core.role = Role.PRE_CANDIDATE
         self._request(core.term + 1)
@@ -39,7 +39,7 @@
         self._request(term)
 
     def count(self, voter: str, now: float) -> None:
-        """Count a granted vote; with a majority start the vote phase, or lead."""
+        """Count a granted vote; on a majority start the vote phase, or become leader."""
         core = self._core
         self._granted.add(voter)
         voters = voters_of(core.membership)
--- a/src/peppershore/process/consensus/following.py
+++ b/src/peppershore/process/consensus/following.py
@@ -40,8 +40,8 @@
     def handle_append(self, leader: str, request: AppendRequest, now: float) -> None:
         """Append the leader's entries, or reject them with an index that may match.
 
-        A request that starts before the compaction point is answered with the commit
-        index.
+        A request that starts before the compaction point is acknowledged up to the
+        commit index.
         """
         core = self._core
         if not self._accept_leader(leader, request.term, request.round, now):
--- a/src/peppershore/process/consensus/former_leases.py
+++ b/src/peppershore/process/consensus/former_leases.py
@@ -17,7 +17,7 @@
 
 
 class FormerLeases:
-    """Leases of leaders from before this replica's start."""
+    """Tracks which leaders from before this replica's start may still hold a lease."""
 
     def __init__(self, election_seconds: float) -> None:
         """Set the election timeout, which is longer than any lease."""
@@ -26,7 +26,7 @@
         self._not_leading: set[str] = set()
 
     def begin(self, now: float) -> None:
-        """Start the period of one election timeout."""
+        """Start the election timeout during which such a lease may be valid."""
         self._ends_at = now + self._election_seconds
 
     def started_recently(self, now: float) -> bool:
--- a/src/peppershore/process/consensus/founding.py
+++ b/src/peppershore/process/consensus/founding.py
@@ -18,8 +18,8 @@
 class FoundingProgress(msgspec.Struct, frozen=True):
     """Whether the group can be founded, and which replicas prevent it.
 
-    ``missing`` replicas are not reached; ``already_in_group`` shows that the group
-    exists.
+    ``missing`` replicas are not connected; those in ``already_in_group`` show that the
+    group exists already.
     """
 
     ready: bool
@@ -58,7 +58,7 @@
     def membership(self, own_identity: int, peers: PeerLinks) -> Membership:
         """Return the first membership, with the store identities of all replicas.
 
-        All peers must be connected.
+        All peers must have sent their hello.
         """
         members: list[ReplicaMember] = []
         for replica in self._replicas:
--- a/src/peppershore/process/consensus/greeting.py
+++ b/src/peppershore/process/consensus/greeting.py
@@ -38,7 +38,7 @@
         replica.send(link, hello)
 
     def greet_again(self) -> None:
-        """Send this replica's hello again on all links to replicas."""
+        """Send the hello again on all links to replicas, e.g. as the group id changed."""
         for link in self._replica.peers.all_links():
             self.greet(link)
 
@@ -64,7 +64,7 @@
         if hello.not_leading:
             replica.note_not_leading(hello)
         if first and replica.consensus.leadership is not None:
-            replica.consensus.leadership.peer_reconnected(hello.replica)
+            replica.consensus.leadership.peer_link_changed(hello.replica)
 
     def found_if_possible(self) -> None:
         """Found the group once every first member is connected and blank."""
--- a/src/peppershore/process/consensus/joining.py
+++ b/src/peppershore/process/consensus/joining.py
@@ -25,13 +25,13 @@
     from peppershore.process.consensus.replica import ReplicaCore
 
 SEED_SEARCH_DELAY_SECONDS = 1.0
-"""Time without a leader after which a member contacts the seeds again."""
+"""Time without a leader after which a replica of a group contacts the seeds again."""
 
 GREETING_INTERVAL_SECONDS = 0.5
 """Interval between hellos on all links while a replica has no leader."""
 
 CAUGHT_UP_ENTRIES = 3
-"""Largest lag, in entries behind the log's end, at which a learner may vote."""
+"""Largest lag, in entries behind the log's end, at which a learner may become a voter."""
 
 
 class SeedsChanged(Event, frozen=True):
@@ -74,7 +74,7 @@
         """Return peers besides the members to keep links to, as addresses by name.
 
         These are the seeds and the members that another replica described. The result
-        is empty while a leader is known, and for a member during the first
+        is empty while a leader is known, and for a replica of a group during the first
         ``SEED_SEARCH_DELAY_SECONDS`` without one.
         """
         replica = self._replica
@@ -102,7 +102,7 @@
             replica.send(link, GroupDescribed(membership.members))
 
     def handle_group_described(self, message: GroupDescribed) -> None:
-        """Open links to these members, to find the leader among them."""
+        """Open links to these members while no leader is known, to find it among them."""
         members = Membership(message.members).members
         self._described_members = {member.name: member.address for member in members}
         self._replica.update_peer_links()
--- a/src/peppershore/process/consensus/leadership.py
+++ b/src/peppershore/process/consensus/leadership.py
@@ -29,7 +29,10 @@
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A read that waits until a quorum has answered the messages of ``round``."""
+    """A read that waits until a quorum has answered the messages of ``round``.
+
+    Besides, the entry at ``index`` must be committed.
+    """
 
     request: int
     index: int
@@ -118,8 +121,8 @@
         if peer.record_received_bytes(reply.received_bytes):
             self._send_snapshot(peer)
 
-    def peer_reconnected(self, name: str) -> None:
-        """Resume replication on a new link: messages sent before it may be lost."""
+    def peer_link_changed(self, name: str) -> None:
+        """Probe a peer again whose link opened or closed: sent messages may be lost."""
         peer = self._peers.get(name)
         if peer is not None:
             peer.restart()
@@ -162,8 +165,8 @@
     def lease_valid(self, now: float) -> bool:
         """Return whether this leader holds its lease.
 
-        During a lease no other leader can be elected, if no clock exceeds
-        ``CLOCK_DRIFT_BOUND``.
+        During a lease no other leader can be elected, provided that every clock stays
+        within ``CLOCK_DRIFT_BOUND``.
         """
         if self.transfer_target:
             return False
@@ -209,7 +212,7 @@
     def transfer_leadership(self) -> None:
         """Transfer leadership to the voter with the most advanced log.
 
-        Once its log is complete, it is asked to campaign at once.
+        That voter is asked to campaign as soon as its log is complete.
         """
         peers = self._current_peers()
         voters = [name for name in voters_of(self._core.membership) if name in peers]
--- a/src/peppershore/process/consensus/membership_changes.py
+++ b/src/peppershore/process/consensus/membership_changes.py
@@ -30,7 +30,7 @@
 
 ACTION_ADD = "add"
 ACTION_REMOVE = "remove"
-NOT_LEADER = "this replica no longer leads; check the outcome with `replica list`"
+NOT_LEADER = "this replica no longer leads; ask `replica list` what came of it"
 
 
 class _Request(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 
 
 class MembershipChanges:
-    """Requested changes on the leader, carried out oldest first."""
+    """Carries out the requested changes on the leader, the oldest first."""
 
     def __init__(self, replica: ReplicaCore) -> None:
         """Start without requests."""
@@ -128,7 +128,7 @@
         if self._done(request.change):
             self._answer(request, "")
         elif replica.now >= request.deadline:
-            reason = "timed out; the change continues once the replica can be reached"
+            reason = "not done in time; it goes on if the replica can be reached"
             self._answer(request, reason)
         else:
             self._propose(request.change)
--- a/src/peppershore/process/consensus/notices.py
+++ b/src/peppershore/process/consensus/notices.py
@@ -38,14 +38,18 @@
 
 
 class GroupJoined(Notice, frozen=True):
-    """A leader contacted this blank replica, which now belongs to the leader's group."""
+    """This blank replica received its first message of a leader and joined its group."""
 
     replica: str
     group_id: int
 
 
 class FoundingAwaited(Notice, frozen=True):
-    """A blank replica waits to reach the first members, or to be added to the group."""
+    """A blank replica waits for first members that it does not reach, or to be added.
+
+    An operator adds it to the existing group; in a group that manages its own
+    membership, the leader does.
+    """
 
     level: ClassVar[str] = "warning"
     replica: str
--- a/src/peppershore/process/consensus/outputs.py
+++ b/src/peppershore/process/consensus/outputs.py
@@ -64,7 +64,7 @@
 
 
 class ReadConfirmed(Output, frozen=True):
-    """The read may be served once ``index`` is applied.
+    """A quorum or the lease confirmed a read; serve it once ``index`` is applied.
 
     ``index`` covers all entries that were committed when the read was requested.
     """
--- a/src/peppershore/process/consensus/peers.py
+++ b/src/peppershore/process/consensus/peers.py
@@ -71,7 +71,7 @@
         return link in self._names
 
     def closed(self, link: LinkId) -> str | None:
-        """Remove a closed link; return the name of its peer, None for other clients."""
+        """Remove a closed link; return the name of its peer, None if that is a client."""
         known = self._greeted.pop(link, None)
         name = self._names.pop(link, None)
         if name is not None:
@@ -100,7 +100,7 @@
         return self._names.get(link)
 
     def identity_on(self, link: LinkId) -> PeerIdentity | None:
-        """Return who sent a hello on this link; None for other clients."""
+        """Return who sent a hello on this link; None if nobody did, as for a client."""
         return self._greeted.get(link)
 
     def identity_of(self, name: str) -> PeerIdentity | None:
@@ -121,7 +121,7 @@
         return [] if link is None else [SendMessage(link, message)]
 
     def link_to(self, name: str) -> LinkId | None:
-        """Return the link on which that peer is connected; None without one."""
+        """Return the link on which that peer sent its hello; None without one."""
         outgoing = self._outgoing.get(name)
         if outgoing is not None and outgoing.greeted:
             return outgoing.link
--- a/src/peppershore/process/consensus/replica.py
+++ b/src/peppershore/process/consensus/replica.py
@@ -97,7 +97,7 @@
     def step(self, event: events.Event, now: float) -> list[Command]:
         """Handle one event; return the resulting commands."""
         self.now = now
-        self._take(event)
+        self._handle_event(event)
         self._carry_out_outputs()
         commands = self._commands
         self._commands = []
@@ -133,7 +133,7 @@
         return self._snapshotting.made
 
     def propose(self, payload: bytes) -> int | None:
-        """Append a command; return its index, or None if this replica does not lead.
+        """Append a command; return its index, or None if no proposals are accepted.
 
         Proposals of the same turn of the event loop share a write.
         """
@@ -183,7 +183,11 @@
             self.command(SetTimer(TICK_TIMER, seconds + TIMER_MARGIN_SECONDS))
 
     def update_peer_links(self) -> None:
-        """Keep links to all members, and to replicas that are about to join."""
+        """Open links to all members and other wanted peers; close links to the rest.
+
+        Other wanted peers are replicas about to be added, the first members while this
+        replica is blank, and, while no leader is known, the seeds and described members.
+        """
         wanted = {
             member.name: member.address for member in self.consensus.membership.members
         }
@@ -197,11 +201,11 @@
 
     # --- events --------------------------------------------------------------
 
-    def _take(self, event: events.Event) -> None:
+    def _handle_event(self, event: events.Event) -> None:
         if isinstance(event, events.MessageReceived):
-            self._take_message(event.link, event.message)
+            self._handle_message(event.link, event.message)
         elif isinstance(event, events.TimerFired):
-            self._take_timer(event.timer)
+            self._handle_timer(event.timer)
         elif isinstance(event, events.RecordsPersisted):
             self._persisted(event.token)
         elif isinstance(event, events.RecordsFailed):
@@ -226,7 +230,7 @@
         self.consensus.start(self.now)
         self._tick()
 
-    def _take_timer(self, timer: str) -> None:
+    def _handle_timer(self, timer: str) -> None:
         if timer == TICK_TIMER:
             self._tick()
         elif timer == FLUSH_TIMER:
@@ -237,7 +241,7 @@
         elif timer == DISK_TIMER:
             self.consensus.retry_disk()
         elif timer == STOP_TIMER:
-            self.command(Exit("the planned stop timed out"))
+            self.command(Exit("the bound of the planned stop ran out"))
         else:
             self.on_timer(timer)
 
@@ -279,11 +283,11 @@
         if peer == self.consensus.leader:
             self._reads.leader_lost()
         if self.consensus.leadership is not None:
-            self.consensus.leadership.peer_reconnected(peer)
+            self.consensus.leadership.peer_link_changed(peer)
 
     # --- messages ------------------------------------------------------------
 
-    def _take_message(self, link: LinkId, message: Message) -> None:
+    def _handle_message(self, link: LinkId, message: Message) -> None:
         if isinstance(message, ReplicaHello):
             self._greeting.handle_hello(link, message)
             return
@@ -295,7 +299,7 @@
         elif isinstance(message, GroupDescribed):
             self.joining.handle_group_described(message)
         elif isinstance(message, _CONSENSUS_MESSAGES):
-            self._take_consensus_message(peer, message)
+            self._handle_consensus_message(peer, message)
         elif isinstance(message, ReadIndexRequest):
             self._reads.handle_request(peer.name, message)
         elif isinstance(message, ReadIndexReply):
@@ -303,7 +307,7 @@
         elif not isinstance(message, Refused):
             self.on_peer_message(peer.name, message)
 
-    def _take_consensus_message(self, peer: PeerIdentity, message: Message) -> None:
+    def _handle_consensus_message(self, peer: PeerIdentity, message: Message) -> None:
         own = self.consensus.group_id
         if own == 0 and isinstance(message, (AppendRequest, SnapshotChunk)):
             if peer.group_id == 0:
--- a/src/peppershore/process/consensus/replica_hooks.py
+++ b/src/peppershore/process/consensus/replica_hooks.py
@@ -33,7 +33,7 @@
         """Handle a message of a client."""
 
     def on_peer_message(self, peer: str, message: Message) -> None:
-        """Handle a message of another replica other than those of consensus."""
+        """Handle a message of another replica, other than a consensus message."""
 
     def on_applied(self) -> None:
         """Handle that entries were applied to the state machine."""
@@ -51,7 +51,7 @@
         """Handle that another leader, or none, is known."""
 
     def on_disk_refused(self) -> None:
-        """Handle a failed write; no new entries are accepted until a write succeeds."""
+        """Handle a failed write; no new entries arrive here until a write succeeds."""
 
     def on_read(self, request: int, confirmed: bool) -> None:
         """Answer a read from the current state, or fail it if it is not confirmed."""
--- a/src/peppershore/process/consensus/replica_process.py
+++ b/src/peppershore/process/consensus/replica_process.py
@@ -27,7 +27,7 @@
 
 
 class StoreNotOpened(Notice, frozen=True):
-    """The store is damaged, of a newer version, of another replica, or in use.
+    """The store is damaged, of a newer format, of another owner, or in use.
 
     Nothing was changed in it.
     """
--- a/src/peppershore/process/consensus/replica_reads.py
+++ b/src/peppershore/process/consensus/replica_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: confirmed locally on the leader, else by the leader."""
+"""Linearizable reads: confirmed by this replica if it leads, else by the leader."""
 
 from __future__ import annotations
 
--- a/src/peppershore/process/consensus/settings.py
+++ b/src/peppershore/process/consensus/settings.py
@@ -12,7 +12,7 @@
 class ConsensusSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Limits and intervals of the consensus core.
 
-    ``kept_entries`` is the number of entries retained in the log before a snapshot,
+    ``kept_entries`` is the number of entries before a snapshot that stay in the log,
     for peers that lag slightly.
     """
 
--- a/src/peppershore/process/consensus/state_machine.py
+++ b/src/peppershore/process/consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""Interface of the replicated, deterministic state machine."""
+"""Interface of the replicated, deterministic state machine with opaque commands."""
 
 from __future__ import annotations
 
--- a/src/peppershore/process/consensus/upkeep.py
+++ b/src/peppershore/process/consensus/upkeep.py
@@ -94,7 +94,7 @@
 
 
 def _add_joining_replica(view: GroupView) -> Membership | None:
-    """Add a replica that is no member, e.g. on the successor of a lost machine."""
+    """Add a non-member as a learner, e.g. the replacement of a lost machine."""
     if len(view.membership.members) >= MAXIMUM_MEMBERS:
         return None
     for name in sorted(view.present):
@@ -106,7 +106,7 @@
 
 
 def _promote_missing_voter(view: GroupView) -> Membership | None:
-    """Promote a learner if fewer replicas vote than fault tolerance requires."""
+    """Promote a learner if there are fewer voters than fault tolerance requires."""
     if len(voters_of(view.membership)) >= view.wanted_voters:
         return None
     return _with_promoted_learner(view)
@@ -126,7 +126,10 @@
 
 
 def _demote_surplus_voter(view: GroupView) -> Membership | None:
-    """Demote a surplus voter: the last silent one by name, else the last by name."""
+    """Make a surplus voter other than the leader a learner.
+
+    It is the last silent one by name, or the last one if none is silent.
+    """
     voters = voters_of(view.membership)
     if len(voters) <= view.wanted_voters:
         return None
@@ -138,7 +141,7 @@
 
 
 def _remove_silent_learner(view: GroupView) -> Membership | None:
-    """Remove a learner that was silent for long: its machine is permanently lost."""
+    """Remove a learner silent for long: its machine counts as permanently lost."""
     for member in view.membership.members:
         if (
             not member.voter
--- a/tests/consensus/control_cluster.py
+++ b/tests/consensus/control_cluster.py
@@ -45,7 +45,7 @@
         self.store = MemoryStore(identity)
         self.clock_rate = clock_rate
         self.core: ControlCore | None = None
-        self.life = 0
+        self.incarnation = 0
         self.paused = False
         self.disk_full = False
         self.exits: list[str] = []
@@ -108,7 +108,7 @@
     def start(self, name: str) -> None:
         replica = self.replicas[name]
         assert replica.core is None
-        replica.life += 1
+        replica.incarnation += 1
         replica.core = self._make_core(replica)
         consensus = replica.core.consensus
         consensus.settings = msgspec.structs.replace(
@@ -125,15 +125,17 @@
         replica = self.replicas[name]
         if replica.core is None:
             return
-        replica.store.write(self._synced_by_luck(replica))
+        replica.store.write(self._randomly_synced_records(replica))
         replica.core = None
         replica.timers = {}
         replica.pending = []
         replica.backlog = []
         replica.refusing = False
         replica.clients = {}
-        for address, link, life in replica.links.values():
-            self.later(0.001, lambda a=address, k=link, f=life: self._closed(a, k, f))
+        for address, link, incarnation in replica.links.values():
+            self.later(
+                0.001, lambda a=address, k=link, f=incarnation: self._closed(a, k, f)
+            )
         replica.links = {}
 
     def blank_disk(self, name: str) -> None:
@@ -177,9 +179,11 @@
         return link
 
     def send(self, name: str, link: int, message: Message) -> None:
-        life = self.replicas[name].life
+        incarnation = self.replicas[name].incarnation
         event = events.MessageReceived(link, message)
-        self.later(self._delay(), lambda: self._event_in_life(name, life, event))
+        self.later(
+            self._delay(), lambda: self._event_in_incarnation(name, incarnation, event)
+        )
 
     # --- time ----------------------------------------------------------------
 
@@ -218,8 +222,10 @@
             self._carry_out(name, replica, command)
         self.invariants.check(name, core)
 
-    def _event_in_life(self, name: str, life: int, event: events.Event) -> None:
-        if self.replicas[name].life == life:
+    def _event_in_incarnation(
+        self, name: str, incarnation: int, event: events.Event
+    ) -> None:
+        if self.replicas[name].incarnation == incarnation:
             self.event(name, event)
 
     def _carry_out(self, name: str, replica: Replica, command: commands.Command) -> None:
@@ -259,13 +265,17 @@
     # --- disk ----------------------------------------------------------------
 
     def _persist(self, name: str, replica: Replica, command: PersistLog) -> None:
-        life = replica.life
+        incarnation = replica.incarnation
         replica.pending.append(command)
         delay = self.random.uniform(0.0, self.faults.longest_sync)
-        self.later(delay, lambda: self._sync(name, replica, life))
-
-    def _sync(self, name: str, replica: Replica, life: int) -> None:
-        if replica.life != life or not replica.pending or replica.core is None:
+        self.later(delay, lambda: self._sync(name, replica, incarnation))
+
+    def _sync(self, name: str, replica: Replica, incarnation: int) -> None:
+        if (
+            replica.incarnation != incarnation
+            or not replica.pending
+            or replica.core is None
+        ):
             return
         pending, replica.pending = replica.pending, []
         if pending[-1].retry:
@@ -280,30 +290,30 @@
             replica.store.write(command.records)
         self.event(name, events.RecordsPersisted(pending[-1].token))
 
-    def _synced_by_luck(self, replica: Replica) -> list[Record]:
+    def _randomly_synced_records(self, replica: Replica) -> list[Record]:
         if replica.disk_full or replica.refusing or not replica.pending:
             return []
-        unlucky = self.random.random() < 0.7
-        count = 0 if unlucky else self.random.randint(0, len(replica.pending))
-        lucky = replica.pending[:count]
-        return [record for command in lucky for record in command.records]
+        none_synced = self.random.random() < 0.7
+        count = 0 if none_synced else self.random.randint(0, len(replica.pending))
+        synced = replica.pending[:count]
+        return [record for command in synced for record in command.records]
 
     # --- links ---------------------------------------------------------------
 
     def _open(self, name: str, replica: Replica, command: commands.OpenLink) -> None:
-        life = replica.life
+        incarnation = replica.incarnation
         target = command.address
 
         def connect() -> None:
             peer = self.replicas.get(target)
-            if replica.life != life or replica.core is None:
+            if replica.incarnation != incarnation or replica.core is None:
                 return
             if peer is None or peer.core is None or self._is_cut(name, target):
                 self.event(name, events.LinkClosed(command.link, "refused"))
                 return
             accepted = next(self._links)
-            replica.links[command.link] = (target, accepted, peer.life)
-            peer.links[accepted] = (name, command.link, life)
+            replica.links[command.link] = (target, accepted, peer.incarnation)
+            peer.links[accepted] = (name, command.link, incarnation)
             self.event(target, events.LinkOpened(accepted, name))
             self.event(name, events.LinkOpened(command.link, target))
 
@@ -325,11 +335,13 @@
             copies += 1 if self.random.random() < self.faults.duplicate else 0
         event = events.MessageReceived(peer[1], message)
         for _ in range(copies):
-            self.later(self._delay(), lambda: self._event_in_life(peer[0], peer[2], event))
+            self.later(
+                self._delay(), lambda: self._event_in_incarnation(peer[0], peer[2], event)
+            )
 
-    def _closed(self, name: str, link: int, life: int) -> None:
+    def _closed(self, name: str, link: int, incarnation: int) -> None:
         replica = self.replicas[name]
-        if replica.life == life and replica.links.pop(link, None) is not None:
+        if replica.incarnation == incarnation and replica.links.pop(link, None) is not None:
             self.event(name, events.LinkClosed(link, "closed by peer"))
 
     def _is_cut(self, sender: str, receiver: str) -> bool:
--- a/tests/consensus/self_kept_cluster.py
+++ b/tests/consensus/self_kept_cluster.py
@@ -131,7 +131,7 @@
         return {core.consensus.group_id for core in cores} - {0}
 
     def cut_off(self, name: str) -> None:
-        """Drop all messages between one replica and the others."""
+        """Drop all messages between one replica and the others, without closing links."""
         for other in self.replicas:
             if other != name:
                 self.cut |= {(name, other), (other, name)}
--- a/tests/consensus/test_self_kept_group.py
+++ b/tests/consensus/test_self_kept_group.py
@@ -106,12 +106,12 @@
     cluster = founded_cluster(THREE)
     submit_accepted(cluster, 1)
     leader = cluster.leader()
-    gone = next(name for name in THREE if name != leader)
-    cluster.crash(gone)
-    cluster.use_seeds(tuple(name for name in THREE if name != gone))
+    lost = next(name for name in THREE if name != leader)
+    cluster.crash(lost)
+    cluster.use_seeds(tuple(name for name in THREE if name != lost))
     cluster.add("e", join=True)
     cluster.start("e")
-    cluster.run_until(lambda: "e" in cluster.voters() and gone not in cluster.voters())
+    cluster.run_until(lambda: "e" in cluster.voters() and lost not in cluster.voters())
     assert read_version(cluster, "e") == 1
 
 
--- a/tests/consensus/workload.py
+++ b/tests/consensus/workload.py
@@ -24,7 +24,7 @@
     SetOverrides,
 )
 
-RESEND_SECONDS = 0.4
+RETRY_SECONDS = 0.4
 THINK_SECONDS = 0.02
 READ_SECONDS = 0.05
 FOLLOW_SECONDS = 0.3
@@ -77,9 +77,9 @@
         link = cluster.connect(name, lambda message: self._take(edit, message))
         if link is not None:
             cluster.send(name, link, SubmitEdit(edit))
-        cluster.later(RESEND_SECONDS, lambda: self._resend(attempt))
+        cluster.later(RETRY_SECONDS, lambda: self._retry(attempt))
 
-    def _resend(self, attempt: int) -> None:
+    def _retry(self, attempt: int) -> None:
         if attempt == self._attempt:
             self._submit(None)
 
