--- a/src/peppershore/process/node/data/__init__.py
+++ b/src/peppershore/process/node/data/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane of a node: calls in, attempts out, drain."""
+"""Data plane of a node: incoming calls, attempts at back ends, and draining."""
--- a/src/peppershore/process/node/data/attempt.py
+++ b/src/peppershore/process/node/data/attempt.py
@@ -1,7 +1,7 @@
-"""One try of a call at one back end, whatever way it goes there.
+"""Interface of an attempt: one send of a call to one back end, by any transport.
 
-Ways: a connection of this node's to the back end, a stream to the back end's
-own node, or this node's own back end.
+The transports are a direct connection to the back end, a stream to the back end's owner,
+and the local back end of this node.
 """
 
 from __future__ import annotations
@@ -18,81 +18,85 @@
 
 
 class AttemptSink(Protocol):
-    """Takes what becomes of an attempt.  Nothing follows its end or a failure."""
+    """Receives the events of an attempt; none follows its end or failure."""
 
     def attempt_begun(self) -> None:
-        """The request's body may be given now; from here on the call may run."""
+        """Start sending the request's body; from here on the call may run."""
 
     def answer_head(self, head: AnswerHead) -> None:
-        """The answer begins."""
+        """Handle the head of the answer."""
 
     def answer_data(self, data: bytes) -> None:
-        """A piece of the answer's body."""
+        """Handle a chunk of the answer's body."""
 
     def answer_batch_ended(self) -> None:
-        """No more of the answer is at hand for now: pass on what there is."""
+        """Flush: no more of the answer is available for now."""
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete answer."""
 
     def attempt_failed(self, failed: Failed) -> None:
-        """There will be no whole answer."""
+        """Handle a failure: there will be no complete answer."""
 
     def sending_paused(self) -> None:
-        """Give no more body bytes for now."""
+        """Stop sending request body bytes until ``sending_resumed``."""
 
     def sending_resumed(self) -> None:
-        """Go on giving body bytes."""
+        """Resume sending request body bytes."""
 
 
 class Attempt(Protocol):
-    """What the owner of an attempt can do with it."""
+    """Operations on an attempt."""
 
     def start(self) -> None:
-        """Go; the sink hears of all that follows."""
+        """Start the attempt; every event goes to its sink."""
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request."""
 
     def flush(self) -> None:
-        """Send what is queued."""
+        """Send the queued data."""
 
     def cancel(self) -> None:
-        """Give the attempt up; its sink hears nothing more."""
+        """Abort the attempt; its sink gets no further events."""
 
     def settle(self) -> bool:
-        """The deadline passed: stop, and say whether the call may have run.
+        """Stop at the deadline and find out whether the call may have run.
 
-        True: the sink hears that soon from who knows.  False: nobody else knows
-        more; the attempt still has to be cancelled.
+        Return True if a peer was asked, whose reply the sink gets as a failure. Return
+        False if no peer knows more; the attempt still has to be cancelled then.
         """
 
     def pause_answer(self) -> None:
-        """Take no more answer bytes for now."""
+        """Stop receiving answer bytes until ``resume_answer``."""
 
     def resume_answer(self) -> None:
-        """Go on taking answer bytes."""
+        """Resume receiving answer bytes."""
 
 
 class AttemptRequest(msgspec.Struct, frozen=True):
-    """What is asked of a back end.
-
-    ``headers`` are the end-to-end fields to send, without those of framing and
-    deadline.  ``cancellable`` is false where the answer is wanted even if the
-    caller leaves.  ``service`` is whose back end is meant ("" for any).  Without
-    ``may_wait`` it is refused at once where no slot is free; else it may wait for
-    one until ``start_by`` (monotonic seconds).  ``is_client_retry``: its caller was refused
-    before; ``route``: the name of its route, by which its work is estimated.
-    ``body_on_credit``: another node is sent the body only when its back end takes the
-    call, so that a refusal costs no bytes; where it ``takes_room`` it may be large, and
-    the back end's own node takes in only a few of those at a time.  ``fingerprint`` grows
-    with the body.  ``tenant``: on whose behalf, "" where there are none;
-    ``answer_is_large``: it takes room on the link of the back end's node, and should be
-    through by ``due`` (monotonic seconds); ``answer_window`` bytes may be under way
-    (0: the usual number).
+    """A request as it is sent to a back end.
+
+    ``headers``: end-to-end fields to send, without those for framing and deadline.
+    ``cancellable``: false if the answer is needed even when the caller disconnects.
+    ``deadline``: end of the caller's time, in monotonic seconds.
+    ``service``: service that the back end must belong to; "" for any.
+    ``may_wait``: whether the attempt may wait for a slot until ``start_by`` (monotonic
+    seconds). If false, it is refused at once when no slot is free.
+    ``is_client_retry``: whether the caller retries a call that was refused.
+    ``route``: name of the route, by which the owner estimates the work of the call.
+    ``body_on_credit``: another node gets the body only after it has accepted the call, so
+    that a refusal costs no bytes.
+    ``takes_room``: the body may be large; an owner receives only a few such bodies at a
+    time.
+    ``tenant``: tenant for whom the call is made; "" without tenants.
+    ``answer_is_large``: the answer needs capacity on the link of the owner and should be
+    transferred by ``due`` (monotonic seconds).
+    ``answer_window``: receive window in bytes for a large answer; 0 for the default.
+    ``fingerprint``: identifies equal requests; it is extended as the body arrives.
     """
 
     head: RequestHead
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -1,7 +1,7 @@
 """One call of a caller, from its request's head to its outcome.
 
-Runs in the callbacks of its connections and timers.  What is decided is decided
-by the cores in ``peppershore.request``; this ties them to the I/O.
+A call runs in the callbacks of its connections and timers. The decisions are made by
+the I/O-free modules in ``peppershore.request``; this module connects them to the I/O.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from peppershore.connection.messages.claims import KeptAnswer
 from peppershore.process.node.data.answer_relay import AnswerRelay
 from peppershore.process.node.data.attempt import Attempt, AttemptRequest
-from peppershore.process.node.data.call_story import StoryBook
+from peppershore.process.node.data.call_story import CallRecorder
 from peppershore.process.node.data.calls import Calls
 from peppershore.process.node.data.request_body import (
     STREAMED_REPLAY_BYTES,
     RequestBody,
 )
 from peppershore.process.node.data.verdicts import (
-    FAILED,
-    SHED,
+    FAILED_OUTCOME,
+    SHED_OUTCOME,
     verdict_of_failure,
     verdict_of_status,
 )
@@ -61,28 +61,28 @@
 from peppershore.request.tenants.callers import NOBODY
 from peppershore.request.waiting import Ticket
 
-VERDICT_SECONDS = 0.025
-"""For so long after its deadline a call may wait for the word of the back end's
-own node on whether it ran; after that its outcome is unknown."""
+SETTLE_TIMEOUT_SECONDS = 0.025
+"""After its deadline a call waits this long for its owner to report whether it ran; without
+a report its outcome is unknown."""
 
 
 OVERTIME_SECONDS = 5.0
-"""For so long after its deadline a large answer that has begun may go on: one cut midway
-was sent in vain, and a caller that wants it no more closes its connection."""
+"""A large answer that has begun may continue this long after the deadline. Cutting it would
+waste the bytes already sent, and a caller that no longer wants it disconnects."""
 
 
-NO_STORY = StoryBook(0.0, Fingerprint())
+NO_RECORDER = CallRecorder(0.0, Fingerprint())
 
 
 class Call:
-    """One call; a sink of its request and of its attempts."""
+    """One call: receives the events of its request and of its attempts."""
 
     __slots__ = (
         "_answer",
         "_attempt",
         "_awaits_body",
         "_progress",
-        "_began_at",
+        "_attempt_began_at",
         "_begun",
         "_body",
         "_caller",
@@ -90,7 +90,7 @@
         "_claim",
         "_claim_attempt",
         "_dispatch",
-        "_earlier",
+        "_worst_failure",
         "_exchange",
         "_excluded",
         "_head",
@@ -100,14 +100,14 @@
         "_plan",
         "_request_id",
         "_retry",
-        "_story",
+        "_recorder",
         "_ticket",
         "_timer",
-        "_whose",
+        "_on_behalf",
     )
 
     def __init__(self, calls: Calls, exchange: ServerExchange, head: RequestHead) -> None:
-        """Nothing happens before ``start``."""
+        """Create the call; it is processed from ``start`` on."""
         self._calls = calls
         self._exchange = exchange
         self._head = head
@@ -120,40 +120,40 @@
         self._attempt: Attempt | None = None
         self._progress = CallProgress()
         self._awaits_body = False
-        self._began_at = 0.0
+        self._attempt_began_at = 0.0
         self._begun = False
         self._caller = ""
         self._claim = ""
         self._claim_attempt = ""
         self._dispatch: Dispatch | None = None
-        self._earlier: Failed | None = None
+        self._worst_failure: Failed | None = None
         self._excluded: frozenset[str] = frozenset()
         self._over = False
         self._retry: asyncio.TimerHandle | None = None
-        self._story = NO_STORY
+        self._recorder = NO_RECORDER
         self._ticket: Ticket | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._whose = NOBODY
+        self._on_behalf = NOBODY
 
     @property
     def plan(self) -> CallPlan:
-        """What was decided about the call."""
+        """Plan of the call; available once the request was accepted."""
         assert self._plan is not None
         return self._plan
 
     # --- RequestSink
 
     def start(self) -> None:
-        """Decide what the call is, and admit or refuse it."""
-        self._calls.begun(self)
-        self._story = StoryBook(self._loop.time(), self._body.fingerprint)
+        """Classify and authorize the request, then admit or refuse the call."""
+        self._calls.add_call(self)
+        self._recorder = CallRecorder(self._loop.time(), self._body.fingerprint)
         planned = self._calls.plan(self._head)
         if isinstance(planned, Failure):
             self._fail(planned.failure())
             return
         entry = planned.unwrap()
         self._plan = entry.plan
-        self._whose = entry.whose
+        self._on_behalf = entry.whose
         self._body.fingerprint.identity = identity_of(self._head, entry.caller_name)
         if entry.plan.settings.streamed_bodies:
             self._body.replay_bytes = STREAMED_REPLAY_BYTES
@@ -168,13 +168,16 @@
             self._proceed()
 
     def _proceed(self) -> None:
-        """Go on once the limit of the call's tenant allows it."""
+        """Ask the tenant's rate limit for a permit; once granted, the call continues."""
         self._awaits_body = False
         self._calls.quotas.take(self.plan, self._quota_decided)
 
     def _quota_decided(self, refusal: NotRun | None) -> bool:
-        """Take the decision on the tenant's limit; a call that is over needs none."""
-        if self._over or self._is_refused_by_key():
+        """Handle the decision of the tenant's limit; a refusal fails the call.
+
+        Return False if the call ended meanwhile and the decision was not used.
+        """
+        if self._over or self._fail_if_key_refused():
             return False
         if refusal is None:
             self._claim_or_admit()
@@ -183,7 +186,7 @@
         return True
 
     def _claim_or_admit(self) -> None:
-        """Admit the call, after a claim on its key where it has one."""
+        """Admit the call, after claiming its idempotency key if it has one."""
         if not self.plan.key or self._calls.forwards_unclaimed_keys:
             self._admit()
         elif self._calls.claims.client is None:
@@ -192,7 +195,7 @@
             self._claim_first(claim_key(self._head, self.plan.key, self._caller))
 
     def body_received(self, data: bytes) -> None:
-        """Pass a piece of the request's body on, or hold it."""
+        """Forward a chunk of the request's body, or buffer it until an attempt begins."""
         if self._over:
             return
         self._body.add(data)
@@ -210,7 +213,7 @@
             self._exchange.pause_body()
 
     def body_ended(self, trailers: HeaderList) -> None:
-        """The request is whole."""
+        """Handle the end of the request."""
         self._body.end(self._calls.forwarded_trailers(trailers))
         if self._awaits_body and not self._over:
             self._proceed()
@@ -218,26 +221,30 @@
             self._body.send(self._attempt)
 
     def caller_gone(self) -> None:
-        """Cancel, unless the answer is to be kept for a resend."""
+        """Abort the call because its caller disconnected.
+
+        A call with a claim continues if its attempt has begun and its request is complete:
+        the answer is stored for the caller's retry.
+        """
         if self._over or (self._claim and self._begun and self._body.ended):
             return
-        self._calls.abandoned(self._plan, self._request_id, self._story)
-        self._give_up()
+        self._calls.abandoned(self._plan, self._request_id, self._recorder)
+        self._abort()
 
     def writing_paused(self) -> None:
-        """The caller reads slowly."""
+        """Pause the answer: the caller reads slowly."""
         if self._attempt is not None:
             self._attempt.pause_answer()
 
     def writing_resumed(self) -> None:
-        """The caller caught up."""
+        """Resume the answer: the caller has caught up."""
         if self._attempt is not None:
             self._attempt.resume_answer()
 
     # --- AttemptSink
 
     def attempt_begun(self) -> None:
-        """Send what there is of the body; from here on the call may run."""
+        """Send the body received so far; from here on the call may have run."""
         self._begun = True
         self._exchange.send_continue()
         assert self._attempt is not None
@@ -245,24 +252,30 @@
         self._exchange.resume_body()
 
     def answer_head(self, head: AnswerHead) -> None:
-        """The answer begins."""
-        if self._seeks:
+        """Forward the head of the answer."""
+        if self._probes_for_slot:
             self._calls.admissions.asked_for_slot(self.plan, was_granted=True)
         self._answer.head(head)
 
     def answer_data(self, data: bytes) -> None:
-        """A piece of the answer."""
+        """Forward a chunk of the answer's body."""
         self._answer.data(data)
 
     def answer_batch_ended(self) -> None:
-        """Pass on what there is."""
+        """Flush the answer data forwarded so far."""
         self._answer.flush()
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole: give it first, then free the slot."""
-        if self._answer.is_shed and self._tries_another_after(SHED, "shed"):
+        """Complete the answer, then free the slot; or retry at another back end.
+
+        A load-shedding answer, and a server error on routes that retry errors, is
+        discarded if another back end can be tried.
+        """
+        if self._answer.is_shed and self._retry_elsewhere_if_possible(SHED_OUTCOME, "shed"):
             return
-        if self._retries_error and self._tries_another_after(FAILED, "failed"):
+        if self._retries_error and self._retry_elsewhere_if_possible(
+            FAILED_OUTCOME, "failed"
+        ):
             return
         self._over = True
         self._answer.end(trailers)
@@ -270,34 +283,36 @@
             self._calls.claims.complete(
                 self._claim, self._claim_attempt, self._answer.kept()
             )
-        self._calls.answered(self.plan, self._answer.status, self._request_id, self._story)
+        self._calls.answered(
+            self.plan, self._answer.status, self._request_id, self._recorder
+        )
         self._finish(verdict_of_status(self._answer.status))
 
     def attempt_failed(self, failed: Failed) -> None:
-        """Try again where that is safe and within budget, else tell the caller."""
-        if failed.reason == BUSY and self._seeks:
+        """Retry where that is safe and within the budget, else fail the call."""
+        if failed.reason == BUSY and self._probes_for_slot:
             self._calls.admissions.asked_for_slot(self.plan, was_granted=False)
-        if self._tries_again_after(failed, verdict_of_failure(failed)):
+        if self._retry_if_possible(failed, verdict_of_failure(failed)):
             return
-        self._leave_attempt(failed, verdict_of_failure(failed))
-        assert self._earlier is not None
-        self._fail(self._earlier)
+        self._discard_attempt(failed, verdict_of_failure(failed))
+        assert self._worst_failure is not None
+        self._fail(self._worst_failure)
 
     def sending_paused(self) -> None:
-        """The back end reads slowly."""
+        """Pause the request body: the back end reads slowly."""
         self._exchange.pause_body()
 
     def sending_resumed(self) -> None:
-        """The back end caught up."""
+        """Resume the request body: the back end has caught up."""
         self._exchange.resume_body()
 
     # --- used by the calls
 
     def dispatched(self, dispatch: Dispatch) -> None:
-        """A back end was chosen: start an attempt."""
+        """Start an attempt at the back end that admission chose."""
         self._ticket = None
         self._dispatch = dispatch
-        if self._is_refused_by_key():
+        if self._fail_if_key_refused():
             return
         if self._progress.tries == 0:
             self._calls.repeats.first_attempt(self.plan, self._loop.time())
@@ -310,10 +325,10 @@
             waits=self._progress.waits + may_wait,
             may_wait=may_wait,
         )
-        self._began_at = self._loop.time()
+        self._attempt_began_at = self._loop.time()
         request = self._request()
         seen = self._calls.admissions.choice_seen(dispatch, self.plan, request.may_wait)
-        self._story.note_choice(self._began_at, dispatch.endpoint.node, seen)
+        self._recorder.note_choice(self._attempt_began_at, dispatch.endpoint.node, seen)
         attempt = self._calls.new_attempt(dispatch, self.plan, request, self)
         self._attempt = attempt
         attempt.start()
@@ -332,8 +347,8 @@
             may_wait=self._progress.may_wait
             or not self._calls.admissions.looks_for_free_slots,
             start_by=wait_until(
-                self._began_at,
-                self._calls.start_by(plan, self._whose),
+                self._attempt_began_at,
+                self._calls.start_by(plan, self._on_behalf),
                 max(1, self._progress.waits),
                 self._calls.admissions.most_waits(plan),
             ),
@@ -350,34 +365,34 @@
 
     @property
     def _body_waits_for_credit(self) -> bool:
-        """Whether another node is sent the body only when its back end takes the call."""
+        """Whether another node gets the body only after it has accepted the call."""
         if self.plan.settings.streamed_bodies:
             return True
         length = self._body.received if self._body.ended else self._head.content_length
         return self._calls.body_is_costly(length, self._body.fingerprint)
 
     def refused(self, refusal: NotRun) -> None:
-        """The call lost its place in the queue."""
+        """Fail the call because admission removed it from the queue."""
         self._ticket = None
-        self._fail(worse(self._earlier, refusal))
+        self._fail(worse(self._worst_failure, refusal))
 
     def configuration_changed(self) -> None:
-        """Wait no longer with a key that is of no use any more."""
+        """Fail the call if it has no attempt yet and its key is no longer accepted."""
         if not self._over and self._attempt is None:
-            self._is_refused_by_key()
+            self._fail_if_key_refused()
 
     # --- inside
 
-    def _is_refused_by_key(self) -> bool:
-        """Refuse the call if its key became of no use while it waited."""
-        refusal = self._calls.refusal_of_key(self._whose)
+    def _fail_if_key_refused(self) -> bool:
+        """Fail the call if its key is no longer accepted; return whether it failed."""
+        refusal = self._calls.refusal_of_key(self._on_behalf)
         if refusal is None:
             return False
-        self._fail(worse(self._earlier, refusal))
+        self._fail(worse(self._worst_failure, refusal))
         return True
 
     def _claim_first(self, key: str) -> None:
-        # Never the request id: a caller that sends the call again may repeat that.
+        # The request id would not do: a caller may reuse it when it retries the call.
         self._claim_attempt = self._calls.new_attempt_name()
         self._exchange.pause_body()
         seconds = self.plan.deadline - self._loop.time()
@@ -405,13 +420,13 @@
             return
         self._over = True
         self._answer.give_kept(outcome, self._head.method == b"HEAD")
-        self._calls.answered(self.plan, outcome.status, self._request_id, self._story)
+        self._calls.answered(self.plan, outcome.status, self._request_id, self._recorder)
         self._finish(None)
 
     def _admit(self) -> None:
         refusal = self._calls.quarantine.refusal(self._body.fingerprint)
         if refusal is not None:
-            self._fail(worse(self._earlier, refusal))
+            self._fail(worse(self._worst_failure, refusal))
             return
         ticket = self._calls.admissions.ticket(
             self.plan, self._excluded, self._progress.tries_another_zone
@@ -419,19 +434,24 @@
         self._ticket = ticket
         decision = self._calls.admissions.offer(ticket, self.plan, self)
         if isinstance(decision, Waiting):
-            self._story.note(self._loop.time(), "queued")
+            self._recorder.note(self._loop.time(), "queued")
         if isinstance(decision, Dispatch):
             self.dispatched(decision)
         elif isinstance(decision, NotRun):
             self._ticket = None
-            self._fail(worse(self._earlier, decision))
+            self._fail(worse(self._worst_failure, decision))
+
+    def _retry_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+        """Schedule another attempt if that is safe, useful and within the retry budget.
 
-    def _tries_again_after(self, failed: Failed, verdict: Verdict | None) -> bool:
-        """Make another attempt if that is safe, of use and within the budget."""
+        Return whether one was scheduled.
+        """
         if self._over or self._answer.begun:
             return False
         self._progress = counted(self._progress, failed)
-        step = next_step(self._progress, failed, self._terms(failed.reason in SEEK_ON))
+        step = next_step(
+            self._progress, failed, self._attempt_terms(failed.reason in SEEK_ON)
+        )
         if isinstance(step, GiveUp):
             return False
         delay = self._calls.repeats.delay(
@@ -439,26 +459,29 @@
         )
         if delay is None:
             return False
-        self._leave_attempt(failed, verdict)
+        self._discard_attempt(failed, verdict)
         if not step.elsewhere:
             self._excluded = frozenset()
         self._progress = msgspec.structs.replace(self._progress, may_wait=step.may_wait)
-        self._retry_after(delay)
+        self._schedule_retry(delay)
         return True
 
     @property
     def _retries_error(self) -> bool:
         return self.plan.settings.retry_errors and self._answer.is_error
 
-    def _tries_another_after(self, failed: Failed, verdict: Verdict | None) -> bool:
-        """Leave a whole answer for another back end's, if there is another one."""
-        tried = self._excluded | self._own_try
+    def _retry_elsewhere_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+        """Discard a complete answer and retry, if there is another back end to try.
+
+        Return whether a retry was scheduled.
+        """
+        tried = self._excluded | self._current_node
         if not self._calls.admissions.has_back_end_besides(self.plan, tried):
             return False
-        return self._tries_again_after(failed, verdict)
+        return self._retry_if_possible(failed, verdict)
 
-    def _terms(self, for_free_slot: bool) -> AttemptTerms:
-        tried = self._excluded | self._own_try
+    def _attempt_terms(self, for_free_slot: bool) -> AttemptTerms:
+        tried = self._excluded | self._current_node
         return AttemptTerms(
             repeatable=self.plan.repeatable,
             most_offers=self.plan.settings.retry_attempts + 1,
@@ -476,44 +499,44 @@
         )
 
     @property
-    def _seeks(self) -> bool:
-        """Whether the attempt under way asks for a slot that is free now."""
+    def _probes_for_slot(self) -> bool:
+        """Whether the current attempt probes for a free slot and may not wait for one."""
         return self._calls.admissions.looks_for_free_slots and not self._progress.may_wait
 
     @property
-    def _own_try(self) -> frozenset[str]:
-        """The node whose back end has the attempt under way."""
+    def _current_node(self) -> frozenset[str]:
+        """Node whose back end has the current attempt; empty without an attempt."""
         dispatch = self._dispatch
         return frozenset() if dispatch is None else frozenset({dispatch.endpoint.node})
 
-    def _leave_attempt(self, failed: Failed, verdict: Verdict | None) -> None:
-        for node in self._own_try:
-            self._story.note_failure(self._loop.time(), node, failed)
+    def _discard_attempt(self, failed: Failed, verdict: Verdict | None) -> None:
+        for node in self._current_node:
+            self._recorder.note_failure(self._loop.time(), node, failed)
         self._attempt = None
         self._begun = False
-        self._excluded |= self._own_try
+        self._excluded |= self._current_node
         self._free_slot(verdict)
-        self._earlier = worse(self._earlier, failed)
+        self._worst_failure = worse(self._worst_failure, failed)
 
-    def _retry_after(self, delay: float) -> None:
+    def _schedule_retry(self, delay: float) -> None:
         self._answer.forget()
         if delay <= 0.0:
             self._retry = None
-            self._loop.call_soon(self._try_again)
+            self._loop.call_soon(self._start_retry)
         else:
-            self._retry = self._loop.call_later(delay, self._try_again)
+            self._retry = self._loop.call_later(delay, self._start_retry)
 
-    def _try_again(self) -> None:
+    def _start_retry(self) -> None:
         self._retry = None
-        if self._over or self._is_refused_by_key():
+        if self._over or self._fail_if_key_refused():
             return
         self._body.restart()
         self._admit()
 
     def _deadline_passed(self) -> None:
-        """End the call, once the back end's own node has said whether it ran.
+        """End the call, after giving its owner some time to report whether it ran.
 
-        A large answer that has begun is given whole, for as long as its caller waits.
+        A large answer that has begun may continue for ``OVERTIME_SECONDS`` first.
         """
         if (
             self._answer.begun
@@ -531,7 +554,9 @@
             and attempt.settle()
         )
         if asked:
-            self._timer = self._loop.call_later(VERDICT_SECONDS, self._end_at_deadline)
+            self._timer = self._loop.call_later(
+                SETTLE_TIMEOUT_SECONDS, self._end_at_deadline
+            )
         else:
             self._end_at_deadline()
 
@@ -540,7 +565,7 @@
             failed: Failed = Unknown(STATUS_GATEWAY_TIMEOUT, "deadline-passed")
         else:
             refusal = out_of_time()
-            failed = worse(self._earlier, refusal)
+            failed = worse(self._worst_failure, refusal)
         verdict: Verdict | None = "late" if self._begun else None
         if self._attempt is not None:
             self._attempt.cancel()
@@ -557,9 +582,9 @@
         failed = (
             Unknown(STATUS_BODY_TOO_LARGE, reason)
             if begun
-            else self._calls.as_confirmed(NotRun(STATUS_BODY_TOO_LARGE, reason))
+            else self._calls.checked_refusal(NotRun(STATUS_BODY_TOO_LARGE, reason))
         )
-        self._fail(worse(self._earlier, failed))
+        self._fail(worse(self._worst_failure, failed))
 
     def _fail(self, failed: Failed) -> None:
         self._over = True
@@ -569,12 +594,12 @@
         self._answer.fail(failed)
         if self._claim and isinstance(failed, NotRun):
             self._calls.claims.release(self._claim, self._claim_attempt)
-        self._calls.failed(self._plan, failed, self._request_id, self._story)
+        self._calls.failed(self._plan, failed, self._request_id, self._recorder)
         self._finish(None)
 
-    def _give_up(self) -> None:
-        """The caller is gone: stop all work for it."""
-        if self._claim and not self._begun and not isinstance(self._earlier, Unknown):
+    def _abort(self) -> None:
+        """Stop all work on the call because its caller disconnected."""
+        if self._claim and not self._begun and not isinstance(self._worst_failure, Unknown):
             self._calls.claims.release(self._claim, self._claim_attempt)
         self._answer.give_up()
         if self._attempt is not None:
@@ -592,11 +617,11 @@
             self._calls.admissions.withdraw(self._ticket, self.plan)
             self._ticket = None
         self._free_slot(verdict)
-        self._calls.over(self)
+        self._calls.remove_call(self)
 
     def _free_slot(self, verdict: Verdict | None) -> None:
         dispatch = self._dispatch
         self._dispatch = None
         if dispatch is not None:
-            latency = self._loop.time() - self._began_at
+            latency = self._loop.time() - self._attempt_began_at
             self._calls.admissions.slot_freed(dispatch, self.plan, latency, verdict)
--- a/src/peppershore/process/node/data/call_entry.py
+++ b/src/peppershore/process/node/data/call_entry.py
@@ -1,4 +1,4 @@
-"""The way in: what a request is, who may make it, and what goes on to a back end."""
+"""Request entry: classification, authorization and the headers sent to back ends."""
 
 from __future__ import annotations
 
@@ -42,23 +42,23 @@
 
 
 class Freshness:
-    """How long ago the configuration in use was confirmed; the shell keeps it so."""
+    """When a quorum last confirmed that the configuration in use is the latest."""
 
     def __init__(self) -> None:
-        """A node without control plane, as in tests, counts as confirmed."""
+        """Start as confirmed; a node without control plane, as in tests, stays so."""
         self._confirmed_at = math.inf
 
     def confirmed(self, at: float) -> None:
-        """A quorum confirmed the configuration at this monotonic time."""
+        """Record that a quorum confirmed the configuration at this monotonic time."""
         self._confirmed_at = at
 
     def age_seconds(self, now: float) -> float:
-        """Give the seconds since the newest confirmation."""
+        """Return the seconds since the latest confirmation."""
         return now - self._confirmed_at
 
 
 class EntryPlan(msgspec.Struct, frozen=True):
-    """What a call is, who calls, and on whose behalf."""
+    """An accepted request: its plan, its caller, and the tenant it is made for."""
 
     plan: CallPlan
     caller: Caller
@@ -66,12 +66,12 @@
 
     @property
     def caller_name(self) -> str:
-        """Who calls: a token's subject or a tenant; empty for the public."""
+        """Subject of the caller's token, else its tenant; empty for the public."""
         return self.caller.name or self.whose.tenant
 
 
 class CallEntry:
-    """Judges requests by the configuration; remembers tokens and callers' rates."""
+    """Checks requests against the configuration; caches tokens and callers' rates."""
 
     def __init__(
         self,
@@ -80,14 +80,15 @@
         random: RandomSource,
         names: WireNames,
     ) -> None:
-        """``settings`` name the back end that this node vouches for.
+        """Start without a configuration.
 
-        ``freshness`` tells whether the configuration is confirmed.
+        ``settings`` name the local back end, whose calls this node signs tokens for.
+        ``freshness`` is the age of the configuration's latest confirmation.
         """
         self._random = random
         self._names = names
         self._service = settings.service.encode("latin-1")
-        self._replaced = frozenset(
+        self._replaced_names = frozenset(
             {
                 names.deadline,
                 names.outcome,
@@ -99,7 +100,7 @@
         )
         self._freshness = freshness
         apply_seconds = settings.apply_milliseconds / MILLISECONDS
-        self._bound = RefusalBound(min(apply_seconds, REFUSAL_FRESHNESS_SECONDS))
+        self._refusal_bound = RefusalBound(min(apply_seconds, REFUSAL_FRESHNESS_SECONDS))
         self._tenants = TenantCallers(
             KeyTerms(
                 apply_seconds,
@@ -109,14 +110,14 @@
         )
         self._backend_host = settings.backend.rpartition(":")[0]
         self._audience = AudienceCheck()
-        self._voucher = Voucher(settings.service)
+        self._token_signer = Voucher(settings.service)
         self._rates = CallerRates()
-        self._usual = UsualDeadlines()
+        self._usual_deadlines = UsualDeadlines()
 
     def use_configuration(self, configuration: ActiveConfiguration) -> None:
-        """Judge by its tenants; forget what was learned of routes there are no more."""
+        """Apply the configuration's tenants; drop the state of routes that it lacks."""
         self._tenants.keys.use(configuration.tenants)
-        self._usual.keep_only(configuration.holds_route)
+        self._usual_deadlines.keep_only(configuration.holds_route)
 
     def plan(
         self,
@@ -125,16 +126,20 @@
         now: float,
         running: RunningCalls,
     ) -> Result[EntryPlan, NotRun]:
-        """Decide what a call is and whether its caller may make it.
+        """Classify and authorize a request; return its plan or the refusal.
 
-        ``running``: what the own back end runs, whose calls go first.
+        ``running`` are the calls that the local back end runs now. Calls that the back end
+        makes while running one of them take precedence.
         """
         judged = self._judge(configuration, head, now, running)
         return judged.alt(lambda refusal: self.confirmed(refusal, now))
 
     def confirmed(self, refusal: NotRun, now: float) -> NotRun:
-        """Give a refusal as it may be said by a configuration of this age."""
-        return self._bound.judged(refusal, self._freshness.age_seconds(now))
+        """Return the refusal, or a retryable one if the configuration is too old for it.
+
+        A refusal that callers take as final needs a recently confirmed configuration.
+        """
+        return self._refusal_bound.judged(refusal, self._freshness.age_seconds(now))
 
     def _judge(
         self,
@@ -146,14 +151,14 @@
         classified = classify(configuration, head, now, self._random, self._names)
         if isinstance(classified, Failure) or configuration is None:
             return classified.map(lambda plan: EntryPlan(plan, Caller("")))
-        plan = self._noting_client_retry(classified.unwrap())
+        plan = self._with_client_retry_mark(classified.unwrap())
         parentage = self._parentage(head, running)
         age = self._freshness.age_seconds(now)
         judged = self._tenants.judge(plan.settings, head.headers, parentage, age)
         if isinstance(judged, Failure):
             return Failure(judged.failure())
         whose = judged.unwrap()
-        plan = self._on_behalf(plan, whose)
+        plan = self._with_tenant(plan, whose)
         if parentage.tenant is not None:
             plan = first_in_line(plan, now)
         checked = self._check_audience(plan, configuration, head, now)
@@ -170,21 +175,27 @@
 
     @property
     def asks_for_keys(self) -> bool:
-        """Whether there are tenants, whose calls come with a key."""
+        """Whether tenants are configured, so that their calls need a key."""
         return self._tenants.keys.in_force
 
     def refusal_of_key(self, whose: OnBehalf, now: float) -> NotRun | None:
-        """Give why a call that waited may not go on with its key, if it may not."""
+        """Return a refusal if a waiting call's key is no longer accepted, else None."""
         refusal = self._tenants.refusal(whose, self._freshness.age_seconds(now))
         return None if refusal is None else self.confirmed(refusal, now)
 
     def start_by(self, plan: CallPlan, whose: OnBehalf, now: float) -> float:
-        """Give until when a call may wait at a node that does not know its key."""
+        """Return the end of the wait at a node that cannot check the call's key.
+
+        In monotonic seconds.
+        """
         wait = self._tenants.longest_wait(whose, self._freshness.age_seconds(now))
         return min(plan.start_by, now + wait)
 
     def forwarded_trailers(self, trailers: HeaderList) -> HeaderList:
-        """Give the trailer fields for the back end: nothing that a head may not say."""
+        """Return the trailer fields for the back end, without tenant or key fields.
+
+        A caller must not set these in the head, so it must not set them in trailers either.
+        """
         unwanted = {self._names.tenant}
         if self._tenants.keys.in_force:
             unwanted.add(AUTHORIZATION_HEADER)
@@ -197,8 +208,8 @@
         request_id: bytes,
         plan: CallPlan,
     ) -> HeaderList:
-        """Give the header fields for the back end."""
-        headers = [field for field in head.headers if field[0] not in self._replaced]
+        """Return the header fields to send to the back end."""
+        headers = [field for field in head.headers if field[0] not in self._replaced_names]
         headers = self._tenants.without_keys(plan.settings, headers)
         if self._names.tenant and plan.tenant:
             headers.append((self._names.tenant, plan.tenant.encode()))
@@ -206,12 +217,12 @@
         if self._names.caller:
             headers.append((self._names.caller, self._service))
         if self._from_own_backend(head) and not head.header(AUTHORIZATION_HEADER):
-            self._vouch(configuration, headers)
+            self._add_token(configuration, headers)
         return headers
 
-    def _noting_client_retry(self, plan: CallPlan) -> CallPlan:
-        """Tell a call that was refused before by the time it has left."""
-        is_client_retry = self._usual.is_client_retry(
+    def _with_client_retry_mark(self, plan: CallPlan) -> CallPlan:
+        """Mark a call as a caller's retry if it has less time left than is usual."""
+        is_client_retry = self._usual_deadlines.is_client_retry(
             plan.service, plan.route, plan.remaining
         )
         return (
@@ -227,28 +238,28 @@
     ) -> Result[Caller, NotRun]:
         authorization = head.header(AUTHORIZATION_HEADER)
         if not authorization and self._from_own_backend(head):
-            authorization = self._voucher.authorization(configuration, time.time())
+            authorization = self._token_signer.authorization(configuration, time.time())
         return self._audience.check(
             plan.settings,
             configuration.secrets,
             authorization,
             time.time(),
-            is_confirmed=self._bound.allows(self._freshness.age_seconds(now)),
+            is_confirmed=self._refusal_bound.allows(self._freshness.age_seconds(now)),
         )
 
-    def _vouch(
+    def _add_token(
         self, configuration: ActiveConfiguration | None, headers: HeaderList
     ) -> None:
         if configuration is not None:
-            token = self._voucher.authorization(configuration, time.time())
+            token = self._token_signer.authorization(configuration, time.time())
             if token:
                 headers.append((AUTHORIZATION_HEADER, token))
 
-    def _on_behalf(self, plan: CallPlan, whose: OnBehalf) -> CallPlan:
-        """Give the plan of a call that is made on behalf of a tenant.
+    def _with_tenant(self, plan: CallPlan, whose: OnBehalf) -> CallPlan:
+        """Return the plan with the tenant's name and priority.
 
-        Where there are tenants, each call goes through the back end's own node: it must
-        know on whose behalf the back end then calls on.
+        If tenants are configured, every call goes through the owner of its back end: the
+        owner must know for which tenant the back end makes further calls.
         """
         if not self._tenants.keys.in_force:
             return plan
@@ -261,9 +272,11 @@
         )
 
     def _parentage(self, head: RequestHead, running: RunningCalls) -> Parentage:
-        """Callers beside the back end share its address: the id tells them apart.
+        """Return which running call of the local back end, if any, made this request.
 
-        So does a key, where there are tenants: a back end shows none.
+        Callers on the same host share the back end's address, so the parent is found by
+        the request id. A request with a key, where tenants are configured, has no parent:
+        a back end sends none.
         """
         if not self._from_own_backend(head):
             return NO_PARENT
--- a/src/peppershore/process/node/data/call_listener.py
+++ b/src/peppershore/process/node/data/call_listener.py
@@ -1,4 +1,7 @@
-"""Accepts call links: the authority over this node's back end, for its peers."""
+"""Accepts call links from peers, which send calls and requests for slot loans.
+
+This node is the owner of its local back end and alone decides on its slots.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class CallListener:
-    """The links of peers that send calls for this node's back end."""
+    """Links of peers that send calls to the local back end."""
 
     def __init__(
         self,
@@ -44,9 +47,10 @@
         log: CallLog,
         packs_heads: bool = False,
     ) -> None:
-        """``backend`` gives the authority, once the node has one.
+        """Create the listener; it listens from ``start`` on.
 
-        ``packs_heads`` as of ``CallLink``.
+        ``backend`` returns the local back end, or None while the node has none.
+        ``packs_heads`` is passed on to ``CallLink``.
         """
         self._log = log
         self._packs_heads = packs_heads
@@ -62,32 +66,32 @@
 
     @property
     def streams(self) -> int:
-        """Calls of peers in flight."""
+        """Number of calls from peers in flight."""
         return sum(link.streams for link in self._links)
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; give the port bound."""
+        """Start listening; return the bound port."""
         return await self._listener.start(host, port)
 
     def lent(self, now: float) -> int:
-        """Slots that peers may be using directly."""
+        """Return the number of slots that peers may still be using under a loan."""
         return self._lender.lent(now) if self._lender is not None else 0
 
     def take_back_expired(self, now: float) -> None:
-        """Use slots again whose loans are over."""
+        """Reclaim the slots of expired loans for this node's own use."""
         backend = self._backend()
         if backend is not None and self._lender is not None:
             backend.lend(self._lender.lent(now))
 
     def lend_no_more(self) -> None:
-        """The back end leaves: shrink every loan to nothing."""
+        """Recall every loan because the back end is leaving."""
         if self._lender is not None:
             self._lender.recall()
         for link in self._links:
             link.send(SlotsLent(RECALL_NUMBER, 0, 0))
 
     async def close(self) -> None:
-        """Close the listener and the links."""
+        """Close the listener and all links."""
         await self._listener.close()
         for link in list(self._links):
             link.close()
@@ -130,19 +134,19 @@
             case _:
                 pass
 
-    def _lend(self, link: CallLink, ask: SlotsAsked) -> None:
+    def _lend(self, link: CallLink, request: SlotsAsked) -> None:
         backend = self._backend()
         if backend is None or link not in self._links:
-            link.send(SlotsLent(ask.number, 0, 0))
+            link.send(SlotsLent(request.number, 0, 0))
             return
         lender = self._lender_of(backend)
         now = asyncio.get_running_loop().time()
         free = backend.slots - backend.admission.in_flight - lender.lent(now)
-        wanted = 0 if backend.leaving else ask.wanted
+        wanted = 0 if backend.leaving else request.wanted
         borrower = self._links[link]
-        granted = lender.asked(borrower, ask.number, wanted, free, now)
+        granted = lender.asked(borrower, request.number, wanted, free, now)
         backend.lend(lender.lent(now))
-        link.send(SlotsLent(ask.number, granted, int(LEASE_SECONDS * MILLISECONDS)))
+        link.send(SlotsLent(request.number, granted, int(LEASE_SECONDS * MILLISECONDS)))
 
     def _lender_of(self, backend: OwnBackend) -> Lender:
         longest = self._longest_call_seconds()
--- a/src/peppershore/process/node/data/call_log.py
+++ b/src/peppershore/process/node/data/call_log.py
@@ -1,4 +1,4 @@
-"""Which calls of a node get a log line, and where the line goes."""
+"""Selection and output of call records in the log."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 
 
 class CallLog:
-    """Writes a line for every call that was not answered, and for some that were."""
+    """Logs every call that was not answered, and a sample of the answered calls."""
 
     def __init__(self, write: Callable[[Notice], None], answered_every: int) -> None:
-        """Of answered calls write each ``answered_every``-th (0: none)."""
+        """Log one of ``answered_every`` answered calls on average; none if 0."""
         self.write = write
         self._answered_every = answered_every
 
     def takes_answered(self, request_id: bytes) -> bool:
-        """Tell whether an answered call has a line: the same at every node it passes."""
+        """Return whether to log an answered call.
+
+        The sample is taken by a hash of the request id, so that every node on the path of a
+        call decides alike.
+        """
         if self._answered_every == 0:
             return False
         return xxhash.xxh32_intdigest(request_id) % self._answered_every == 0
--- a/src/peppershore/process/node/data/call_figures.py
+++ b/src/peppershore/process/node/data/call_metrics.py
@@ -1,4 +1,4 @@
-"""Counts and latencies of calls by service, route, outcome and reason."""
+"""Metrics: counts and latencies of calls by service, route, outcome and reason."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 """Upper bounds of the latency buckets, in seconds."""
 
 MAX_KINDS = 4_000
-"""Kinds of ends that are told apart; further ones count as one."""
+"""Maximum number of label combinations; calls of further ones are counted together."""
 
 
 class CallKind(msgspec.Struct, frozen=True):
-    """How a call ended, and which."""
+    """Labels of the latency histogram."""
 
     service: str
     route: str
@@ -32,7 +32,7 @@
 OTHER_KINDS = CallKind("", "", "other", "")
 
 
-class _Ends:
+class _Latencies:
     __slots__ = ("buckets", "seconds")
 
     def __init__(self) -> None:
@@ -40,30 +40,30 @@
         self.seconds = 0.0
 
 
-class CallFigures:
-    """The ends of all calls of one node since its start."""
+class CallMetrics:
+    """Latency histogram of all calls that ended at this node since its start."""
 
     def __init__(self) -> None:
-        """Begin without calls."""
-        self._ends: dict[CallKind, _Ends] = {}
+        """Start with an empty histogram."""
+        self._latencies: dict[CallKind, _Latencies] = {}
 
     def ended(
         self, plan: CallPlan | None, outcome: str, reason: str, seconds: float
     ) -> None:
-        """Count a call that ended after so many seconds."""
+        """Count a call that ended after ``seconds``."""
         service = "" if plan is None else plan.service
         route = "" if plan is None else plan.route
         kind = CallKind(service, route, outcome, reason)
-        ends = self._ends.get(kind)
-        if ends is None:
-            if len(self._ends) >= MAX_KINDS:
+        latencies = self._latencies.get(kind)
+        if latencies is None:
+            if len(self._latencies) >= MAX_KINDS:
                 kind = OTHER_KINDS
-            ends = self._ends.setdefault(kind, _Ends())
-        ends.buckets[bisect_left(BOUNDS, seconds)] += 1
-        ends.seconds += seconds
+            latencies = self._latencies.setdefault(kind, _Latencies())
+        latencies.buckets[bisect_left(BOUNDS, seconds)] += 1
+        latencies.seconds += seconds
 
     def collect(self) -> Iterator[Metric]:
-        """Give the histogram, as the metrics library's registry asks for it."""
+        """Yield the histogram, as a collector of the metrics library's registry."""
         from prometheus_client import core  # noqa: PLC0415
 
         histogram = core.HistogramMetricFamily(
@@ -71,16 +71,16 @@
             "Calls by how they ended, and how long they took at their caller's node.",
             labels=list(CallKind.__struct_fields__),
         )
-        for kind, ends in self._ends.items():
+        for kind, latencies in self._latencies.items():
             labels = list(msgspec.structs.astuple(kind))
-            histogram.add_metric(labels, _cumulative(ends.buckets), ends.seconds)
+            histogram.add_metric(labels, _cumulative(latencies.buckets), latencies.seconds)
         yield histogram
 
 
 def _cumulative(buckets: list[int]) -> list[tuple[str, float]]:
-    found: list[tuple[str, float]] = []
+    cumulative: list[tuple[str, float]] = []
     total = 0
     for bound, count in zip((*BOUNDS, "+Inf"), buckets, strict=True):
         total += count
-        found.append((str(bound), float(total)))
-    return found
+        cumulative.append((str(bound), float(total)))
+    return cumulative
--- a/src/peppershore/process/node/data/call_repeats.py
+++ b/src/peppershore/process/node/data/call_retries.py
@@ -1,4 +1,4 @@
-"""How often the calls of a node may be tried again, and when their callers come back."""
+"""Limits on the retries of a node, and pacing of its callers' retries."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 MILLISECONDS = 1_000
 
 
-class CallRepeats:
-    """Retry budgets and the pace of callers' retries, by target service."""
+class CallRetries:
+    """Retry budgets and the rate of callers' retries, by target service."""
 
     def __init__(
         self,
@@ -29,11 +29,15 @@
         notice_sink: Callable[[Notice], None],
         random: RandomSource,
     ) -> None:
-        """``bound`` is what all nodes keep together; without it each keeps its own."""
+        """Start with unused budgets.
+
+        ``bound`` is the retry bound shared by all nodes; without it each node has its own
+        budgets.
+        """
         self.nodes = 0
-        """Nodes with a back end, which share the bound."""
+        """Number of nodes with a back end, which share the bound."""
         self.count = 0
-        """Attempts after a call's first, since the start."""
+        """Number of retries since the start of the process."""
         self._bound = bound
         self._notice_sink = notice_sink
         self._random = random
@@ -44,9 +48,9 @@
     def delay(
         self, plan: CallPlan, offers: int, now: float, costs_budget: bool
     ) -> float | None:
-        """Give the wait before another attempt, or None if there must be none.
+        """Return the seconds to wait before a retry, or None if a retry is not allowed.
 
-        What no back end saw may be tried elsewhere at once.
+        A retry of a call that reached no back end costs no budget and starts at once.
         """
         delay = retry_delay(offers, self._random) if costs_budget else 0.0
         if now + delay >= plan.deadline:
@@ -58,14 +62,18 @@
         return delay
 
     def first_attempt(self, plan: CallPlan, now: float) -> None:
-        """Let a call's first attempt earn its share of a retry."""
+        """Credit the retry budget for the first attempt of a call."""
         if self._bound is None:
             self._budgets[plan.target].earn(plan.settings.retry_budget_percent)
         else:
             self._shared_budget(plan.target, self._bound).called(now)
 
     def with_paced_retry_after(self, plan: CallPlan, refusal: NotRun, now: float) -> NotRun:
-        """Give a call refused twice for want of room its place among the retries."""
+        """Return the refusal with a retry time that paces the callers' retries.
+
+        It applies to a retrying caller that is refused again because slots or link
+        capacity are short; other refusals are returned unchanged.
+        """
         if not plan.is_client_retry or refusal.reason not in ROOM_REASONS:
             return refusal
         wait = refusal.retry_after_milliseconds / MILLISECONDS
@@ -74,7 +82,7 @@
         return msgspec.structs.replace(refusal, retry_after_milliseconds=advice)
 
     def answered(self, plan: CallPlan, now: float) -> None:
-        """A call was answered: callers may come back at this rate."""
+        """Count an answered call; callers may retry at the rate of answers."""
         self._retry_paces[plan.target].answered(now)
 
     # --- inside
--- a/src/peppershore/process/node/data/call_story.py
+++ b/src/peppershore/process/node/data/call_story.py
@@ -1,7 +1,7 @@
-"""What happened to one call at one node, as a log line.
+"""Call records: what happened to one call at one node, as a structured log line.
 
-The caller's node and the back end's own node write a line each, under the caller's
-request id.  A line holds every decision with the inputs that made it.
+The caller's node and the owner of the back end each write a record under the caller's
+request id. A record holds every decision together with the inputs it was based on.
 """
 
 from __future__ import annotations
@@ -20,14 +20,16 @@
 
 
 class CallStep(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One decision.
-
-    ``at_milliseconds`` counts from when the request was read.  ``in_flight`` and
-    ``load`` are what the choice of ``node`` went by: this node's own calls there, and
-    how many others its owner told of, ``load_age_milliseconds`` ago.  ``pace_percent`` is
-    how long work took at its machine (100 as usual; 0: never told) as the back end said
-    ``pace_age_milliseconds`` ago; ``pace_source``: "own" where it is the node's own back
-    end, else "told" by its node.
+    """One decision about a call.
+
+    ``at_milliseconds``: time since the request was read.
+    ``in_flight`` and ``load``: inputs of the choice of ``node``. They are the number of
+    calls that this node has in flight there, and the number of other calls that the owner
+    reported ``load_age_milliseconds`` ago.
+    ``pace_percent``: service time of the back end relative to the usual one (100: as
+    usual, 200: twice as long, 0: never reported), ``pace_age_milliseconds`` ago.
+    ``pace_source``: "own" for the local back end, "told" for one whose owner reported
+    the pace.
     """
 
     at_milliseconds: int
@@ -44,7 +46,7 @@
 
 
 class CallEnd(msgspec.Struct, frozen=True):
-    """How a call ended; ``status`` is 0 where the caller left."""
+    """How a call ended; ``status`` is 0 if the caller disconnected."""
 
     outcome: str
     reason: str
@@ -52,12 +54,15 @@
 
 
 class CallStory(Notice, frozen=True):
-    """A call ended at its caller's node; ``version`` chose the route.
-
-    The configuration's age is -1 where it was never confirmed to be the latest.
-    ``fingerprint`` is the same for a request that is sent again; ``tenant`` on whose
-    behalf it was made, "" where there is none or none is known.  Of calls without a good
-    key only some have a line; ``lines_left_out`` others were refused alike before it.
+    """Record of a call that ended at its caller's node.
+
+    ``version``: configuration version by which the route was chosen.
+    ``configuration_age_milliseconds``: time since a quorum confirmed that the configuration
+    is the latest; -1 if it never did.
+    ``fingerprint``: equal for a request and its retries by the caller.
+    ``tenant``: tenant for whom the call was made; "" if there is none or it is unknown.
+    ``lines_left_out``: calls without a valid key are logged at a limited rate; this is the
+    number of calls refused for the same reason since the previous record.
     """
 
     level: ClassVar[str] = "info"
@@ -79,12 +84,12 @@
 
 
 class ServedStory(Notice, frozen=True):
-    """A peer's call ended at the back end's own node.
+    """Record of a peer's call that ended at the owner of the back end.
 
-    ``running``, ``waiting`` and ``slots`` are the back end's when the call came.
-    ``waited_milliseconds`` is until it had a slot (-1: it never had one).
-    ``pace_percent`` is how long work took at the machine while it ran, 100 as usual, as a
-    mean of what the back end said; 0 where it said nothing.
+    ``running``, ``waiting`` and ``slots``: state of the back end when the call arrived.
+    ``waited_milliseconds``: time until the call got a slot; -1 if it never got one.
+    ``pace_percent``: service time of the back end relative to the usual one (100: as
+    usual) while the call ran, as the mean of the back end's reports; 0 without reports.
     """
 
     level: ClassVar[str] = "info"
@@ -105,7 +110,7 @@
 
 
 class ServedRun(msgspec.Struct, frozen=True):
-    """How a peer's call ran: see ``ServedStory``."""
+    """Wait time and pace of a peer's call, as in ``ServedStory``."""
 
     waited_milliseconds: int = -1
     pace_percent: int = 0
@@ -115,7 +120,7 @@
 
 
 class ServedRecord(msgspec.Struct, frozen=True):
-    """What the back end's own node knew when a peer's call came."""
+    """State of the owner's back end when a peer's call arrived."""
 
     request_id: bytes
     service: str
@@ -130,7 +135,7 @@
 def served_story(
     record: ServedRecord, end: CallEnd, now: float, run: ServedRun = NEVER_RAN
 ) -> ServedStory:
-    """Give the line of a peer's call that ended now (monotonic seconds)."""
+    """Return the record of a peer's call that ended at ``now`` (monotonic seconds)."""
     return ServedStory(
         request_id=record.request_id.decode("latin-1"),
         service=record.service,
@@ -149,29 +154,29 @@
 
 
 def failure_end(failed: Failed) -> CallEnd:
-    """Give how a call ended that got no answer."""
+    """Return the end of a call that got no answer."""
     outcome = "not-run" if isinstance(failed, NotRun) else "unknown"
     return CallEnd(outcome, failed.reason, failed.status)
 
 
-class StoryBook:
-    """Collects the steps of one call."""
+class CallRecorder:
+    """Collects the decisions about one call, at most ``MAX_STEPS``."""
 
     __slots__ = ("_steps", "began_at", "fingerprint")
 
     def __init__(self, began_at: float, fingerprint: Fingerprint) -> None:
-        """Begin when the request was read (monotonic seconds)."""
+        """Start at ``began_at``, when the request was read (monotonic seconds)."""
         self.began_at = began_at
         self.fingerprint = fingerprint
         self._steps: list[CallStep] = []
 
     @property
     def steps(self) -> tuple[CallStep, ...]:
-        """The decisions so far."""
+        """Decisions so far, in order of time."""
         return tuple(self._steps)
 
     def milliseconds(self, now: float) -> int:
-        """Give the time since the request was read."""
+        """Return the milliseconds since the request was read."""
         return round((now - self.began_at) * MILLISECONDS)
 
     def note(self, now: float, step: str, node: str = "", reason: str = "") -> None:
@@ -180,7 +185,7 @@
             self._steps.append(CallStep(self.milliseconds(now), step, node, reason))
 
     def note_choice(self, now: float, node: str, seen: ChoiceSeen) -> None:
-        """Add the choice of a back end, and what it went by."""
+        """Add the choice of a back end and the inputs of that choice."""
         if len(self._steps) < MAX_STEPS:
             self._steps.append(
                 CallStep(
@@ -214,7 +219,7 @@
 
 
 class ChoiceSeen(msgspec.Struct, frozen=True):
-    """What a node saw of a back end when it chose it."""
+    """What a node knew of a back end when it chose it; fields as in ``CallStep``."""
 
     in_flight: int
     load: int
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -1,4 +1,4 @@
-"""All calls of a node: what they share, and the way each attempt goes."""
+"""State shared by all calls of one node, and the transport of each attempt."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from peppershore.process.node.data.attempt import Attempt, AttemptRequest, AttemptSink
 from peppershore.process.node.data.back_end_pools import BackEndPools
 from peppershore.process.node.data.call_entry import CallEntry, EntryPlan, Freshness
-from peppershore.process.node.data.call_figures import CallFigures
 from peppershore.process.node.data.call_log import CallLog
-from peppershore.process.node.data.call_repeats import CallRepeats
+from peppershore.process.node.data.call_metrics import CallMetrics
+from peppershore.process.node.data.call_retries import CallRetries
 from peppershore.process.node.data.call_story import (
     CallEnd,
+    CallRecorder,
     CallStory,
-    StoryBook,
     failure_end,
 )
 from peppershore.process.node.data.claim_desk import ClaimDesk
@@ -60,27 +60,28 @@
 
 MILLISECONDS = 1_000
 STOP_MARGIN_SECONDS = 0.2
-"""A call's deadline comes so long before the end of a planned stop."""
+"""While a node stops, a call is accepted only if its deadline is at least this long before
+the end of the planned stop."""
 
 NEVER_CONFIRMED = -1
-"""Shown for the age of a configuration that was never confirmed."""
+"""Logged as the age of a configuration that no quorum has confirmed yet."""
 
-NOTHING_RUNS = RunningCalls()
-"""What runs beside a node without a back end."""
+NO_RUNNING_CALLS = RunningCalls()
+"""Running calls of a node that has no local back end."""
 
 
 class LiveCall(Protocol):
-    """A call that is not over."""
+    """A call in progress."""
 
     def caller_gone(self) -> None:
-        """Give the call up."""
+        """Abort the call because its caller disconnected."""
 
     def configuration_changed(self) -> None:
-        """Wait no longer with a key that is of no use any more."""
+        """Fail the call if it still waits and its key is no longer accepted."""
 
 
 class CallCounts(msgspec.Struct):
-    """Ends of calls since the start."""
+    """Number of ended calls since the start of the process, by outcome."""
 
     answered: int = 0
     not_run: int = 0
@@ -89,7 +90,7 @@
 
 
 class Calls:
-    """What the calls of one node share: configuration, limits, pools, budgets."""
+    """Configuration, limits, pools, retry budgets and counters of one node's calls."""
 
     def __init__(
         self,
@@ -109,7 +110,7 @@
         if settings.link_megabits > 0.0:
             self.large_answers = LargeAnswers(settings.link_megabits)
         self.counts = CallCounts()
-        self.figures = CallFigures()
+        self.figures = CallMetrics()
         self._settings = settings
         self.log = CallLog(notice_sink, settings.log_answered_every)
         self._refusal_lines = RefusalLines()
@@ -121,11 +122,11 @@
         self.weights = ConfiguredWeights()
         self.admissions = ServiceAdmissions(settings, notice_sink, random, self.weights)
         bound = retry_bound(settings.shared_retries)
-        self.repeats = CallRepeats(bound, notice_sink, random)
+        self.repeats = CallRetries(bound, notice_sink, random)
         self._pools = BackEndPools()
         links.on_allowance = self._pools.limit_borrowed
         links.on_load = self.admissions.load_heard
-        self._end = math.inf
+        self._stop_at = math.inf
         self._any_call_until = math.inf
         self._live: set[LiveCall] = set()
         self._id_prefix = secrets.token_hex(6).encode()
@@ -133,14 +134,18 @@
 
     @property
     def forwards_unclaimed_keys(self) -> bool:
-        """Whether calls with an idempotency key go on without a claim."""
+        """Whether calls with an idempotency key are forwarded without a claim.
+
+        They are if the node has no claims client and the settings allow it.
+        """
         return self.claims.client is None and self._settings.forward_unclaimed_keys
 
     def body_is_costly(self, length: int | None, fingerprint: Fingerprint) -> bool:
-        """Whether a body should be sent only where the call is taken.
+        """Return whether a body should be sent only after the owner has accepted the call.
 
-        One that is suspected to end back ends goes along with its head: only the whole
-        request tells its owner to run it alone.
+        Such a body takes this node's link long to send. A request that is suspected of
+        crashing back ends is the exception, its body is sent with its head: the owner
+        needs the complete request to recognise it and run it alone.
         """
         if not takes_long(length, self._settings.link_megabits):
             return False
@@ -148,18 +153,18 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls not over."""
+        """Number of calls in progress."""
         return len(self._live)
 
     def use_own_back_end(self, own: OwnBackend | None) -> None:
-        """The back end beside this node, if there is one."""
+        """Set the local back end; ``None`` if this node has none."""
         self.own = own
         self.admissions.own = own
 
     # --- configuration and endpoints
 
     def use_configuration(self, active: ActiveConfiguration) -> None:
-        """Decide new calls by this configuration."""
+        """Apply a configuration to new calls, and to waiting calls that use a key."""
         self.configuration = active
         self._entry.use_configuration(active)
         self.weights.use(active.tenants)
@@ -171,20 +176,20 @@
         self.quotas.use_configuration(active)
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Replace the live endpoints."""
+        """Replace the set of live endpoints and close connections to all others."""
         self.repeats.nodes = len({each.node for each in endpoints})
         self._pools.keep_only(endpoints)
         self._links.keep_only(frozenset(endpoint.owner_address for endpoint in endpoints))
         self.admissions.use_endpoints(endpoints)
 
     def tick(self, now: float) -> None:
-        """Do what is due every second or so."""
+        """Run periodic maintenance, about once per second."""
         self._pools.trim(now)
         self._links.renew(now)
         self.quarantine.tick(now)
 
     def close(self) -> None:
-        """Cut what is left."""
+        """Abort all calls in progress and release every resource."""
         for call in list(self._live):
             call.caller_gone()
         self._pools.close()
@@ -196,43 +201,51 @@
 
     # --- used by a call
 
-    def begun(self, call: LiveCall) -> None:
-        """A call came in."""
+    def add_call(self, call: LiveCall) -> None:
+        """Register a new call."""
         self._live.add(call)
 
-    def over(self, call: LiveCall) -> None:
-        """A call is over."""
+    def remove_call(self, call: LiveCall) -> None:
+        """Remove a call that has ended."""
         self._live.discard(call)
 
     def new_request_id(self) -> bytes:
-        """Give an id for a request that has none."""
+        """Return a unique id for a request that came without one."""
         return self._id_prefix + b"-%x" % next(self._id_numbers)
 
     def new_attempt_name(self) -> str:
-        """Give a name that no other claim of any process has."""
+        """Return a name for a claim attempt, unique among all processes."""
         return self.new_request_id().decode("ascii")
 
     def plan(self, head: RequestHead) -> Result[EntryPlan, NotRun]:
-        """Decide what a call is and whether its caller may make it."""
-        running = NOTHING_RUNS if self.own is None else self.own.running
+        """Classify and authorize a request; return its plan or the refusal.
+
+        The version group is chosen here too.
+        """
+        running = NO_RUNNING_CALLS if self.own is None else self.own.running
         now = self.loop.time()
         planned = self._entry.plan(self.configuration, head, now, running)
-        return planned.bind(lambda entry: self._in_time(entry, now)).map(self._drawn)
+        return planned.bind(lambda entry: self._check_planned_stop(entry, now)).map(
+            self._with_version_group
+        )
 
-    def as_confirmed(self, refusal: NotRun) -> NotRun:
-        """Give a refusal as the configuration's age allows it."""
+    def checked_refusal(self, refusal: NotRun) -> NotRun:
+        """Return the refusal, or a retryable one if the configuration is too old for it."""
         return self._entry.confirmed(refusal, self.loop.time())
 
     def refusal_of_key(self, whose: OnBehalf) -> NotRun | None:
-        """Give why a call that waited may not go on with its key, if it may not."""
+        """Return a refusal if a waiting call's key is no longer accepted, else None."""
         return self._entry.refusal_of_key(whose, self.loop.time())
 
     def start_by(self, plan: CallPlan, whose: OnBehalf) -> float:
-        """Give until when a call may wait at a node that does not know its key."""
+        """Return the end of the wait at a node that cannot check the call's key.
+
+        In monotonic seconds.
+        """
         return self._entry.start_by(plan, whose, self.loop.time())
 
-    def _drawn(self, entry: EntryPlan) -> EntryPlan:
-        """Draw the version of the target's software, where one is rolled out."""
+    def _with_version_group(self, entry: EntryPlan) -> EntryPlan:
+        """Choose a version group at random if the target's software is being rolled out."""
         lane = self.admissions.draw_lane(entry.plan.target)
         if lane == "any":
             return entry
@@ -240,22 +253,25 @@
         return msgspec.structs.replace(entry, plan=plan)
 
     def end_at(self, end: float, any_call_until: float) -> None:
-        """This node stops: from ``any_call_until`` on take only what is over by ``end``.
+        """Prepare a planned stop of this node at ``end``.
 
-        Both in monotonic seconds.  A call that is answered at its deadline at the latest
-        is never cut by the stop.
+        From ``any_call_until`` on, only calls whose deadline is before ``end`` are
+        accepted, so that the stop never cuts a call that is answered by its deadline.
+        Both times are in monotonic seconds.
         """
-        self._end = end - STOP_MARGIN_SECONDS
+        self._stop_at = end - STOP_MARGIN_SECONDS
         self._any_call_until = any_call_until
 
-    def _in_time(self, entry: EntryPlan, now: float) -> Result[EntryPlan, NotRun]:
-        """Refuse a call that the planned stop of this node might cut."""
-        if now < self._any_call_until or entry.plan.deadline <= self._end:
+    def _check_planned_stop(
+        self, entry: EntryPlan, now: float
+    ) -> Result[EntryPlan, NotRun]:
+        """Refuse a call whose deadline is too late for the planned stop of this node."""
+        if now < self._any_call_until or entry.plan.deadline <= self._stop_at:
             return Success(entry)
         return Failure(NotRun(STATUS_UNAVAILABLE, "node-stopping", MILLISECONDS))
 
     def may_be_repeated(self, head: RequestHead) -> bool:
-        """Tell by the route of a request whether it may run more than once."""
+        """Return whether the route of a request allows it to run more than once."""
         active = self.configuration
         route = None if active is None else route_of(active, head)
         return route is not None and route.settings.repeatable
@@ -263,27 +279,34 @@
     def forwarded_headers(
         self, head: RequestHead, request_id: bytes, plan: CallPlan
     ) -> HeaderList:
-        """Give the header fields for the back end."""
+        """Return the header fields to send to the back end."""
         return self._entry.forwarded_headers(self.configuration, head, request_id, plan)
 
     def forwarded_trailers(self, trailers: HeaderList) -> HeaderList:
-        """Give the trailer fields for the back end."""
+        """Return the trailer fields to send to the back end."""
         return self._entry.forwarded_trailers(trailers) if trailers else trailers
 
     def new_attempt(
         self, dispatch: Dispatch, plan: CallPlan, request: AttemptRequest, sink: AttemptSink
     ) -> Attempt:
-        """Choose the way: own back end, direct under a loan, or through the owner."""
-        desk = self.large_answers
-        if desk is None or not request.answer_is_large:
-            return self._way(dispatch, plan, request, sink)
+        """Create an attempt: to the local back end, directly, or through the owner.
+
+        A back end that has an owner is called directly only while this node holds a slot
+        loan. A large answer is additionally paced by the capacity of this node's link.
+        """
+        capacity = self.large_answers
+        if capacity is None or not request.answer_is_large:
+            return self._transport_attempt(dispatch, plan, request, sink)
         work = self.admissions.told_work(plan)
         terms = LargeTerms(plan.route, request.due, work, elsewhere=False)
         return PacedAnswer(
-            desk, terms, sink, lambda paced: self._way(dispatch, plan, request, paced)
+            capacity,
+            terms,
+            sink,
+            lambda paced: self._transport_attempt(dispatch, plan, request, paced),
         )
 
-    def _way(
+    def _transport_attempt(
         self, dispatch: Dispatch, plan: CallPlan, request: AttemptRequest, sink: AttemptSink
     ) -> Attempt:
         endpoint = dispatch.endpoint
@@ -306,51 +329,60 @@
         return LinkAttempt(self._links, endpoint.owner_address, request, sink)
 
     def answer_window(self, plan: CallPlan) -> int:
-        """Bytes of a large answer that may be on their way here; 0: the usual number."""
+        """Return the receive window in bytes for a large answer; 0 for the default."""
         if self.large_answers is None or not plan.settings.large_answers:
             return 0
         return self.large_answers.window_bytes
 
     def answered(
-        self, plan: CallPlan, status: int, request_id: bytes, story: StoryBook
+        self, plan: CallPlan, status: int, request_id: bytes, recorder: CallRecorder
     ) -> None:
-        """Count an answered call; each so-many-th has its line, each failure its own."""
+        """Count an answered call, and log it if it failed or was sampled.
+
+        Server errors are always logged, other answers as ``log_answered_every`` says.
+        """
         self.counts.answered += 1
         now = self.loop.time()
         self.repeats.answered(plan, now)
-        self.figures.ended(plan, "answered", "", now - story.began_at)
+        self.figures.ended(plan, "answered", "", now - recorder.began_at)
         if status >= FIRST_SERVER_ERROR or self.log.takes_answered(request_id):
             end = CallEnd("answered", "", status)
-            self._tell(plan, end, request_id, story)
+            self._log_call(plan, end, request_id, recorder)
 
     def failed(
-        self, plan: CallPlan | None, failed: Failed, request_id: bytes, story: StoryBook
+        self,
+        plan: CallPlan | None,
+        failed: Failed,
+        request_id: bytes,
+        recorder: CallRecorder,
     ) -> None:
-        """Count a call that got no answer, and write its line."""
+        """Count and log a call that got no answer."""
         end = failure_end(failed)
         if isinstance(failed, NotRun):
             self.counts.not_run += 1
         else:
             self.counts.unknown += 1
         now = self.loop.time()
-        self.figures.ended(plan, end.outcome, end.reason, now - story.began_at)
-        self._tell(plan, end, request_id, story)
+        self.figures.ended(plan, end.outcome, end.reason, now - recorder.began_at)
+        self._log_call(plan, end, request_id, recorder)
 
-    def abandoned(self, plan: CallPlan | None, request_id: bytes, story: StoryBook) -> None:
-        """Count a call whose caller left, and write its line."""
+    def abandoned(
+        self, plan: CallPlan | None, request_id: bytes, recorder: CallRecorder
+    ) -> None:
+        """Count and log a call whose caller disconnected."""
         self.counts.abandoned += 1
-        self.figures.ended(plan, "abandoned", "", self.loop.time() - story.began_at)
+        self.figures.ended(plan, "abandoned", "", self.loop.time() - recorder.began_at)
         end = CallEnd("abandoned", "caller-left", 0)
-        self._tell(plan, end, request_id, story)
+        self._log_call(plan, end, request_id, recorder)
 
     # --- inside
 
-    def _tell(
+    def _log_call(
         self,
         plan: CallPlan | None,
         end: CallEnd,
         request_id: bytes,
-        story: StoryBook,
+        recorder: CallRecorder,
     ) -> None:
         now = self.loop.time()
         left_out: int | None = 0
@@ -373,9 +405,9 @@
                 outcome=end.outcome,
                 reason=end.reason,
                 status=end.status,
-                milliseconds=story.milliseconds(now),
-                steps=story.steps,
-                fingerprint=story.fingerprint.name,
+                milliseconds=recorder.milliseconds(now),
+                steps=recorder.steps,
+                fingerprint=recorder.fingerprint.name,
                 tenant="" if plan is None else plan.tenant,
                 lines_left_out=left_out,
             )
--- a/src/peppershore/process/node/data/direct_attempt.py
+++ b/src/peppershore/process/node/data/direct_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt over this node's own connection to a back end."""
+"""An attempt over a connection from this node to the back end."""
 
 from __future__ import annotations
 
@@ -27,19 +27,20 @@
 from peppershore.request.wire_names import OWN_NAMES, WireNames
 
 MAX_REUSE_AGE_SECONDS = 1.0
-"""A kept connection idle for longer may be closing; what may not be repeated
-takes a new one, since an attempt on a closing connection ends as unknown."""
+"""A pooled connection that was idle for longer may be closing. Calls that are not safe to
+retry use a new one, since an attempt on a closing connection ends as unknown."""
 
 
 REFUSED_RETRY_AFTER_MILLISECONDS = 100
 REFUSALS = frozenset({STATUS_UNAVAILABLE, STATUS_TOO_MANY_REQUESTS, STATUS_MISDIRECTED})
-"""Statuses with which a back end can say that it has not begun a call."""
+"""Statuses with which a back end can report that it has not begun a call."""
 
 
 class BackEndTerms(msgspec.Struct, frozen=True):
-    """How to speak with one back end: the names, and which life of it is meant.
+    """Header names for one back end, and the incarnation of it that is addressed.
 
-    ``instance`` is how the back end knows itself, ``life`` what no other life has.
+    ``instance``: the name under which the back end knows itself, empty if unknown.
+    ``life``: id of the incarnation, which no other incarnation has.
     """
 
     names: WireNames = OWN_NAMES
@@ -47,11 +48,11 @@
     life: str = ""
 
 
-OWN_TERMS = BackEndTerms()
+DEFAULT_TERMS = BackEndTerms()
 
 
 class DirectAttempt:
-    """Connects if needed, sends the request, hands on the answer."""
+    """Connects if needed, sends the request and forwards the answer."""
 
     __slots__ = (
         "_cancelled",
@@ -73,13 +74,13 @@
         sink: AttemptSink,
         on_over: Callable[[], None] | None = None,
         *,
-        terms: BackEndTerms = OWN_TERMS,
+        terms: BackEndTerms = DEFAULT_TERMS,
         on_load: Callable[[bytes], None] | None = None,
     ) -> None:
-        """Nothing happens before ``start``; ``on_over`` is called once at the end.
+        """Create the attempt; it does nothing until ``start``.
 
-        ``on_load`` is given what the back end says of its load with each answer, a
-        refusal of its own too.
+        ``on_over`` is called once when the attempt ends. ``on_load`` is called with the
+        load header of each answer of the back end, including its refusals.
         """
         self._on_load = on_load
         self._terms = terms
@@ -93,7 +94,7 @@
         self.begun = False
 
     def start(self) -> None:
-        """Take a kept connection or open one."""
+        """Start on a pooled connection, or on a new one if none can be reused."""
         max_age = None if self._request.repeatable else MAX_REUSE_AGE_SECONDS
         connection = self._pool.take(max_age)
         if connection is not None:
@@ -104,17 +105,17 @@
     # --- Attempt
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
         if self._connection is not None:
             self._connection.send_data(data)
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request."""
         if self._connection is not None:
             self._connection.send_end(trailers)
 
     def flush(self) -> None:
-        """Send what is queued."""
+        """Send the queued data."""
         if self._connection is not None:
             self._connection.flush()
 
@@ -125,26 +126,26 @@
         self._connection = None
         if connection is not None:
             connection.cancel()
-        self._over()
+        self._notify_ended()
 
     def settle(self) -> bool:
-        """Nobody else knows more about this attempt."""
+        """Return False: no peer knows more about this attempt."""
         return False
 
     def pause_answer(self) -> None:
-        """Stop reading from the back end."""
+        """Stop reading the answer from the back end."""
         if self._connection is not None:
             self._connection.pause_reading()
 
     def resume_answer(self) -> None:
-        """Go on reading from the back end."""
+        """Resume reading the answer from the back end."""
         if self._connection is not None:
             self._connection.resume_reading()
 
     # --- AnswerSink of the connection
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Hand the answer's head on, unless it says that the call was not begun."""
+        """Forward the head of the answer, unless it reports that the call was not begun."""
         load = self._terms.names.load
         if load and self._on_load is not None:
             self._on_load(first_value(head.headers, load))
@@ -153,29 +154,32 @@
             self._sink.answer_head(head)
 
     def answer_data(self, data: bytes) -> None:
-        """Hand a piece of the answer's body on."""
+        """Forward a chunk of the answer's body."""
         if self._refusal is None:
             self._sink.answer_data(data)
 
     def answer_batch_ended(self) -> None:
-        """Hand on that no more is at hand for now."""
+        """Forward that no more of the answer is available for now."""
         if self._refusal is None:
             self._sink.answer_batch_ended()
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole."""
+        """Forward the end of the answer, or the refusal that the answer was."""
         self._connection = None
-        self._over()
+        self._notify_ended()
         if self._refusal is None:
             self._sink.answer_ended(trailers)
         else:
             self._sink.attempt_failed(self._refusal)
 
     def attempt_failed(self, reason: str) -> None:
-        """Request bytes were written and no whole answer came: unknown."""
+        """Fail as unknown: the request was written and no complete answer arrived.
+
+        If the head of the answer was a refusal, fail with that refusal instead.
+        """
         del reason
         self._connection = None
-        self._over()
+        self._notify_ended()
         if self._refusal is None:
             failed = Unknown(STATUS_BAD_GATEWAY, BROKE_OFF)
             self._sink.attempt_failed(failed)
@@ -183,11 +187,11 @@
             self._sink.attempt_failed(self._refusal)
 
     def sending_paused(self) -> None:
-        """Hand the back end's slowness on."""
+        """Forward that the back end reads slowly."""
         self._sink.sending_paused()
 
     def sending_resumed(self) -> None:
-        """The back end reads again."""
+        """Forward that the back end reads again."""
         self._sink.sending_resumed()
 
     # --- inside
@@ -195,7 +199,7 @@
     def _connected(self, outcome: ClientConnection | str) -> None:
         if isinstance(outcome, str):
             if not self._cancelled:
-                self._over()
+                self._notify_ended()
                 is_full = outcome == BOUND_REACHED
                 reason = "no-connection-free" if is_full else "back-end-unreachable"
                 self._sink.attempt_failed(unreachable(reason))
@@ -206,7 +210,11 @@
         self._begin(outcome)
 
     def _refusal_in(self, head: AnswerHead) -> NotRun | None:
-        """Give the refusal that an answer is; only its own field proves one."""
+        """Return the refusal that an answer stands for, or None.
+
+        Without a configured not-run header there are no refusals. Status 421 is a refusal
+        by itself; the other statuses are one only if the answer has that header.
+        """
         names = self._terms.names
         if head.status not in REFUSALS or not names.not_run:
             return None
@@ -217,7 +225,7 @@
         advice = REFUSED_RETRY_AFTER_MILLISECONDS
         return NotRun(STATUS_UNAVAILABLE, reason, advice, retryable=True, offered=True)
 
-    def _over(self) -> None:
+    def _notify_ended(self) -> None:
         on_over = self._on_over
         self._on_over = None
         if on_over is not None:
@@ -244,7 +252,7 @@
         if not connection.begin(request.head, headers, self, self._pool.give_back, rules):
             self._connection = None
             self._pool.give_back(connection)
-            self._over()
+            self._notify_ended()
             self._sink.attempt_failed(NotRun(STATUS_BAD_REQUEST, "malformed-request"))
             return
         self.begun = True
@@ -252,7 +260,7 @@
 
 
 def _rules(names: WireNames, headers: HeaderList) -> AnswerRules:
-    """Give what the answer to a request with these fields must show."""
+    """Return the checks for the answer to a request with these header fields."""
     if not names.answers_carry_id and not names.signature and not names.unframed_answers:
         return NO_RULES
     id_name = names.request_id if names.answers_carry_id else b""
--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt through the back end's own node, on a stream of a call link."""
+"""An attempt through the owner of a back end, on a stream of a call link."""
 
 from __future__ import annotations
 
@@ -41,24 +41,27 @@
 
 
 class CancellableWait(Protocol):
-    """A wait for a link that can be given up."""
+    """A wait for a link that can be cancelled."""
 
     def cancel(self) -> None:
-        """Wait no more."""
+        """Cancel the wait."""
 
 
 class LinkSource(Protocol):
-    """Where links to owners come from, and who hears of owners' loads."""
+    """Provides links to owners and receives the loads that owners report."""
 
     def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
-        """An owner told how loaded its back end is, with a call of this route."""
+        """Record the load that an owner reported with a call of this route."""
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
-        """Call ``attempt.link_open`` or ``attempt.link_refused``, at once if open."""
+        """Call ``attempt.link_open`` once the link is open, at once if it already is.
+
+        If the link cannot be opened, call ``attempt.link_refused``.
+        """
 
 
 class LinkAttempt:
-    """One stream: the request out, the answer or a typed failure back."""
+    """One stream: sends the request, receives the answer or a typed failure."""
 
     __slots__ = (
         "_address",
@@ -83,7 +86,7 @@
     def __init__(
         self, links: LinkSource, address: str, request: AttemptRequest, sink: AttemptSink
     ) -> None:
-        """Nothing happens before ``start``."""
+        """Create the attempt; it does nothing until ``start``."""
         self._links = links
         self._address = address
         self._request = request
@@ -103,11 +106,11 @@
         self._sent_at = 0.0
 
     def start(self) -> None:
-        """Ask for the link to the owner."""
+        """Request the link to the owner."""
         self._links.when_open(self._address, self)
 
     def link_open(self, link: CallLink) -> None:
-        """Begin the stream; the first message goes out with the first flush."""
+        """Open the stream; its first message is sent by the first flush."""
         if self._over:
             return
         self._link = link
@@ -115,7 +118,7 @@
         self._sink.attempt_begun()
 
     def link_refused(self) -> None:
-        """There is no link: nothing was sent."""
+        """Fail as not run: there is no link, so nothing was sent."""
         if not self._over:
             refusal = unreachable("owner-unreachable")
             self._end(refusal)
@@ -123,20 +126,20 @@
     # --- Attempt
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
         self._data.append(data)
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request."""
         self._ended = True
         self._trailers = trailers
 
     def flush(self) -> None:
-        """Send what is queued in one message; a body only as far as there is credit."""
+        """Send the queued data in one message, the body as far as credit allows."""
         if self._over or self._settling or self._link is None:
             return
         if not self._started:
-            self._send_start(self._taken_data())
+            self._send_start(self._take_sendable_data())
         elif self._sending.open:
             self._send_more()
         if not self._sending.open and not self._paused:
@@ -144,7 +147,7 @@
             self._sink.sending_paused()
 
     def cancel(self) -> None:
-        """Tell the owner to stop; discard what still comes."""
+        """Cancel the call at the owner; discard what still arrives."""
         if self._over:
             return
         self._over = True
@@ -154,30 +157,33 @@
                 self._link.send(CallCancelled(self._stream))
 
     def settle(self) -> bool:
-        """Cancel at the owner, which answers whether the back end had the call."""
+        """Cancel the call at the owner, which replies whether the call may have run.
+
+        Return whether such a reply can be expected.
+        """
         if self._over or self._link is None or not self._started:
             return False
         self._settling = True
         return self._link.send(CallCancelled(self._stream))
 
     def pause_answer(self) -> None:
-        """Give no more credit."""
+        """Stop granting credit for answer bytes."""
         self._receiving.pause()
 
     def resume_answer(self) -> None:
-        """Give the credit owed."""
+        """Grant the credit held back since the pause."""
         self._credit(self._receiving.resume())
 
     # --- StreamSink
 
     def stream_message(self, message: Message) -> None:
-        """Take the owner's next message."""
+        """Handle the next message of the owner."""
         match message:
             case CallAnswered():
                 self._note_load(message.load)
-                self._answered(message)
+                self._forward_answer(message)
             case CallAnswerBody():
-                self._more(message.data, message.ended, message.trailers)
+                self._forward_body(message.data, message.ended, message.trailers)
             case CallCredit():
                 self._credited(message.octets)
             case CallNotRun():
@@ -198,7 +204,7 @@
                 pass
 
     def stream_lost(self, reason: str) -> None:
-        """The link is gone after the call was sent."""
+        """Fail the attempt: the link is lost, and the call may have run if it was sent."""
         del reason
         if self._started:
             self._end(Unknown(STATUS_BAD_GATEWAY, "owner-link-lost"))
@@ -212,14 +218,17 @@
             self._links.load_heard(self._address, load, self._request.route)
 
     def _note_round_trip(self, reason: str) -> None:
-        """The owner refuses at once a call that asks for a free slot: time the way."""
+        """Record the round-trip time of a probe that the owner refused.
+
+        An owner refuses a probe for a free slot at once: it adds no delay of its own.
+        """
         if reason in SEEK_ON and not self._request.may_wait:
             TRAFFIC.note_round_trip(asyncio.get_running_loop().time() - self._sent_at)
 
     def _send_start(self, data: bytes) -> None:
         request = self._request
         head = request.head
-        self._end_sent = self._is_all_taken
+        self._end_sent = self._is_body_drained
         now = asyncio.get_running_loop().time()
         self._sent_at = now
         length = NO_LENGTH if head.content_length is None else head.content_length
@@ -241,7 +250,7 @@
                 service=request.service,
                 priority=request.priority,
                 may_wait=request.may_wait,
-                patience_milliseconds=_patience(now, request.start_by),
+                patience_milliseconds=_wait_milliseconds(now, request.start_by),
                 is_client_retry=request.is_client_retry,
                 route=request.route,
                 body_on_credit=request.body_on_credit,
@@ -249,7 +258,7 @@
                 takes_room=request.takes_room,
                 tenant=request.tenant,
                 answer_is_large=request.answer_is_large,
-                due_milliseconds=_due(now, request),
+                due_milliseconds=_due_milliseconds(now, request),
                 answer_window=request.answer_window,
             )
         )
@@ -257,23 +266,24 @@
             self._end(unreachable("owner-unreachable"))
 
     def _send_more(self) -> None:
-        data = self._taken_data()
-        if not data and (not self._is_all_taken or self._end_sent):
+        data = self._take_sendable_data()
+        if not data and (not self._is_body_drained or self._end_sent):
             return
-        self._end_sent = self._is_all_taken
+        self._end_sent = self._is_body_drained
         assert self._link is not None
         self._link.send(CallBody(self._stream, data, self._end_sent, self._trailers))
 
     @property
-    def _is_all_taken(self) -> bool:
-        """Whether the body has ended and nothing of it is queued here."""
+    def _is_body_drained(self) -> bool:
+        """Whether the body has ended and none of it is queued here."""
         return self._ended and not self._data
 
-    def _taken_data(self) -> bytes:
-        """Take what may be sent now: never more than the credit.
+    def _take_sendable_data(self) -> bytes:
+        """Remove and return the queued bytes that may be sent now, within the credit.
 
-        The owner's credit is what its link carries in 0.03 s.  With whole bodies sent on
-        it, updates and heartbeats of nodes that take in large bodies waited 0.4 to 0.9 s.
+        The owner grants as much credit as its link carries in 0.03 s. When complete bodies
+        were sent at once, configuration updates and heartbeats of nodes that receive large
+        bodies were delayed by 0.4 to 0.9 s.
         """
         queued = b"".join(self._data)
         data = queued[: self._sending.room]
@@ -282,7 +292,7 @@
         self._sending.sent(len(data))
         return data
 
-    def _answered(self, message: CallAnswered) -> None:
+    def _forward_answer(self, message: CallAnswered) -> None:
         if fields_unsafe(message.headers):
             self._refuse_answer()
             return
@@ -292,15 +302,15 @@
                 message.status, message.reason, message.headers, length, message.has_body
             )
         )
-        self._more(message.data, message.ended, message.trailers)
+        self._forward_body(message.data, message.ended, message.trailers)
 
     def _refuse_answer(self) -> None:
-        """The owner sent what is no HTTP: discard the rest."""
+        """Fail the attempt: the owner sent header or trailer fields that HTTP forbids."""
         if self._link is not None:
             self._link.send(CallCancelled(self._stream))
         self._end(Unknown(STATUS_BAD_GATEWAY, "malformed-answer"))
 
-    def _more(self, data: bytes, ended: bool, trailers: HeaderList) -> None:
+    def _forward_body(self, data: bytes, ended: bool, trailers: HeaderList) -> None:
         if data and not self._over:
             self._sink.answer_data(data)
             self._credit(self._receiving.taken(len(data)))
@@ -341,18 +351,18 @@
             self._link.forget(self._stream)
 
 
-def _patience(now: float, start_by: float) -> int:
+def _wait_milliseconds(now: float, start_by: float) -> int:
     if start_by == math.inf:
         return UNBOUNDED_PATIENCE
     return max(0, int((start_by - now) * MILLISECONDS))
 
 
-def _due(now: float, request: AttemptRequest) -> int:
+def _due_milliseconds(now: float, request: AttemptRequest) -> int:
     return remaining_milliseconds(now, request.due) if request.answer_is_large else 0
 
 
 def _at_deadline(failed: Failed) -> Failed:
-    """Keep the owner's word on whether it ran; the cause is the deadline."""
+    """Return the owner's result (not run or unknown) with the deadline as the reason."""
     if isinstance(failed, NotRun):
         return out_of_time()
     return Unknown(STATUS_GATEWAY_TIMEOUT, "deadline-passed")
--- a/src/peppershore/process/node/data/own_attempt.py
+++ b/src/peppershore/process/node/data/own_attempt.py
@@ -1,4 +1,7 @@
-"""An attempt at this node's own back end: room for a large body, a slot, then the call."""
+"""An attempt at the local back end.
+
+It gets capacity for a large body, then a slot, and then sends the call.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from peppershore.connection.http_head import AnswerHead, HeaderList
 from peppershore.process.node.data.attempt import AttemptRequest, AttemptSink
 from peppershore.process.node.data.call_story import NEVER_RAN, ServedRun
-from peppershore.process.node.data.direct_attempt import OWN_TERMS, DirectAttempt
+from peppershore.process.node.data.direct_attempt import DEFAULT_TERMS, DirectAttempt
 from peppershore.process.node.data.own_backend import OwnBackend
 from peppershore.process.node.data.verdicts import verdict_of_failure, verdict_of_status
 from peppershore.request.admission import Dispatch
@@ -38,14 +41,14 @@
 from peppershore.request.waiting import Ticket
 
 MILLISECONDS = 1_000
-NOT_THERE_REASONS = frozenset({"back-end-unreachable", "other-back-end"})
+ABSENT_REASONS = frozenset({"back-end-unreachable", "other-back-end"})
 
 
 class OwnAttempt:
-    """Waits for room and for a slot, then goes to the back end directly."""
+    """Waits for body capacity and for a slot, then sends the call to the back end."""
 
     __slots__ = (
-        "_awaits_word_of_end",
+        "_awaits_crash_check",
         "_backend",
         "_direct",
         "_dispatch",
@@ -71,10 +74,10 @@
         sink: AttemptSink,
         fetch_body: Callable[[], None] | None = None,
     ) -> None:
-        """Nothing happens before ``start``.
+        """Create the attempt; it does nothing until ``start``.
 
-        ``fetch_body`` asks for a body that another node keeps until it is asked; then
-        ``body_is_in`` has to be told.
+        ``fetch_body`` requests a body that the caller's node holds back until then. When
+        that body has arrived completely, ``body_is_in`` must be called.
         """
         self._fetch_body = fetch_body
         self._fetching = False
@@ -86,28 +89,36 @@
         self._ticket: Ticket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._started = 0.0
-        self._terms = OWN_TERMS
+        self._terms = DEFAULT_TERMS
         self._status = 0
         self._done = False
         self._is_running = False
         self._transferring = False
-        self._awaits_word_of_end = False
+        self._awaits_crash_check = False
         self._transfer_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_client_retry(self) -> bool:
-        """Whether the caller was refused before."""
+        """Whether the caller retries a call that was refused."""
         return self._request.is_client_retry
 
     def run(self, came_at: float) -> ServedRun:
-        """Give how it ran so far, for a call that came then (monotonic seconds)."""
+        """Return wait time and pace so far of a call received at ``came_at``.
+
+        ``came_at`` is in monotonic seconds. Pace is the service time relative to the usual
+        one, in percent (200: twice as long). Return ``NEVER_RAN`` if the call was not sent.
+        """
         if self._direct is None:
             return NEVER_RAN
         waited = round((self._started - came_at) * MILLISECONDS)
         return ServedRun(waited, self._backend.report.mean_pace_percent(self._started))
 
     def start(self) -> None:
-        """Ask for room for a large body, or for a body to come first, then for a slot."""
+        """Prefetch a small body or get capacity for a large one, then request a slot.
+
+        If there is no capacity for a large body, the call waits for it if it may wait and
+        is refused otherwise.
+        """
         if self._fetches_first and self._backend.begin_body(self._request):
             self._fetch()
         elif not (self._request.body_on_credit and self._request.takes_room):
@@ -119,21 +130,21 @@
             self._wait()
         else:
             self._done = True
-            self._sink.attempt_failed(_no_room(BUSY))
+            self._sink.attempt_failed(_no_body_capacity(BUSY))
 
     def transfer_begun(self) -> None:
-        """There is room for the large body: ask for a slot."""
+        """Request a slot: capacity for the large body was granted."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self._transferring = True
         loop = asyncio.get_running_loop()
-        self._transfer_timer = loop.call_later(MOST_SECONDS, self._transferred)
+        self._transfer_timer = loop.call_later(MOST_SECONDS, self._end_transfer)
         self._ask_for_slot()
 
     @property
     def _fetches_first(self) -> bool:
-        """Whether the body may come before there is a slot."""
+        """Whether the body may be prefetched before the call has a slot."""
         request = self._request
         if self._fetch_body is None or not request.body_on_credit or request.takes_room:
             return False
@@ -144,11 +155,11 @@
         assert self._fetch_body is not None
         self._fetching = True
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(FETCH_SECONDS, self._body_did_not_come)
+        self._timer = loop.call_later(FETCH_SECONDS, self._fetch_timed_out)
         self._fetch_body()
 
     def body_is_in(self) -> None:
-        """The body that was asked for is whole: ask for its slot, and wait for it."""
+        """Request a slot and allow the call to wait: the prefetched body is complete."""
         if not self._fetching:
             return
         self._end_fetch()
@@ -159,9 +170,9 @@
         )
         self._ask_for_slot()
 
-    def _body_did_not_come(self) -> None:
+    def _fetch_timed_out(self) -> None:
         self._end(None)
-        self._sink.attempt_failed(_no_room(BUSY))
+        self._sink.attempt_failed(_no_body_capacity(BUSY))
 
     def _end_fetch(self) -> None:
         if self._fetching:
@@ -183,7 +194,7 @@
             self.admitted(admitted)
 
     def admitted(self, dispatch: Dispatch) -> None:
-        """A slot is free: go to the back end."""
+        """Send the call to the back end: a slot was granted."""
         loop = asyncio.get_running_loop()
         self._ticket = None
         self._dispatch = dispatch
@@ -194,7 +205,7 @@
             self._end(None)
             self._sink.attempt_failed(refusal)
             return
-        self._timer = loop.call_at(self._request.deadline, self._expired)
+        self._timer = loop.call_at(self._request.deadline, self._deadline_passed)
         self._started = loop.time()
         self._is_running = True
         request_id = self._backend.request_id(self._request)
@@ -206,36 +217,36 @@
             self._request,
             self,
             terms=self._terms,
-            on_load=self._heard,
+            on_load=self._load_reported,
         )
         self._direct.start()
 
     def refused(self, refusal: NotRun) -> None:
-        """A waiting attempt is refused."""
+        """Fail the waiting attempt with this refusal."""
         self._end(None)
         self._sink.attempt_failed(refusal)
 
     # --- Attempt
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
         if self._direct is not None:
             self._direct.send_data(data)
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request."""
         if self._direct is not None:
             self._direct.send_end(trailers)
-        self._transferred()
+        self._end_transfer()
 
     def flush(self) -> None:
-        """Send what is queued."""
+        """Send the queued data."""
         if self._direct is not None:
             self._direct.flush()
 
     def cancel(self) -> None:
-        """Give the attempt up and free its slot."""
-        self._awaits_word_of_end = False
+        """Abort the attempt and free its slot."""
+        self._awaits_crash_check = False
         if self._done:
             return
         direct = self._direct
@@ -244,44 +255,44 @@
         self._end(None)
 
     def settle(self) -> bool:
-        """Nobody else knows more about this attempt."""
+        """Return False: no peer knows more about this attempt."""
         return False
 
     def pause_answer(self) -> None:
-        """Take no more answer bytes for now."""
+        """Stop receiving answer bytes until ``resume_answer``."""
         if self._direct is not None:
             self._direct.pause_answer()
 
     def resume_answer(self) -> None:
-        """Go on taking answer bytes."""
+        """Resume receiving answer bytes."""
         if self._direct is not None:
             self._direct.resume_answer()
 
     # --- AttemptSink of the direct attempt
 
     def attempt_begun(self) -> None:
-        """Connected: the body may follow."""
+        """Start sending the body: the back end is connected."""
         self._sink.attempt_begun()
 
-    def _heard(self, told: bytes) -> None:
-        """Note what the life that has this call says of its load."""
-        self._backend.heard(told, self._terms.life)
+    def _load_reported(self, load_header: bytes) -> None:
+        """Record the load reported by the incarnation that runs this call."""
+        self._backend.heard(load_header, self._terms.life)
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Hand the answer's head on."""
+        """Forward the head of the answer."""
         self._status = head.status
         self._sink.answer_head(head)
 
     def answer_data(self, data: bytes) -> None:
-        """Hand a piece of the answer's body on."""
+        """Forward a chunk of the answer's body."""
         self._sink.answer_data(data)
 
     def answer_batch_ended(self) -> None:
-        """Hand on that no more is at hand for now."""
+        """Forward that no more of the answer is available for now."""
         self._sink.answer_batch_ended()
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """Hand the answer's end on, then free the slot."""
+        """Forward the end of the answer, then free the slot."""
         self._sink.answer_ended(trailers)
         verdict = verdict_of_status(self._status)
         if verdict == "good":
@@ -289,37 +300,42 @@
         self._end(verdict)
 
     def attempt_failed(self, failed: Failed) -> None:
-        """Free the slot, then hand the failure on."""
+        """Free the slot, then forward the failure.
+
+        If the connection broke off, first find out whether the back end crashed.
+        """
         self._end(verdict_of_failure(failed))
-        if failed.reason in NOT_THERE_REASONS:
+        if failed.reason in ABSENT_REASONS:
             self._backend.refuse_not_there(self._terms.life)
         if failed.reason == BROKE_OFF:
-            self._awaits_word_of_end = True
+            self._awaits_crash_check = True
             crashes = self._backend.crashes
-            crashes.broke_off(self._terms.life, self._request.fingerprint, self._broke_off)
+            crashes.broke_off(
+                self._terms.life, self._request.fingerprint, self._crash_checked
+            )
         else:
             self._sink.attempt_failed(failed)
 
     def sending_paused(self) -> None:
-        """Hand the back end's slowness on."""
+        """Forward that the back end reads slowly."""
         self._sink.sending_paused()
 
     def sending_resumed(self) -> None:
-        """The back end reads again."""
+        """Forward that the back end reads again."""
         self._sink.sending_resumed()
 
     # --- inside
 
-    def _broke_off(self, has_ended: bool) -> None:
-        """It is known whether the back end's process ended under the call."""
-        if not self._awaits_word_of_end:
+    def _crash_checked(self, has_ended: bool) -> None:
+        """Report the failure, now that it is known whether the back end crashed."""
+        if not self._awaits_crash_check:
             return
-        self._awaits_word_of_end = False
+        self._awaits_crash_check = False
         reason = BACK_END_ENDED if has_ended else BROKE_OFF
         self._sink.attempt_failed(Unknown(STATUS_BAD_GATEWAY, reason))
 
-    def _transferred(self) -> None:
-        """The body is in, given up, or has had its time."""
+    def _end_transfer(self) -> None:
+        """Free the capacity for the large body: it has ended, was dropped or timed out."""
         if self._transfer_timer is not None:
             self._transfer_timer.cancel()
             self._transfer_timer = None
@@ -328,25 +344,25 @@
             self._backend.transfer_ended()
 
     def _wait(self) -> None:
-        """Wait for room or for a slot, for as long as the call may."""
+        """Start the time-out of the wait for body capacity or for a slot."""
         until = min(self._request.deadline, self._request.start_by)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_at(until, self._waited_enough)
+        self._timer = loop.call_at(until, self._wait_timed_out)
 
-    def _waited_enough(self) -> None:
-        """Neither room nor a slot came in time: better to say so than to wait on."""
+    def _wait_timed_out(self) -> None:
+        """Refuse the call: neither body capacity nor a slot was granted in time."""
         now = asyncio.get_running_loop().time()
         if now >= self._request.deadline:
             refusal = out_of_time()
         elif self._ticket is None:
-            refusal = _no_room(NO_SLOT_IN_TIME)
+            refusal = _no_body_capacity(NO_SLOT_IN_TIME)
         else:
             refusal = self._backend.admission.refusal_of_impatient(self._ticket, now)
         self._end(None)
         self._sink.attempt_failed(refusal)
 
-    def _expired(self) -> None:
-        """The deadline passed; what was not sent has not run."""
+    def _deadline_passed(self) -> None:
+        """Fail the call at its deadline; if it was never sent, it has not run."""
         begun = self._direct is not None and self._direct.begun
         self.cancel()
         if begun:
@@ -360,25 +376,25 @@
         self._done = True
         self._end_fetch()
         self._backend.give_up_transfer(self)
-        self._transferred()
+        self._end_transfer()
         if self._ticket is not None:
             self._backend.withdraw(self._ticket)
             self._ticket = None
         dispatch = self._dispatch
         self._dispatch = None
         if dispatch is not None:
-            self._note_not_running()
+            self._mark_not_running()
             latency = asyncio.get_running_loop().time() - self._started
             self._backend.finished(dispatch, latency, verdict)
 
-    def _note_not_running(self) -> None:
+    def _mark_not_running(self) -> None:
         if self._is_running:
             self._is_running = False
             self._backend.running.ended(self._backend.request_id(self._request))
             self._backend.quarantine.over(self._request.fingerprint)
 
 
-def _no_room(reason: str) -> NotRun:
-    """Give the refusal of a large body that finds the link full of others."""
+def _no_body_capacity(reason: str) -> NotRun:
+    """Return the refusal of a call that got no link capacity for its body in time."""
     advice = math.ceil(TRANSFER_SECONDS * MILLISECONDS)
     return NotRun(STATUS_UNAVAILABLE, reason, advice, retryable=True)
--- a/src/peppershore/process/node/data/verdicts.py
+++ b/src/peppershore/process/node/data/verdicts.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its back end."""
+"""What the result of an attempt says about the health of its back end."""
 
 from __future__ import annotations
 
@@ -17,30 +17,32 @@
     Unknown,
 )
 
-SHED = Unknown(STATUS_UNAVAILABLE, "back-end-shed")
-FAILED = Unknown(STATUS_BAD_GATEWAY, "back-end-failed")
-"""What an answer of the back end's own counts as when another may do better."""
+SHED_OUTCOME = Unknown(STATUS_UNAVAILABLE, "back-end-shed")
+FAILED_OUTCOME = Unknown(STATUS_BAD_GATEWAY, "back-end-failed")
+"""Outcomes that stand for a back end's own error answer while a retry elsewhere is tried:
+``SHED_OUTCOME`` for a load-shedding answer, ``FAILED_OUTCOME`` for other server errors."""
 
 
 def verdict_of_status(status: int) -> Verdict:
-    """Judge by the status of a whole answer."""
+    """Return the result of an attempt that got a complete answer with this status."""
     if status == STATUS_UNAVAILABLE:
         return "shed"
     return "failed" if status >= FIRST_SERVER_ERROR else "good"
 
 
 def verdict_of_failure(failed: Failed) -> Verdict | None:
-    """Judge by a failure: a refusal for load or a drain is no fault.
+    """Return the result of a failed attempt, or None if it says nothing about the back end.
 
-    That no slot or no room was free at one moment says nothing of the next, and what is
-    held for its own sake nothing of the back end.
+    A refusal because of load or a drain counts as "shed", not as a fault of the back end.
+    A momentary lack of a free slot or of link capacity says nothing about the next moment,
+    and a request held in quarantine says nothing about the back end.
     """
-    if failed.reason in SAYS_NOTHING:
+    if failed.reason in INCONCLUSIVE_REASONS:
         return None
     if not isinstance(failed, NotRun):
         return "late" if failed.status == STATUS_GATEWAY_TIMEOUT else "failed"
     return "failed" if failed.reason in UNREACHABLE_REASONS else "shed"
 
 
-SAYS_NOTHING = SEEK_ON | {LINK_FULL, QUARANTINED, RUNS_ALONE}
+INCONCLUSIVE_REASONS = SEEK_ON | {LINK_FULL, QUARANTINED, RUNS_ALONE}
 UNREACHABLE_REASONS = frozenset({"back-end-unreachable", "owner-unreachable"})
--- a/src/peppershore/process/node/data/waiting_attempt.py
+++ b/src/peppershore/process/node/data/waiting_attempt.py
@@ -1,4 +1,4 @@
-"""What the back end's own node asks of an attempt that waits there."""
+"""Interface of an attempt that waits at the owner of a back end."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class WaitingAttempt(Protocol):
-    """An attempt that waits here for room on the link, or for a slot."""
+    """An attempt that waits for link capacity for its body, or for a slot."""
 
     @property
     def is_client_retry(self) -> bool:
-        """Whether the caller was refused before."""
+        """Whether the caller retries a call that was refused."""
 
     def transfer_begun(self) -> None:
-        """There is room on the link for its body."""
+        """Continue: link capacity for the body was granted."""
 
     def admitted(self, dispatch: Dispatch) -> None:
-        """A slot is free: go to the back end."""
+        """Send the call to the back end: a slot was granted."""
 
     def refused(self, refusal: NotRun) -> None:
-        """It waits no longer."""
+        """Fail with this refusal: the wait is over."""
--- a/tests/data_plane/test_call_outcomes.py
+++ b/tests/data_plane/test_call_outcomes.py
@@ -193,7 +193,7 @@
 @pytest.fixture
 def patient_verdict(monkeypatch: pytest.MonkeyPatch) -> None:
     """However slow this machine is, the owner's word is waited for."""
-    monkeypatch.setattr(call_module, "VERDICT_SECONDS", 10.0)
+    monkeypatch.setattr(call_module, "SETTLE_TIMEOUT_SECONDS", 10.0)
 
 
 @pytest.mark.parametrize("hop", ["direct", "owner"])
@@ -241,7 +241,7 @@
 ) -> None:
     message, told = OWNERS_WORD[word]
     if message is not None:
-        monkeypatch.setattr(call_module, "VERDICT_SECONDS", 10.0)
+        monkeypatch.setattr(call_module, "SETTLE_TIMEOUT_SECONDS", 10.0)
 
     owner = FakeOwner(lambda got: message if isinstance(got, CallCancelled) else None)
 
