--- a/src/peppershore/process/node/data/attempt.py
+++ b/src/peppershore/process/node/data/attempt.py
@@ -66,8 +66,8 @@
     def settle(self) -> bool:
         """Stop at the deadline and find out whether the call may have run.
 
-        Return True if a peer was asked, whose reply the sink gets as a failure. Return
-        False if no peer knows more; the attempt still has to be cancelled then.
+        Return True if a peer was asked; its reply reaches the sink as a failure. Return
+        False if no peer knows more; the caller must then still cancel the attempt.
         """
 
     def pause_answer(self) -> None:
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -505,7 +505,7 @@
 
     @property
     def _current_node(self) -> frozenset[str]:
-        """Node whose back end has the current attempt; empty without an attempt."""
+        """Set of the one node whose back end has the current attempt; empty without one."""
         dispatch = self._dispatch
         return frozenset() if dispatch is None else frozenset({dispatch.endpoint.node})
 
--- a/src/peppershore/process/node/data/call_entry.py
+++ b/src/peppershore/process/node/data/call_entry.py
@@ -135,7 +135,7 @@
         return judged.alt(lambda refusal: self.confirmed(refusal, now))
 
     def confirmed(self, refusal: NotRun, now: float) -> NotRun:
-        """Return the refusal, or a retryable one if the configuration is too old for it.
+        """Return the refusal, or a temporary one if the configuration is too old.
 
         A refusal that callers take as final needs a recently confirmed configuration.
         """
@@ -221,7 +221,7 @@
         return headers
 
     def _with_client_retry_mark(self, plan: CallPlan) -> CallPlan:
-        """Mark a call as a caller's retry if it has less time left than is usual."""
+        """Mark a call as a caller's retry if its time left is below its route's usual."""
         is_client_retry = self._usual_deadlines.is_client_retry(
             plan.service, plan.route, plan.remaining
         )
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -176,7 +176,7 @@
         self.quotas.use_configuration(active)
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Replace the set of live endpoints and close connections to all others."""
+        """Replace the live endpoints; drop the connections and links to all others."""
         self.repeats.nodes = len({each.node for each in endpoints})
         self._pools.keep_only(endpoints)
         self._links.keep_only(frozenset(endpoint.owner_address for endpoint in endpoints))
@@ -230,7 +230,10 @@
         )
 
     def checked_refusal(self, refusal: NotRun) -> NotRun:
-        """Return the refusal, or a retryable one if the configuration is too old for it."""
+        """Return the refusal, or a temporary one if the configuration is too old.
+
+        A refusal that callers take as final needs a recently confirmed configuration.
+        """
         return self._entry.confirmed(refusal, self.loop.time())
 
     def refusal_of_key(self, whose: OnBehalf) -> NotRun | None:
--- a/tests/data_plane/fake_owner.py
+++ b/tests/data_plane/fake_owner.py
@@ -1,4 +1,4 @@
-"""The node beside a back end as a test scripts it, on a raw call link."""
+"""An owner (the node co-located with a back end) scripted by a test, on a raw call link."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeOwner:
-    """Greets its peers and answers each further message by the script."""
+    """Answers link probes of its peers, and every other message as the script says."""
 
     def __init__(self, reply: Reply = lambda message: None) -> None:
         self.received: list[Message] = []
@@ -37,7 +37,7 @@
 
     @property
     def body_bytes(self) -> int:
-        """How much of bodies it was sent."""
+        """Number of request body bytes received."""
         return sum(
             len(each.data)
             for each in self.received
--- a/tests/data_plane/scripted_backend.py
+++ b/tests/data_plane/scripted_backend.py
@@ -1,4 +1,4 @@
-"""A back end on raw sockets whose answers a test scripts byte by byte."""
+"""A back end on raw sockets whose answers a test writes byte by byte."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Received:
-    """One request as the back end read it."""
+    """One request as the back end received it."""
 
     def __init__(self, head: bytes, reader: asyncio.StreamReader) -> None:
         self.head = head
@@ -41,7 +41,7 @@
 
 
 class ScriptedBackend:
-    """Serves every request with the script; remembers what it read."""
+    """Serves every request with the script and records the requests."""
 
     def __init__(self, script: Script = answer_ok) -> None:
         self.script = script
--- a/tests/data_plane/stage.py
+++ b/tests/data_plane/stage.py
@@ -1,4 +1,4 @@
-"""Data planes, back ends and raw callers in one loop, for tests."""
+"""Test helpers: data planes and raw callers in one event loop."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 )
 
 HANG_SECONDS = 60
-"""A scene that takes this long hangs; no scene is judged by how long it takes."""
+"""Time limit of a scene. It only catches hangs; no test asserts how long a scene takes."""
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
@@ -84,7 +84,7 @@
 
 
 class Node:
-    """One data plane and what it reported."""
+    """One data plane and the notices that it emitted."""
 
     def __init__(
         self, name: str = "e1", backend: str = "", slots: int = 20, **changes: Any
@@ -114,7 +114,7 @@
 
 
 class Answer(msgspec.Struct):
-    """A whole answer, or why there is none."""
+    """A complete answer, or in ``broken`` the reason why there is none."""
 
     status: int
     headers: dict[str, str]
@@ -131,7 +131,7 @@
 
 
 class Caller:
-    """A raw connection of a caller, with h11 only to read answers."""
+    """A caller's raw connection; h11 is used only to parse answers."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
--- a/tests/data_plane/test_call_outcomes.py
+++ b/tests/data_plane/test_call_outcomes.py
@@ -1,4 +1,7 @@
-"""What callers are told against what back ends ran: retries, deadlines, claims."""
+"""The outcome reported to a caller agrees with what back ends ran.
+
+Covers retries, deadlines, slot loans, claims and authorization.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,7 @@
 
 
 def _closed_address() -> str:
-    """An address where nobody listens."""
+    """Return an address on which nothing listens."""
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{taken.getsockname()[1]}"
@@ -129,7 +132,7 @@
 
 
 def test_stale_kept_connection_never_makes_a_call_run_twice() -> None:
-    """The back end closes each connection just after its first answer."""
+    """The back end closes each connection right after its first answer."""
 
     async def one_answer(request: Received, writer: asyncio.StreamWriter) -> None:
         await answer_ok(request, writer)
@@ -191,18 +194,21 @@
 
 
 @pytest.fixture
-def patient_verdict(monkeypatch: pytest.MonkeyPatch) -> None:
-    """However slow this machine is, the owner's word is waited for."""
+def long_settle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Wait long enough for the owner's report even on a slow machine."""
     monkeypatch.setattr(call_module, "SETTLE_TIMEOUT_SECONDS", 10.0)
 
 
 @pytest.mark.parametrize("hop", ["direct", "owner"])
 @pytest.mark.parametrize("hop_margin", [0.002, -5.0])
-@pytest.mark.usefixtures("patient_verdict")
+@pytest.mark.usefixtures("long_settle_timeout")
 def test_deadline_in_the_queue_is_not_run(
     hop: str, hop_margin: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also where the caller's node gives up first, as when its peer is slow."""
+    """The same holds if the caller's node gives up before the owner, as with a slow peer.
+
+    A negative margin brings that about: the owner's deadline is then the later one.
+    """
     monkeypatch.setattr(deadline, "HOP_MARGIN_SECONDS", hop_margin)
 
     async def scene() -> None:
@@ -228,18 +234,18 @@
     run(scene())
 
 
-OWNERS_WORD = {
+OWNER_REPLIES = {
     "not run": (CallNotRun(1, 503, "cancelled", 0, False), (503, "not-run")),
     "unknown": (CallUnknown(1, 504, "cancelled"), (504, "unknown")),
     "silent": (None, (504, "unknown")),
 }
 
 
-@pytest.mark.parametrize("word", OWNERS_WORD)
+@pytest.mark.parametrize("reply", OWNER_REPLIES)
 def test_at_the_deadline_the_owner_says_whether_the_call_ran(
-    word: str, monkeypatch: pytest.MonkeyPatch
+    reply: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    message, told = OWNERS_WORD[word]
+    message, expected = OWNER_REPLIES[reply]
     if message is not None:
         monkeypatch.setattr(call_module, "SETTLE_TIMEOUT_SECONDS", 10.0)
 
@@ -255,7 +261,7 @@
         caller.request(method="POST", body=b"x", headers=headers)
         await until(lambda: any(isinstance(m, CallStarted) for m in owner.received))
         answer = await caller.answer()
-        assert (answer.status, answer.outcome) == told
+        assert (answer.status, answer.outcome) == expected
         assert answer.reason == "deadline-passed"
         assert edge.plane.calls.in_flight == 0
         await edge.plane.close()
@@ -289,7 +295,7 @@
 
 
 @pytest.mark.parametrize("hop", ["direct", "owner"])
-def test_slots_hold_over_all_nodes_together(hop: str) -> None:
+def test_slot_limit_holds_across_all_nodes(hop: str) -> None:
     running = 0
     most = 0
 
@@ -334,7 +340,7 @@
     run(scene())
 
 
-def test_direct_calls_take_the_direct_way_once_slots_are_lent() -> None:
+def test_calls_bypass_the_owner_once_slots_are_lent() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         owner = Node("k1", await backend.start())
@@ -356,8 +362,8 @@
     run(scene())
 
 
-def test_connections_of_a_loan_that_is_over_are_closed() -> None:
-    """Kept ones of many nodes would pass the back end's bound in time."""
+def test_connections_of_an_ended_loan_are_closed() -> None:
+    """Pooled connections of many nodes would in time exceed the back end's limit."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
@@ -380,10 +386,10 @@
     run(scene())
 
 
-def test_connections_are_bounded_over_all_nodes_together(
+def test_connections_are_bounded_across_all_nodes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nodes that borrow slots one after the other leave no connections behind."""
+    """Nodes that borrow slots one after the other leave no connections open."""
     monkeypatch.setattr(slot_loans, "RENEW_SECONDS", 0.05)
     monkeypatch.setattr(data_plane, "TICK_SECONDS", 0.02)
     slots, most = 4, 0
@@ -408,7 +414,9 @@
                 assert (await call(address)).status == 200
             assert (await call(address)).status == 200
             await until(lambda: owner.plane.lent_slots == 0)
-        assert 1 < most <= 2 * slots, "the owner's own, and one for each slot lent"
+        assert 1 < most <= 2 * slots, (
+            "the owner's connections, and one for each slot on loan"
+        )
         for node in (*edges, owner):
             await node.plane.close()
         backend.stop()
@@ -417,7 +425,7 @@
 
 
 class FakeClaims:
-    """Claims in memory, or nobody there."""
+    """A claims client with claims in memory; it can be unreachable."""
 
     def __init__(self, reachable: bool = True) -> None:
         self.reachable = reachable
@@ -447,7 +455,7 @@
 
 
 class ClaimScene:
-    """One edge with claims before one back end."""
+    """An edge node with a claims client, in front of one back end."""
 
     def __init__(self, reachable: bool = True) -> None:
         self.claims = FakeClaims(reachable)
@@ -479,7 +487,7 @@
     run(scene())
 
 
-def test_key_that_no_claim_can_be_trusted_under_is_refused() -> None:
+def test_too_short_idempotency_key_is_refused() -> None:
     async def scene() -> None:
         stage = ClaimScene()
         address = await stage.start()
@@ -532,7 +540,10 @@
 
 @pytest.mark.parametrize("same_node", [True, False])
 def test_resent_request_id_and_key_run_once(same_node: bool) -> None:
-    """Claims as the group keeps them: an attempt's own name gets its grant again."""
+    """As in the claims group, an attempt that claims again under its name is granted.
+
+    If the attempt were named by the request id, a caller's retry would run again.
+    """
 
     class NamedClaims(FakeClaims):
         async def claim(
@@ -565,7 +576,7 @@
     run(scene())
 
 
-def test_call_that_did_not_run_gives_its_claim_back() -> None:
+def test_call_that_did_not_run_releases_its_claim() -> None:
     async def scene() -> None:
         stage = ClaimScene()
         address = await stage.start(_closed_address())
@@ -577,7 +588,7 @@
     run(scene())
 
 
-def test_keyed_call_whose_caller_left_is_finished_and_kept() -> None:
+def test_keyed_call_whose_caller_left_is_finished_and_its_answer_stored() -> None:
     async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.1)
         await answer_ok(request, writer)
@@ -601,7 +612,7 @@
     run(scene())
 
 
-def test_internal_route_refuses_the_public_and_serves_a_member() -> None:
+def test_internal_route_serves_only_tokens_of_the_internal_audience() -> None:
     secret = SecretResource("site", (SecretGeneration(1, b"k" * 32),), 1)
     route = msgspec.structs.replace(
         PUBLIC_ROUTE, audience=("internal",), verify_secret="site"
@@ -626,7 +637,7 @@
     run(scene())
 
 
-def test_node_vouches_for_the_back_end_beside_it_only() -> None:
+def test_node_signs_tokens_only_for_its_local_back_end() -> None:
     secret = SecretResource("site", (SecretGeneration(1, b"k" * 32),), 1)
     route = msgspec.structs.replace(
         PUBLIC_ROUTE, audience=("internal",), verify_secret="site"
@@ -635,15 +646,15 @@
 
     async def scene() -> None:
         backend = ScriptedBackend()
-        beside = Node("k1", await backend.start())
+        local = Node("k1", await backend.start())
         edge = Node()
         changes = {"route": route, "service": service, "secrets": {"site": secret}}
-        await beside.start(endpoint(backend.address), **changes)
+        await local.start(endpoint(backend.address), **changes)
         await edge.start(endpoint(backend.address), **changes)
-        assert (await call(beside.addresses.callers)).status == 200
+        assert (await call(local.addresses.callers)).status == 200
         assert backend.requests[0].headers["authorization"].startswith("Bearer ")
         assert (await call(edge.addresses.callers)).status == 403
-        await beside.plane.close()
+        await local.plane.close()
         await edge.plane.close()
         backend.stop()
 
--- a/tests/data_plane/test_call_path.py
+++ b/tests/data_plane/test_call_path.py
@@ -1,4 +1,4 @@
-"""Calls through one or two data planes to scripted back ends."""
+"""Calls through one or two data planes to scripted back ends succeed unchanged."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     run(scene())
 
 
-def test_direct_call_gives_the_whole_answer() -> None:
+def test_direct_call_returns_the_complete_answer() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         node = Node()
@@ -40,7 +40,7 @@
     run(scene())
 
 
-def test_call_through_the_owner_gives_the_whole_answer() -> None:
+def test_call_through_the_owner_returns_the_complete_answer() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         owner = Node("k1", await backend.start())
--- a/tests/data_plane/test_call_stories.py
+++ b/tests/data_plane/test_call_stories.py
@@ -1,4 +1,4 @@
-"""A call is followed by its request id: a line at its caller's node and its owner's."""
+"""Call records: the caller's node and the owner log a call under its request id."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def answer_after(release: asyncio.Event) -> Script:
-    """Give the script of a back end that works on each call until it is released."""
+    """Return a back-end script that answers each call only after ``release`` is set."""
 
     async def wait(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.body()
@@ -52,7 +52,7 @@
     return edge, owner, address
 
 
-def test_lost_call_has_a_line_at_both_nodes_under_its_id() -> None:
+def test_lost_call_has_a_record_at_both_nodes_under_its_id() -> None:
     async def scene() -> None:
         backend = ScriptedBackend(hang_up)
         edge, owner, address = await two_nodes(backend)
@@ -74,7 +74,7 @@
     run(scene())
 
 
-def test_each_attempt_is_a_step_with_what_its_choice_went_by() -> None:
+def test_record_has_a_step_for_each_attempt_and_its_refusal() -> None:
     async def scene() -> None:
         edge = Node()
         address = await edge.start(
@@ -96,7 +96,7 @@
     run(scene())
 
 
-def test_refusal_under_load_names_the_load_that_was_seen() -> None:
+def test_record_of_a_refusal_under_load_holds_the_observed_load() -> None:
     release = asyncio.Event()
 
     async def scene() -> None:
@@ -122,7 +122,7 @@
     run(scene())
 
 
-def test_a_slot_asked_for_in_vain_is_a_step_of_the_callers_line_alone() -> None:
+def test_refused_probe_is_a_step_in_the_callers_record_only() -> None:
     release = asyncio.Event()
 
     async def scene() -> None:
@@ -164,7 +164,7 @@
     run(scene())
 
 
-def test_answered_calls_have_lines_only_where_asked_for() -> None:
+def test_answered_calls_are_logged_only_if_configured() -> None:
     async def scene(every: int, lines: int) -> None:
         backend = ScriptedBackend(answer_ok)
         edge, owner, address = await two_nodes(backend, log_answered_every=every)
@@ -181,7 +181,7 @@
     run(scene(1, 1))
 
 
-def test_every_node_takes_the_same_answered_calls() -> None:
+def test_every_node_samples_the_same_answered_calls() -> None:
     one, other = CallLog(print, 10), CallLog(print, 10)
     ids = [b"id-%d" % number for number in range(1_000)]
     taken = [one.takes_answered(each) for each in ids]
@@ -189,8 +189,8 @@
     assert 50 < sum(taken) < 150
 
 
-def test_where_all_are_known_to_be_full_a_call_waits_at_once() -> None:
-    """To ask for a free slot first would send each request twice under load."""
+def test_call_waits_without_a_probe_if_all_back_ends_are_known_to_be_full() -> None:
+    """A probe for a free slot first would send each request twice under load."""
 
     async def scene() -> None:
         backend = ScriptedBackend(answer_ok)
@@ -214,8 +214,8 @@
     run(scene())
 
 
-def test_after_some_asks_in_vain_a_call_waits_at_once() -> None:
-    """Asks at the few back ends that look free are refused as well in a shortage."""
+def test_call_waits_without_a_probe_after_some_refused_probes() -> None:
+    """When slots are short, probes at the few back ends that look free fail as well."""
 
     async def scene() -> None:
         backend = ScriptedBackend(answer_ok)
--- a/tests/data_plane/test_seven_deep.py
+++ b/tests/data_plane/test_seven_deep.py
@@ -1,4 +1,4 @@
-"""A chain of seven services through their nodes: deadlines, cancellation, outcomes."""
+"""Deadlines, cancellation and outcomes of calls along a chain of seven services."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 DEPTH = 7
 SLOTS = 1
-"""One slot a back end: a chain that leaves one taken stops the next."""
+"""Slots of each back end. With one slot, a call that leaks it blocks the next call."""
 
 DEADLINE_HEADER = "peppershore-deadline-milliseconds"
 LONG = msgspec.structs.replace(PUBLIC_ROUTE, timeout_milliseconds=15_000)
@@ -44,7 +44,7 @@
 
 
 class Chain:
-    """Back ends that each call the next through a node; the last runs a script."""
+    """Back ends that each call the next one through a node; the last runs a script."""
 
     def __init__(self, hop: str, last: Script) -> None:
         self.deadlines: list[int] = []
@@ -84,7 +84,7 @@
         return answer
 
     async def at_rest(self) -> None:
-        """Wait until no node and no back end works on anything."""
+        """Wait until no node and no back end has work left."""
         entries = [node.plane.calls for node in self._entries]
         await until(lambda: all(calls.in_flight == 0 for calls in entries))
         await until(lambda: all(backend.open == 0 for backend in self.backends))
@@ -108,7 +108,7 @@
     async def _call_next(
         self, level: int, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        """Call the next service as a well-behaved back end does: cancel when cancelled."""
+        """Call the next service; cancel that call if this one is cancelled."""
         caller = await Caller.connect(self._entries[level + 1].addresses.callers)
         caller.request(headers={DEADLINE_HEADER: request.headers[DEADLINE_HEADER]})
         gone = asyncio.create_task(request.reader.read(1))
@@ -165,7 +165,7 @@
     _play(hop, _hang, scene)
 
 
-def test_deadline_that_passes_frees_every_slot_and_nothing_is_dressed_up(hop: str) -> None:
+def test_passed_deadline_frees_every_slot_and_is_reported_as_a_timeout(hop: str) -> None:
     async def scene(chain: Chain) -> None:
         answer = await chain.call(deadline_milliseconds=600)
         assert (answer.status, answer.outcome) in {(504, "unknown"), (504, "answered")}
@@ -176,7 +176,7 @@
     _play(hop, _hang, scene)
 
 
-def test_only_the_node_next_to_a_failure_tries_again(hop: str) -> None:
+def test_only_the_node_next_to_a_failure_retries(hop: str) -> None:
     async def scene(chain: Chain) -> None:
         answer = await chain.call()
         assert (answer.status, answer.outcome) == (502, "answered")
--- a/tests/data_plane/test_shed_calls.py
+++ b/tests/data_plane/test_shed_calls.py
@@ -1,4 +1,4 @@
-"""A back end that refuses for load: the call goes elsewhere where it may be repeated."""
+"""A back end sheds load with status 503: idempotent calls are retried elsewhere."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     writer.write(b"HTTP/1.1 503 Busy\r\nretry-after: 1\r\ncontent-length: 4\r\n\r\nbusy")
 
 
-def test_shed_call_that_may_be_repeated_is_answered_by_another_back_end() -> None:
+def test_idempotent_shed_call_is_answered_by_another_back_end() -> None:
     async def scene() -> None:
         busy, idle = ScriptedBackend(_shed), ScriptedBackend()
         node = Node()
@@ -35,7 +35,7 @@
     run(scene())
 
 
-def test_shed_answer_is_passed_on_where_the_call_may_run_once() -> None:
+def test_shed_answer_of_a_non_idempotent_call_is_forwarded() -> None:
     async def scene() -> None:
         busy, other = ScriptedBackend(_shed), ScriptedBackend(_shed)
         node = Node()
@@ -55,7 +55,7 @@
     run(scene())
 
 
-def test_refusal_passed_on_from_deeper_down_is_not_tried_again() -> None:
+def test_refusal_forwarded_from_a_downstream_node_is_not_retried() -> None:
     async def passed_on(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.body()
         head = b"HTTP/1.1 503 No\r\npeppershore-outcome: not-run\r\ncontent-length: 0\r\n"
@@ -77,7 +77,7 @@
     run(scene())
 
 
-def test_only_back_end_that_sheds_is_not_asked_again_at_once() -> None:
+def test_shed_call_is_not_retried_at_the_only_back_end() -> None:
     async def scene() -> None:
         busy = ScriptedBackend(_shed)
         node = Node()
@@ -91,7 +91,7 @@
     run(scene())
 
 
-def test_all_back_ends_shed_within_the_attempts_and_the_last_answer_is_given() -> None:
+def test_last_answer_is_forwarded_if_every_attempt_is_shed() -> None:
     async def scene() -> None:
         backends = [ScriptedBackend(_shed) for _ in range(5)]
         node = Node()
--- a/tests/data_plane/test_silent_owners.py
+++ b/tests/data_plane/test_silent_owners.py
@@ -1,4 +1,4 @@
-"""A back end's node that is stopped or stuck is found out, and calls go elsewhere."""
+"""An owner that is suspended or stuck is detected, and calls go to other back ends."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("route", [ROUTE, ONCE])
-def test_owner_that_never_greets_was_sent_nothing(route: object) -> None:
+def test_owner_that_never_greets_is_sent_no_call(route: object) -> None:
     async def scene() -> None:
         stuck = FakeOwner()
         stuck.silent = True
@@ -51,7 +51,7 @@
     run(scene())
 
 
-def test_owner_that_falls_silent_costs_a_repeatable_call_no_more_than_the_bound() -> None:
+def test_owner_that_falls_silent_does_not_fail_an_idempotent_call() -> None:
     async def scene() -> None:
         stuck, backend = _stuck_from_the_first_call(), ScriptedBackend()
         healthy = Node("k2", await backend.start())
@@ -73,7 +73,7 @@
     run(scene())
 
 
-def test_call_that_may_not_be_repeated_is_unknown_when_its_owner_falls_silent() -> None:
+def test_non_idempotent_call_is_unknown_when_its_owner_falls_silent() -> None:
     async def scene() -> None:
         stuck = _stuck_from_the_first_call()
         edge = Node()
--- a/tests/data_plane/test_waits_at_owners.py
+++ b/tests/data_plane/test_waits_at_owners.py
@@ -1,4 +1,7 @@
-"""A call whose part of its patience is over at one back end waits at the next."""
+"""A call whose wait at one back end timed out waits at the next one.
+
+The time that a call may wait is divided among ``waits_at_owners`` waits.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class Pair:
-    """Two owners with one slot each, both taken, the second's for a moment only."""
+    """Two owners with one slot each, and an edge node that knows both."""
 
     def __init__(self, waits: int) -> None:
         self.first = ScriptedBackend()
@@ -48,12 +51,12 @@
         return state
 
     def prefer_the_first(self) -> None:
-        """Let a call that may wait go to the first of the two."""
+        """Make a call that may wait go to the first owner: the second one seems slow."""
         for _ in range(20):
             self._state("k2").speed.learn(50.0)
 
     async def hold(self, name: str, other: str) -> asyncio.Task[Answer]:
-        """Take the slot of one back end."""
+        """Occupy the slot of one back end with a call."""
         backend = self.first if name == "k1" else self.second
         now = asyncio.get_running_loop().time()
         self._state(name).passed_over_until = 0.0
@@ -71,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("waits", "status"), [(1, 503), (2, 200), (3, 200)])
-def test_the_next_back_end_is_asked_while_there_is_patience(
+def test_call_waits_at_the_next_back_end_while_it_has_waits_left(
     waits: int, status: int
 ) -> None:
     async def scene() -> None:
