--- a/src/peppershore/process/node/data/attempt.py
+++ b/src/peppershore/process/node/data/attempt.py
@@ -90,11 +90,11 @@
     ``route``: name of the route, by which the owner estimates the work of the call.
     ``body_on_credit``: another node gets the body only after it has accepted the call, so
     that a refusal costs no bytes.
-    ``takes_room``: the body may be large; an owner receives only a few such bodies at a
-    time.
+    ``takes_room``: a body that is sent on credit may be large; an owner receives only a few
+    such bodies at a time.
     ``tenant``: tenant for whom the call is made; "" without tenants.
-    ``answer_is_large``: the answer needs capacity on the link of the owner and should be
-    transferred by ``due`` (monotonic seconds).
+    ``answer_is_large``: the answer needs capacity on the owner's network link and should
+    be transferred by ``due`` (monotonic seconds).
     ``answer_window``: receive window in bytes for a large answer; 0 for the default.
     ``fingerprint``: identifies equal requests; it is extended as the body arrives.
     """
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -62,8 +62,8 @@
 from peppershore.request.waiting import Ticket
 
 SETTLE_TIMEOUT_SECONDS = 0.025
-"""After its deadline a call waits this long for its owner to report whether it ran; without
-a report its outcome is unknown."""
+"""After its deadline a call waits this long for the back end's owner to report whether it
+ran; without a report its outcome is unknown."""
 
 
 OVERTIME_SECONDS = 5.0
@@ -173,9 +173,10 @@
         self._calls.quotas.take(self.plan, self._quota_decided)
 
     def _quota_decided(self, refusal: NotRun | None) -> bool:
-        """Handle the decision of the tenant's limit; a refusal fails the call.
+        """Handle the decision of the tenant's rate limit; a refusal fails the call.
 
-        Return False if the call ended meanwhile and the decision was not used.
+        Return False if a permit would not be used: the call ended meanwhile, or fails now
+        because its tenant's key is no longer accepted.
         """
         if self._over or self._fail_if_key_refused():
             return False
@@ -268,8 +269,8 @@
     def answer_ended(self, trailers: HeaderList) -> None:
         """Complete the answer, then free the slot; or retry at another back end.
 
-        A load-shedding answer, and a server error on routes that retry errors, is
-        discarded if another back end can be tried.
+        If the back end itself shed the call, or failed on a route that retries errors, the
+        answer is discarded if the call may be retried at another back end.
         """
         if self._answer.is_shed and self._retry_elsewhere_if_possible(SHED_OUTCOME, "shed"):
             return
@@ -377,14 +378,17 @@
         self._fail(worse(self._worst_failure, refusal))
 
     def configuration_changed(self) -> None:
-        """Fail the call if it has no attempt yet and its key is no longer accepted."""
+        """Fail the call if no attempt is in progress and its tenant's key is refused."""
         if not self._over and self._attempt is None:
             self._fail_if_key_refused()
 
     # --- inside
 
     def _fail_if_key_refused(self) -> bool:
-        """Fail the call if its key is no longer accepted; return whether it failed."""
+        """Fail the call if its tenant's key is no longer accepted.
+
+        Return whether it failed.
+        """
         refusal = self._calls.refusal_of_key(self._on_behalf)
         if refusal is None:
             return False
@@ -392,7 +396,8 @@
         return True
 
     def _claim_first(self, key: str) -> None:
-        # The request id would not do: a caller may reuse it when it retries the call.
+        # The request id does not identify the claiming attempt: a caller that retries the
+        # call may send the same id again.
         self._claim_attempt = self._calls.new_attempt_name()
         self._exchange.pause_body()
         seconds = self.plan.deadline - self._loop.time()
@@ -534,7 +539,7 @@
         self._admit()
 
     def _deadline_passed(self) -> None:
-        """End the call, after giving its owner some time to report whether it ran.
+        """End the call, after giving the back end's owner time to report whether it ran.
 
         A large answer that has begun may continue for ``OVERTIME_SECONDS`` first.
         """
--- a/src/peppershore/process/node/data/call_entry.py
+++ b/src/peppershore/process/node/data/call_entry.py
@@ -82,8 +82,8 @@
     ) -> None:
         """Start without a configuration.
 
-        ``settings`` name the local back end, whose calls this node signs tokens for.
-        ``freshness`` is the age of the configuration's latest confirmation.
+        ``settings`` name the local back end, for whose calls this node signs tokens.
+        ``freshness`` tells how long ago the configuration was last confirmed.
         """
         self._random = random
         self._names = names
@@ -179,14 +179,18 @@
         return self._tenants.keys.in_force
 
     def refusal_of_key(self, whose: OnBehalf, now: float) -> NotRun | None:
-        """Return a refusal if a waiting call's key is no longer accepted, else None."""
+        """Return a refusal if a call's tenant key is no longer accepted, else None.
+
+        Used for calls that waited: the tenants may have changed meanwhile, or the
+        configuration may have become too old to accept keys.
+        """
         refusal = self._tenants.refusal(whose, self._freshness.age_seconds(now))
         return None if refusal is None else self.confirmed(refusal, now)
 
     def start_by(self, plan: CallPlan, whose: OnBehalf, now: float) -> float:
-        """Return the end of the wait at a node that cannot check the call's key.
+        """Return until when a call may wait at a node that cannot check its tenant's key.
 
-        In monotonic seconds.
+        The result is in monotonic seconds.
         """
         wait = self._tenants.longest_wait(whose, self._freshness.age_seconds(now))
         return min(plan.start_by, now + wait)
@@ -194,7 +198,7 @@
     def forwarded_trailers(self, trailers: HeaderList) -> HeaderList:
         """Return the trailer fields for the back end, without tenant or key fields.
 
-        A caller must not set these in the head, so it must not set them in trailers either.
+        A caller's tenant name or key is not forwarded from the head either.
         """
         unwanted = {self._names.tenant}
         if self._tenants.keys.in_force:
@@ -272,7 +276,7 @@
         )
 
     def _parentage(self, head: RequestHead, running: RunningCalls) -> Parentage:
-        """Return which running call of the local back end, if any, made this request.
+        """Return for which running call the local back end made this request, if for any.
 
         Callers on the same host share the back end's address, so the parent is found by
         the request id. A request with a key, where tenants are configured, has no parent:
--- a/src/peppershore/process/node/data/call_retries.py
+++ b/src/peppershore/process/node/data/call_retries.py
@@ -50,7 +50,9 @@
     ) -> float | None:
         """Return the seconds to wait before a retry, or None if a retry is not allowed.
 
-        A retry of a call that reached no back end costs no budget and starts at once.
+        It is not allowed if it would start at or after the deadline, or if the budget is
+        spent. ``offers`` is the number of back ends that may have seen the call. A call
+        that no back end has seen is retried without ``costs_budget``, at once.
         """
         delay = retry_delay(offers, self._random) if costs_budget else 0.0
         if now + delay >= plan.deadline:
--- a/src/peppershore/process/node/data/call_story.py
+++ b/src/peppershore/process/node/data/call_story.py
@@ -27,7 +27,8 @@
     calls that this node has in flight there, and the number of other calls that the owner
     reported ``load_age_milliseconds`` ago.
     ``pace_percent``: service time of the back end relative to the usual one (100: as
-    usual, 200: twice as long, 0: never reported), ``pace_age_milliseconds`` ago.
+    usual, 200: twice as long, 0: never reported), as the back end reported it
+    ``pace_age_milliseconds`` ago.
     ``pace_source``: "own" for the local back end, "told" for one whose owner reported
     the pace.
     """
@@ -61,8 +62,8 @@
     is the latest; -1 if it never did.
     ``fingerprint``: equal for a request and its retries by the caller.
     ``tenant``: tenant for whom the call was made; "" if there is none or it is unknown.
-    ``lines_left_out``: calls without a valid key are logged at a limited rate; this is the
-    number of calls refused for the same reason since the previous record.
+    ``lines_left_out``: calls without a valid tenant key are logged at a limited rate; this
+    is the number of records left out for the same reason since the last one written.
     """
 
     level: ClassVar[str] = "info"
@@ -180,7 +181,7 @@
         return round((now - self.began_at) * MILLISECONDS)
 
     def note(self, now: float, step: str, node: str = "", reason: str = "") -> None:
-        """Add a decision."""
+        """Add the decision named ``step``, about ``node`` if it concerns a back end."""
         if len(self._steps) < MAX_STEPS:
             self._steps.append(CallStep(self.milliseconds(now), step, node, reason))
 
@@ -203,7 +204,7 @@
             )
 
     def note_failure(self, now: float, node: str, failed: Failed) -> None:
-        """Add the failure of an attempt."""
+        """Add the refusal or failure of an attempt at the back end of ``node``."""
         is_refusal = isinstance(failed, NotRun)
         advice = failed.retry_after_milliseconds if isinstance(failed, NotRun) else 0
         if len(self._steps) < MAX_STEPS:
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -77,7 +77,7 @@
         """Abort the call because its caller disconnected."""
 
     def configuration_changed(self) -> None:
-        """Fail the call if it still waits and its key is no longer accepted."""
+        """Fail the call if it still waits and its tenant's key is no longer accepted."""
 
 
 class CallCounts(msgspec.Struct):
@@ -143,9 +143,9 @@
     def body_is_costly(self, length: int | None, fingerprint: Fingerprint) -> bool:
         """Return whether a body should be sent only after the owner has accepted the call.
 
-        Such a body takes this node's link long to send. A request that is suspected of
-        crashing back ends is the exception, its body is sent with its head: the owner
-        needs the complete request to recognise it and run it alone.
+        That is the case if it takes a long time to send on this node's network link. The
+        body of a request that is suspected of crashing back ends is always sent with the
+        head: the owner needs the complete request to recognise it and run it alone.
         """
         if not takes_long(length, self._settings.link_megabits):
             return False
@@ -164,7 +164,7 @@
     # --- configuration and endpoints
 
     def use_configuration(self, active: ActiveConfiguration) -> None:
-        """Apply a configuration to new calls, and to waiting calls that use a key."""
+        """Apply a configuration to new calls; recheck the tenant keys of waiting calls."""
         self.configuration = active
         self._entry.use_configuration(active)
         self.weights.use(active.tenants)
@@ -189,7 +189,7 @@
         self.quarantine.tick(now)
 
     def close(self) -> None:
-        """Abort all calls in progress and release every resource."""
+        """Abort all calls in progress; close connections, cancel timers and claims."""
         for call in list(self._live):
             call.caller_gone()
         self._pools.close()
@@ -220,7 +220,7 @@
     def plan(self, head: RequestHead) -> Result[EntryPlan, NotRun]:
         """Classify and authorize a request; return its plan or the refusal.
 
-        The version group is chosen here too.
+        Also refuse a call that a planned stop might cut, and choose the version group.
         """
         running = NO_RUNNING_CALLS if self.own is None else self.own.running
         now = self.loop.time()
@@ -237,13 +237,17 @@
         return self._entry.confirmed(refusal, self.loop.time())
 
     def refusal_of_key(self, whose: OnBehalf) -> NotRun | None:
-        """Return a refusal if a waiting call's key is no longer accepted, else None."""
+        """Return a refusal if a call's tenant key is no longer accepted, else None.
+
+        Used for calls that waited: the tenants may have changed meanwhile, or the
+        configuration may have become too old to accept keys.
+        """
         return self._entry.refusal_of_key(whose, self.loop.time())
 
     def start_by(self, plan: CallPlan, whose: OnBehalf) -> float:
-        """Return the end of the wait at a node that cannot check the call's key.
+        """Return until when a call may wait at a node that cannot check its tenant's key.
 
-        In monotonic seconds.
+        The result is in monotonic seconds.
         """
         return self._entry.start_by(plan, whose, self.loop.time())
 
@@ -258,8 +262,9 @@
     def end_at(self, end: float, any_call_until: float) -> None:
         """Prepare a planned stop of this node at ``end``.
 
-        From ``any_call_until`` on, only calls whose deadline is before ``end`` are
-        accepted, so that the stop never cuts a call that is answered by its deadline.
+        From ``any_call_until`` on, only calls whose deadline is at least
+        ``STOP_MARGIN_SECONDS`` before ``end`` are accepted, so that the stop never cuts a
+        call that is answered by its deadline.
         Both times are in monotonic seconds.
         """
         self._stop_at = end - STOP_MARGIN_SECONDS
@@ -294,8 +299,9 @@
     ) -> Attempt:
         """Create an attempt: to the local back end, directly, or through the owner.
 
-        A back end that has an owner is called directly only while this node holds a slot
-        loan. A large answer is additionally paced by the capacity of this node's link.
+        A back end that has an owner is called directly only if the route allows it and
+        this node holds a slot loan. A large answer is also paced to the capacity of this
+        node's network link.
         """
         capacity = self.large_answers
         if capacity is None or not request.answer_is_large:
@@ -340,9 +346,9 @@
     def answered(
         self, plan: CallPlan, status: int, request_id: bytes, recorder: CallRecorder
     ) -> None:
-        """Count an answered call, and log it if it failed or was sampled.
+        """Count an answered call, and log it if it is a server error or was sampled.
 
-        Server errors are always logged, other answers as ``log_answered_every`` says.
+        One of ``log_answered_every`` other answers is logged; none if it is 0.
         """
         self.counts.answered += 1
         now = self.loop.time()
--- a/src/peppershore/process/node/data/direct_attempt.py
+++ b/src/peppershore/process/node/data/direct_attempt.py
@@ -173,7 +173,7 @@
             self._sink.attempt_failed(self._refusal)
 
     def attempt_failed(self, reason: str) -> None:
-        """Fail as unknown: the request was written and no complete answer arrived.
+        """Fail as unknown: request bytes were written and no complete answer arrived.
 
         If the head of the answer was a refusal, fail with that refusal instead.
         """
--- a/src/peppershore/process/node/data/own_attempt.py
+++ b/src/peppershore/process/node/data/own_attempt.py
@@ -1,6 +1,6 @@
 """An attempt at the local back end.
 
-It gets capacity for a large body, then a slot, and then sends the call.
+It gets link capacity for a large body, then a slot, and then sends the call.
 """
 
 from __future__ import annotations
@@ -114,10 +114,10 @@
         return ServedRun(waited, self._backend.report.mean_pace_percent(self._started))
 
     def start(self) -> None:
-        """Prefetch a small body or get capacity for a large one, then request a slot.
+        """Prefetch a small body or get link capacity for a large one, then request a slot.
 
-        If there is no capacity for a large body, the call waits for it if it may wait and
-        is refused otherwise.
+        If the link has no capacity for a large body, the call waits for it if it may wait
+        and is refused otherwise.
         """
         if self._fetches_first and self._backend.begin_body(self._request):
             self._fetch()
@@ -133,7 +133,7 @@
             self._sink.attempt_failed(_no_body_capacity(BUSY))
 
     def transfer_begun(self) -> None:
-        """Request a slot: capacity for the large body was granted."""
+        """Request a slot: link capacity for the large body was granted."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -327,7 +327,7 @@
     # --- inside
 
     def _crash_checked(self, has_ended: bool) -> None:
-        """Report the failure, now that it is known whether the back end crashed."""
+        """Report the failure; ``has_ended`` is whether the back end's process ended."""
         if not self._awaits_crash_check:
             return
         self._awaits_crash_check = False
@@ -335,7 +335,7 @@
         self._sink.attempt_failed(Unknown(STATUS_BAD_GATEWAY, reason))
 
     def _end_transfer(self) -> None:
-        """Free the capacity for the large body: it has ended, was dropped or timed out."""
+        """Free the link capacity: the large body has ended, was dropped or timed out."""
         if self._transfer_timer is not None:
             self._transfer_timer.cancel()
             self._transfer_timer = None
@@ -395,6 +395,9 @@
 
 
 def _no_body_capacity(reason: str) -> NotRun:
-    """Return the refusal of a call that got no link capacity for its body in time."""
+    """Return a refusal of a call whose body got no link capacity or arrived too late.
+
+    Its retry time is ``TRANSFER_SECONDS``.
+    """
     advice = math.ceil(TRANSFER_SECONDS * MILLISECONDS)
     return NotRun(STATUS_UNAVAILABLE, reason, advice, retryable=True)
--- a/tests/data_plane/test_call_path.py
+++ b/tests/data_plane/test_call_path.py
@@ -1,4 +1,4 @@
-"""Calls through one or two data planes to scripted back ends succeed unchanged."""
+"""The path of a call through one or two data planes to scripted back ends."""
 
 from __future__ import annotations
 
--- a/tests/data_plane/test_waits_at_owners.py
+++ b/tests/data_plane/test_waits_at_owners.py
@@ -20,7 +20,10 @@
 
 
 class Pair:
-    """Two owners with one slot each, and an edge node that knows both."""
+    """Two owners with one slot each, and an edge node that knows both.
+
+    The test occupies both slots; the second one is freed after a moment.
+    """
 
     def __init__(self, waits: int) -> None:
         self.first = ScriptedBackend()
