--- a/tests/consensus/control_cluster.py
+++ b/tests/consensus/control_cluster.py
@@ -1,4 +1,4 @@
-"""Control replicas under virtual time: seeded links, disks, clocks and faults."""
+"""Control replicas in virtual time, with seeded links, disks, clocks and faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Faults(msgspec.Struct, frozen=True):
-    """Probabilities per message and delays in seconds."""
+    """Probabilities of faults per message, and bounds of delays in seconds."""
 
     loss: float = 0.0
     duplicate: float = 0.0
@@ -38,14 +38,14 @@
 
 
 class Replica:
-    """One process: its core while it runs, and its disk, which outlives it."""
+    """One machine: its disk, and the core of its process while that runs."""
 
     def __init__(self, settings: ControlSettings, identity: int, clock_rate: float) -> None:
         self.settings = settings
         self.store = MemoryStore(identity)
         self.clock_rate = clock_rate
         self.core: ControlCore | None = None
-        self.life = 0
+        self.incarnation = 0
         self.paused = False
         self.disk_full = False
         self.exits: list[str] = []
@@ -55,12 +55,12 @@
         self.pending: list[PersistLog] = []
         self.refusing = False
         self.links: dict[int, tuple[str, int, int]] = {}
-        """Own link -> (peer's address, peer's link, peer's life)."""
+        """Local link id -> (peer address, link id at the peer, incarnation of the peer)."""
         self.clients: dict[int, Callable[[Message], None]] = {}
 
 
 class ControlCluster:
-    """Runs replicas, links and disks; checks the invariants after every step."""
+    """Simulates replicas, links and disks; checks the invariants after every step."""
 
     def __init__(
         self, names: tuple[str, ...], seed: int, faults: Faults = NO_FAULTS
@@ -83,7 +83,7 @@
     # --- processes -----------------------------------------------------------
 
     def add(self, name: str, join: bool = False) -> None:
-        """Give a machine with a blank disk."""
+        """Add a machine with a blank disk; its process is not started."""
         settings = self._settings(name, () if join else self._founders, join)
         drift = self.random.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.replicas[name] = Replica(settings, self.random.getrandbits(60), 1 + drift)
@@ -108,7 +108,7 @@
     def start(self, name: str) -> None:
         replica = self.replicas[name]
         assert replica.core is None
-        replica.life += 1
+        replica.incarnation += 1
         replica.core = self._make_core(replica)
         consensus = replica.core.consensus
         consensus.settings = msgspec.structs.replace(
@@ -118,19 +118,24 @@
         self.event(name, events.Started(self.random.getrandbits(60)))
 
     def crash(self, name: str) -> None:
-        """Kill the process: what was not synced is gone, whole writes at a time."""
+        """Kill the process; unsynced writes are lost.
+
+        At random the oldest of them survive, each one complete.
+        """
         replica = self.replicas[name]
         if replica.core is None:
             return
-        replica.store.write(self._synced_by_luck(replica))
+        replica.store.write(self._randomly_synced_records(replica))
         replica.core = None
         replica.timers = {}
         replica.pending = []
         replica.backlog = []
         replica.refusing = False
         replica.clients = {}
-        for address, link, life in replica.links.values():
-            self.later(0.001, lambda a=address, k=link, f=life: self._closed(a, k, f))
+        for address, link, incarnation in replica.links.values():
+            self.later(
+                0.001, lambda a=address, k=link, f=incarnation: self._closed(a, k, f)
+            )
         replica.links = {}
 
     def blank_disk(self, name: str) -> None:
@@ -148,7 +153,7 @@
             self.event(name, event)
 
     def leader(self) -> str | None:
-        """Name of the running replica that leads the highest term."""
+        """Return the name of the running replica that leads the highest term."""
         leading = [
             (replica.core.consensus.term, name)
             for name, replica in self.replicas.items()
@@ -164,7 +169,7 @@
     # --- clients -------------------------------------------------------------
 
     def connect(self, name: str, take: Callable[[Message], None]) -> int | None:
-        """Open a client's link; None while the replica is down."""
+        """Open a client link and return its id; None while the replica is down."""
         replica = self.replicas[name]
         if replica.core is None:
             return None
@@ -174,9 +179,11 @@
         return link
 
     def send(self, name: str, link: int, message: Message) -> None:
-        life = self.replicas[name].life
+        incarnation = self.replicas[name].incarnation
         event = events.MessageReceived(link, message)
-        self.later(self._delay(), lambda: self._event_in_life(name, life, event))
+        self.later(
+            self._delay(), lambda: self._event_in_incarnation(name, incarnation, event)
+        )
 
     # --- time ----------------------------------------------------------------
 
@@ -196,7 +203,9 @@
     def run_until(self, condition: Callable[[], bool], bound_seconds: float = 20.0) -> None:
         end = self.time + bound_seconds
         while not condition():
-            assert self.time < end, "the bound of virtual time ran out"
+            assert self.time < end, (
+                "the condition did not hold within the bound of virtual time"
+            )
             self.run(0.01)
 
     # --- events and commands -------------------------------------------------
@@ -213,8 +222,10 @@
             self._carry_out(name, replica, command)
         self.invariants.check(name, core)
 
-    def _event_in_life(self, name: str, life: int, event: events.Event) -> None:
-        if self.replicas[name].life == life:
+    def _event_in_incarnation(
+        self, name: str, incarnation: int, event: events.Event
+    ) -> None:
+        if self.replicas[name].incarnation == incarnation:
             self.event(name, event)
 
     def _carry_out(self, name: str, replica: Replica, command: commands.Command) -> None:
@@ -254,13 +265,17 @@
     # --- disk ----------------------------------------------------------------
 
     def _persist(self, name: str, replica: Replica, command: PersistLog) -> None:
-        life = replica.life
+        incarnation = replica.incarnation
         replica.pending.append(command)
         delay = self.random.uniform(0.0, self.faults.longest_sync)
-        self.later(delay, lambda: self._sync(name, replica, life))
-
-    def _sync(self, name: str, replica: Replica, life: int) -> None:
-        if replica.life != life or not replica.pending or replica.core is None:
+        self.later(delay, lambda: self._sync(name, replica, incarnation))
+
+    def _sync(self, name: str, replica: Replica, incarnation: int) -> None:
+        if (
+            replica.incarnation != incarnation
+            or not replica.pending
+            or replica.core is None
+        ):
             return
         pending, replica.pending = replica.pending, []
         if pending[-1].retry:
@@ -275,30 +290,30 @@
             replica.store.write(command.records)
         self.event(name, events.RecordsPersisted(pending[-1].token))
 
-    def _synced_by_luck(self, replica: Replica) -> list[Record]:
+    def _randomly_synced_records(self, replica: Replica) -> list[Record]:
         if replica.disk_full or replica.refusing or not replica.pending:
             return []
-        unlucky = self.random.random() < 0.7
-        count = 0 if unlucky else self.random.randint(0, len(replica.pending))
-        lucky = replica.pending[:count]
-        return [record for command in lucky for record in command.records]
+        none_synced = self.random.random() < 0.7
+        count = 0 if none_synced else self.random.randint(0, len(replica.pending))
+        synced = replica.pending[:count]
+        return [record for command in synced for record in command.records]
 
     # --- links ---------------------------------------------------------------
 
     def _open(self, name: str, replica: Replica, command: commands.OpenLink) -> None:
-        life = replica.life
+        incarnation = replica.incarnation
         target = command.address
 
         def connect() -> None:
             peer = self.replicas.get(target)
-            if replica.life != life or replica.core is None:
+            if replica.incarnation != incarnation or replica.core is None:
                 return
             if peer is None or peer.core is None or self._is_cut(name, target):
                 self.event(name, events.LinkClosed(command.link, "refused"))
                 return
             accepted = next(self._links)
-            replica.links[command.link] = (target, accepted, peer.life)
-            peer.links[accepted] = (name, command.link, life)
+            replica.links[command.link] = (target, accepted, peer.incarnation)
+            peer.links[accepted] = (name, command.link, incarnation)
             self.event(target, events.LinkOpened(accepted, name))
             self.event(name, events.LinkOpened(command.link, target))
 
@@ -320,11 +335,13 @@
             copies += 1 if self.random.random() < self.faults.duplicate else 0
         event = events.MessageReceived(peer[1], message)
         for _ in range(copies):
-            self.later(self._delay(), lambda: self._event_in_life(peer[0], peer[2], event))
+            self.later(
+                self._delay(), lambda: self._event_in_incarnation(peer[0], peer[2], event)
+            )
 
-    def _closed(self, name: str, link: int, life: int) -> None:
+    def _closed(self, name: str, link: int, incarnation: int) -> None:
         replica = self.replicas[name]
-        if replica.life == life and replica.links.pop(link, None) is not None:
+        if replica.incarnation == incarnation and replica.links.pop(link, None) is not None:
             self.event(name, events.LinkClosed(link, "closed by peer"))
 
     def _is_cut(self, sender: str, receiver: str) -> bool:
@@ -334,7 +351,7 @@
         return self.random.uniform(self.faults.shortest_delay, self.faults.longest_delay)
 
     def cut_off(self, name: str, outgoing: bool = True, incoming: bool = True) -> None:
-        """Silently lose what goes from or to one replica."""
+        """Drop all messages from or to one replica, without closing its links."""
         for other in self.replicas:
             if outgoing:
                 self.cut.add((name, other))
