--- a/src/peppershore/request/admission.py
+++ b/src/peppershore/request/admission.py
@@ -33,9 +33,9 @@
     pick,
     wider_link_of_two,
 )
-from peppershore.request.seeking import SlotSeeking
+from peppershore.request.seeking import FreeSlotProbing
 from peppershore.request.tenants.weights import ConfiguredWeights, ShareWeights
-from peppershore.request.version_lanes import Lane, draw_lane, split_lanes
+from peppershore.request.version_lanes import Lane, draw_lane, group_by_version
 from peppershore.request.waiting import Ticket, WaitingQueue
 from peppershore.request.work_times import WorkTimes
 from peppershore.version.model import ServiceSettings
@@ -100,13 +100,13 @@
         self._states: dict[str, EndpointState] = {}
         self._offered: dict[str, EndpointState] = {}
         self._lanes: dict[Lane, tuple[dict[str, EndpointState], ...]] = {}
-        self._split_lanes()
+        self._regroup_by_version()
         self._shares = ShareWeights(weights or ConfiguredWeights())
         self._queue = WaitingQueue(self._shares.weight)
-        self.seeking = SlotSeeking()
+        self.seeking = FreeSlotProbing()
         self._bulk_in_flight = 0
         self._work = WorkTimes()
-        self._told_work = WorkTimes()
+        self._reported_work = WorkTimes()
 
     @property
     def waiting(self) -> int:
@@ -137,7 +137,7 @@
         """
         return any(
             node not in nodes
-            and state.takes_a_call(now)
+            and state.can_accept_call(now)
             and not (for_free_slot and state.sheds(now))
             for group in self._lanes[lane]
             for node, state in group.items()
@@ -154,7 +154,7 @@
 
     def told_work(self, route: str) -> float:
         """Give the mean seconds of a route's calls as owners told; 0: unknown."""
-        return self._told_work.known(route)
+        return self._reported_work.known(route)
 
     def state(self, node: str) -> EndpointState | None:
         """Give what is known of one back end."""
@@ -163,7 +163,7 @@
     def use_settings(self, settings: ServiceSettings) -> None:
         """Take new settings; calls in flight keep their slots."""
         self.settings = settings
-        self._split_lanes()
+        self._regroup_by_version()
         for state in self._states.values():
             state.ramp_seconds = self._ramp_seconds(state.endpoint)
 
@@ -182,7 +182,7 @@
             elif endpoint.state == STATE_LEAVING and endpoint.owner_address:
                 leaving[endpoint.node] = state
         self._offered = ready or leaving
-        self._split_lanes()
+        self._regroup_by_version()
         present = {endpoint.node for endpoint in endpoints}
         for node in [node for node in self._states if node not in present]:
             if self._states[node].in_flight == 0:
@@ -234,7 +234,7 @@
 
     def impatient(self, now: float) -> list[Ticket]:
         """Give up the waiting calls that would have had to start by now."""
-        return self._queue.take_out(lambda ticket: ticket.start_by <= now)
+        return self._queue.remove_matching(lambda ticket: ticket.start_by <= now)
 
     def hopeless(self, now: float) -> list[Ticket]:
         """Give up the waiting calls whose time is too short for a back end's work.
@@ -242,7 +242,7 @@
         Started, they would hold a slot and end at their deadline all the same:
         under overload, earliest deadline first would serve little else.
         """
-        return self._queue.take_out(
+        return self._queue.remove_matching(
             lambda ticket: ticket.deadline <= now + self._work.of(ticket.route)
         )
 
@@ -323,9 +323,11 @@
         not keep back those behind it.
         """
         known = list(states)
-        roomy = [state for state in known if state.has_link_room(now, ticket.due)]
+        with_link_room = [state for state in known if state.has_link_room(now, ticket.due)]
         preference = self._preference(ticket)
-        return pick(roomy or known, preference, self._random, now, wider_link_of_two)
+        return pick(
+            with_link_room or known, preference, self._random, now, wider_link_of_two
+        )
 
     def _links_are_full(self, ticket: Ticket, now: float) -> bool:
         """Whether every owner told a moment ago that its link has no room."""
@@ -342,12 +344,12 @@
         waits = [state.link_wait(now) for group in groups for state in group.values()]
         return max(0.0, now + min(waits, default=0.0) - ticket.due)
 
-    def _split_lanes(self) -> None:
+    def _regroup_by_version(self) -> None:
         versions = {node: state.endpoint.version for node, state in self._offered.items()}
-        self._lanes = split_lanes(self._offered, versions, self.settings)
+        self._lanes = group_by_version(self._offered, versions, self.settings)
 
     def _preference(self, ticket: Ticket) -> Preference:
-        crossing_cost = ticket.crossing_seconds / self._told_work.of(ticket.route)
+        crossing_cost = ticket.crossing_seconds / self._reported_work.of(ticket.route)
         spill_over = self.settings.spill_over
         return Preference(
             self._zone,
@@ -374,7 +376,7 @@
             return self._refusal(NO_SLOT_IN_TIME, wait)
         evicted: Ticket | None = None
         if len(self._queue) >= self.settings.queue_limit:
-            evicted = self._queue.gives_way(ticket)
+            evicted = self._queue.displaced_by(ticket)
             if evicted is None:
                 return self._refusal(QUEUE_FULL, wait)
             self._queue.remove(evicted)
@@ -410,8 +412,8 @@
         is_far = state.endpoint.zone != self._zone
         state.note_load(load, now, is_far)
         if load.work_seconds:
-            self._told_work.observe(route, load.work_seconds)
-            state.speed.learn(load.work_seconds / self._told_work.of(route))
+            self._reported_work.observe(route, load.work_seconds)
+            state.speed.learn(load.work_seconds / self._reported_work.of(route))
 
     @staticmethod
     def _refusal(reason: str, wait: float, retryable: bool = False) -> NotRun:
--- a/src/peppershore/request/back_ends/link_room.py
+++ b/src/peppershore/request/back_ends/link_room.py
@@ -21,7 +21,7 @@
 TYPICAL_BYTES = 64 * 1024
 """Size that a large transfer is taken to have until some of its route were seen."""
 
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 """The newest size counts at least so much in a route's mean."""
 
 MAX_ROUTES = 1_000
@@ -34,7 +34,7 @@
 PIECE_SECONDS = 0.01
 """A large transfer is handed over in pieces that take the link so long."""
 
-LEAST_PIECE_BYTES = 1_024
+MIN_PIECE_BYTES = 1_024
 MARGIN_SECONDS = 0.02
 """Kept of the time left for the ways between the machines."""
 
@@ -68,7 +68,7 @@
     def observe(self, octets: int) -> None:
         """Take one size."""
         self.count += 1
-        self.octets += (octets - self.octets) * max(LEAST_WEIGHT, 1.0 / self.count)
+        self.octets += (octets - self.octets) * max(MIN_WEIGHT, 1.0 / self.count)
 
 
 class LinkRoom:
@@ -109,7 +109,7 @@
         ``work``: seconds until its first bytes are expected.
         """
         size = self.size_of(route)
-        late = self._through(size, now + work, now) + MARGIN_SECONDS - due
+        late = self._completion_time(size, now + work, now) + MARGIN_SECONDS - due
         if late > 0.0:
             return late
         transfer = Transfer(next(self._numbers), route, due, now + work, size)
@@ -118,7 +118,7 @@
 
     def wait(self, now: float) -> float:
         """Give in how many seconds one more would be through, work aside."""
-        return self._through(self._all.octets, now, now) - now
+        return self._completion_time(self._all.octets, now, now) - now
 
     def sized(self, transfer: Transfer, length: int) -> None:
         """Its length is known now."""
@@ -134,10 +134,12 @@
 
     def next(self, now: float) -> Transfer | None:
         """Give the transfer that goes now; None if none has bytes that can."""
-        able = [each for each in self._transfers.values() if each.held and not each.blocked]
-        if not able:
+        sendable = [
+            each for each in self._transfers.values() if each.held and not each.blocked
+        ]
+        if not sendable:
             return None
-        return min(able, key=lambda each: self._rank(each, now))
+        return min(sendable, key=lambda each: self._rank(each, now))
 
     def went(self, transfer: Transfer, octets: int) -> None:
         """So many of its bytes were handed to the link."""
@@ -166,7 +168,7 @@
         is_late = now + transfer.left / self.left_rate > transfer.due
         return (not transfer.begun, is_late, transfer.due, transfer.number)
 
-    def _through(self, size: float, ready_at: float, now: float) -> float:
+    def _completion_time(self, size: float, ready_at: float, now: float) -> float:
         """Give when one more would be through, behind those that are ready before it."""
         rate = self.left_rate
         free_at = now
@@ -192,7 +194,7 @@
     def __init__(self, rate: float, now: float) -> None:
         """Begin with a full bucket; ``rate`` in bytes a second."""
         self.rate = rate
-        self.piece = max(LEAST_PIECE_BYTES, int(rate * PIECE_SECONDS))
+        self.piece = max(MIN_PIECE_BYTES, int(rate * PIECE_SECONDS))
         self._most = max(1.0, rate * (LINK_QUEUE_SECONDS - PIECE_SECONDS))
         self._tokens = self._most
         self._at = now
--- a/src/peppershore/request/back_ends/own_report.py
+++ b/src/peppershore/request/back_ends/own_report.py
@@ -9,8 +9,8 @@
 import statistics
 from collections import deque
 
-from peppershore.request.back_ends.pace import KEPT_PACES, USUAL_PERCENT, slow_seconds
-from peppershore.request.back_ends.told_load import PACE_NOT_TOLD, ToldLoad
+from peppershore.request.back_ends.pace import PACE_SAMPLES, USUAL_PERCENT, slow_seconds
+from peppershore.request.back_ends.told_load import PACE_NOT_REPORTED, ToldLoad
 from peppershore.request.work_times import WorkTimes
 
 COUNT_SECONDS = 0.5
@@ -26,15 +26,22 @@
 class OwnReport:
     """The figures of one life of a back end, with their ages."""
 
-    __slots__ = ("_excess", "_heard_at", "_paces", "_told", "_unknown", "_work")
+    __slots__ = (
+        "_excess",
+        "_reported_at",
+        "_paces",
+        "_reported_paces",
+        "_unknown_calls",
+        "_work",
+    )
 
     def __init__(self) -> None:
         """Begin without figures."""
         self._excess = 0
-        self._unknown = 0
-        self._heard_at = 0.0
-        self._paces: deque[tuple[float, int]] = deque(maxlen=KEPT_PACES)
-        self._told: deque[int] = deque(maxlen=KEPT_PACES)
+        self._unknown_calls = 0
+        self._reported_at = 0.0
+        self._paces: deque[tuple[float, int]] = deque(maxlen=PACE_SAMPLES)
+        self._reported_paces: deque[int] = deque(maxlen=PACE_SAMPLES)
         self._work = WorkTimes()
 
     def heard(self, told: ToldLoad, known: int, now: float) -> None:
@@ -44,11 +51,11 @@
         written, so work counts as unknown where two figures in a row hold it.
         """
         excess = max(0, told.running + told.waiting - known)
-        self._unknown = min(self._excess, excess)
+        self._unknown_calls = min(self._excess, excess)
         self._excess = excess
-        self._heard_at = now
-        if told.pace_percent != PACE_NOT_TOLD:
-            self._take_pace(told.pace_percent, now)
+        self._reported_at = now
+        if told.pace_percent != PACE_NOT_REPORTED:
+            self._add_pace(told.pace_percent, now)
 
     def taken(self, slots: int, now: float) -> int:
         """Give how many slots are taken by work of which the node knows nothing.
@@ -56,11 +63,11 @@
         One is left, since a back end that says too much would be given nothing for that;
         none where its queue is long too: what it can't queue it may never answer.
         """
-        if now - self._heard_at >= COUNT_SECONDS:
+        if now - self._reported_at >= COUNT_SECONDS:
             return 0
-        if self._unknown >= LONG_QUEUE_FACTOR * slots:
+        if self._unknown_calls >= LONG_QUEUE_FACTOR * slots:
             return slots
-        return min(self._unknown, slots - 1)
+        return min(self._unknown_calls, slots - 1)
 
     @property
     def pace_percent(self) -> int:
@@ -92,7 +99,7 @@
 
     def mean_pace_percent(self, since: float) -> int:
         """Give the mean pace of what ran since then; 0 if it was never told."""
-        return round(self._mean_pace(since)) if self._paces else PACE_NOT_TOLD
+        return round(self._mean_pace(since)) if self._paces else PACE_NOT_REPORTED
 
     def usual_work(self, route: str) -> float:
         """Give the mean seconds of a route's calls at the usual pace; 0 if not known."""
@@ -103,7 +110,7 @@
         told = [percent for at, percent in self._paces if at >= since]
         return sum(told) / len(told) if told else self.pace_percent
 
-    def _take_pace(self, percent: int, now: float) -> None:
-        self._told.append(percent)
-        usual = statistics.median_low(self._told)
+    def _add_pace(self, percent: int, now: float) -> None:
+        self._reported_paces.append(percent)
+        usual = statistics.median_low(self._reported_paces)
         self._paces.append((now, round(USUAL_PERCENT * percent / usual)))
--- a/src/peppershore/request/back_ends/pace.py
+++ b/src/peppershore/request/back_ends/pace.py
@@ -14,7 +14,7 @@
 """A machine is slow from here on, against its own usual.  Back ends of one service differ
 as much in speed all the time; sending a call on costs a way there and back."""
 
-KEPT_PACES = 64
+PACE_SAMPLES = 64
 """Figures by whose median a machine's usual pace is known: a few seconds of answers, so
 that a slow moment is less than half of them, and one that stays slow soon is usual."""
 
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/told_load.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-PACE_NOT_TOLD: Final = 0
+PACE_NOT_REPORTED: Final = 0
 
-MOST_FIELD_BYTES = 64
-MOST_CALLS = 100_000
+MAX_FIELD_BYTES = 64
+MAX_CALLS = 100_000
 """More calls or slots than that no one back end has."""
 
-LEAST_PERCENT = 10
-MOST_PERCENT = 10_000
+MIN_PERCENT = 10
+MAX_PERCENT = 10_000
 """A machine that is ten times as quick as usual, or a hundred times as slow, is none."""
 
-FIGURES_WITHOUT_PACE = 3
-FIGURES_WITH_PACE = 4
+FIELDS_WITHOUT_PACE = 3
+FIELDS_WITH_PACE = 4
 
 
 class ToldLoad(msgspec.Struct, frozen=True):
@@ -34,20 +34,20 @@
     running: int
     waiting: int
     slots: int
-    pace_percent: int = PACE_NOT_TOLD
+    pace_percent: int = PACE_NOT_REPORTED
 
 
 def read_load(value: bytes) -> ToldLoad | None:
     """Read the field's value; None if it is missing or can't be read whole."""
-    if not value or len(value) > MOST_FIELD_BYTES:
+    if not value or len(value) > MAX_FIELD_BYTES:
         return None
     figures = [figure.strip(b" ") for figure in value.split(b",")]
-    if len(figures) not in {FIGURES_WITHOUT_PACE, FIGURES_WITH_PACE}:
+    if len(figures) not in {FIELDS_WITHOUT_PACE, FIELDS_WITH_PACE}:
         return None
     running, waiting, slots = (_count(figure) for figure in figures[:3])
     if running is None or waiting is None or not slots:
         return None
-    pace = figures[3] if len(figures) == FIGURES_WITH_PACE else b""
+    pace = figures[3] if len(figures) == FIELDS_WITH_PACE else b""
     return ToldLoad(running, waiting, slots, _percent(pace))
 
 
@@ -56,15 +56,15 @@
     if not figure.isdigit():
         return None
     count = int(figure)
-    return count if count <= MOST_CALLS else None
+    return count if count <= MAX_CALLS else None
 
 
 def _percent(figure: bytes) -> int:
     """Give a pace that may be, a fraction of it dropped, else ``PACE_NOT_TOLD``."""
     whole, point, fraction = figure.partition(b".")
     if point and not fraction.isdigit():
-        return PACE_NOT_TOLD
+        return PACE_NOT_REPORTED
     percent = _count(whole)
-    if percent is None or not LEAST_PERCENT <= percent <= MOST_PERCENT:
-        return PACE_NOT_TOLD
+    if percent is None or not MIN_PERCENT <= percent <= MAX_PERCENT:
+        return PACE_NOT_REPORTED
     return percent
--- a/src/peppershore/request/bodies_ahead.py
+++ b/src/peppershore/request/bodies_ahead.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-AHEAD = 1
+PREFETCH_BEYOND_SLOTS = 1
 """Calls whose body may come beyond the slots.  With 10 back ends of 3 slots at 0.75 and
 0.9 of their capacity, links of 1 Mbit/s and bodies of 4 KB, calls in aim were 0.90 and
 0.58 without, 0.98 and 0.81 with one (virtual time, means of four seeds); links of
@@ -38,7 +38,7 @@
 
         ``held``: slots in use, ``waiting``: calls in line for one.
         """
-        if held + waiting + self.coming >= slots + AHEAD:
+        if held + waiting + self.coming >= slots + PREFETCH_BEYOND_SLOTS:
             return False
         self.coming += 1
         return True
--- a/src/peppershore/request/body_transfers.py
+++ b/src/peppershore/request/body_transfers.py
@@ -16,7 +16,7 @@
 TRANSFER_SECONDS = 0.25
 """So many typical bodies are taken in at a time as the link carries in this time."""
 
-LEAST_TRANSFERS = 2
+MIN_TRANSFERS = 2
 """With one alone the link would idle while its sender is slow."""
 
 LINK_QUEUE_SECONDS = 0.03
@@ -29,7 +29,7 @@
 else out.  Four times what a typical body takes."""
 
 
-COSTLY_SECONDS = 0.005
+LONG_TRANSFER_SECONDS = 0.005
 """A body that takes its sender's link longer than this goes only where its call is taken.
 Asking first costs one more way there and back, 1 to 3 ms between zones.  Measured on 74
 machines of 1 Mbit/s whose calls carry 4 KB: bodies sent along with asks that were refused
@@ -42,7 +42,7 @@
         return False
     if length is None:
         return True
-    return length > link_megabits * BYTES_PER_MEGABIT * COSTLY_SECONDS
+    return length > link_megabits * BYTES_PER_MEGABIT * LONG_TRANSFER_SECONDS
 
 
 class BodyTransfers:
@@ -60,7 +60,7 @@
             window = int(per_second * LINK_QUEUE_SECONDS)
             self.window_bytes = min(STREAM_WINDOW_BYTES, max(LEAST_WINDOW_BYTES, window))
             carried = int(per_second * TRANSFER_SECONDS / TYPICAL_BODY_BYTES)
-            self._most = max(LEAST_TRANSFERS, carried)
+            self._most = max(MIN_TRANSFERS, carried)
 
     @property
     def has_room(self) -> bool:
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -24,18 +24,18 @@
 from peppershore.version.splits import parse_splits
 
 MILLISECONDS = 1_000
-PATIENCE_SHARE = 0.2
+WAIT_SHARE = 0.2
 """Part of a route's target latency for which a call may wait for a slot.  A caller that
 is refused within a quarter of it can still come again in good time; the rest is for the
 way there and back."""
 
-CROSSING_SHARE = 0.4
+CROSS_ZONE_GAIN_SHARE = 0.4
 """Part of a route's target latency by which an answer from another zone must be sooner to
 be worth the bytes between zones.  Work that is spread by half its mean comes too late
 about 15 in 100 times less often then, and a crossing costs up to 18 in 100 of an answer.
 0.2 was tried: on two of three sites the bytes cost more than the answers gained."""
 
-INNER_PATIENCE_SHARE = 0.4
+NESTED_WAIT_SHARE = 0.4
 """Part of its time for which a call of a back end may wait for a slot."""
 
 NO_CONFIGURATION_RETRY_AFTER_MILLISECONDS = 600
@@ -128,7 +128,7 @@
 
 def _start_by(settings: RouteSettings, now: float) -> float:
     latency = settings.target_latency_milliseconds
-    return now + latency * PATIENCE_SHARE / MILLISECONDS if latency else math.inf
+    return now + latency * WAIT_SHARE / MILLISECONDS if latency else math.inf
 
 
 def _due(settings: RouteSettings, now: float, deadline: float) -> float:
@@ -144,7 +144,7 @@
     latency = settings.target_latency_milliseconds
     if not latency or settings.streamed_bodies:
         return math.inf
-    return latency * CROSSING_SHARE / MILLISECONDS
+    return latency * CROSS_ZONE_GAIN_SHARE / MILLISECONDS
 
 
 def first_in_line(plan: CallPlan, now: float) -> CallPlan:
@@ -152,7 +152,7 @@
 
     Refused, it would waste all the work done so far, so it also waits longer.
     """
-    start_by = now + (plan.deadline - now) * INNER_PATIENCE_SHARE
+    start_by = now + (plan.deadline - now) * NESTED_WAIT_SHARE
     return msgspec.structs.replace(plan, call_class="critical", start_by=start_by)
 
 
--- a/src/peppershore/request/client_retries.py
+++ b/src/peppershore/request/client_retries.py
@@ -40,11 +40,11 @@
         """Take the time that a call has left; tell whether it came before."""
         self._samples.append(remaining)
         if self._seen % RELEARN_EVERY == 0:
-            self._usual = self._learned()
+            self._usual = self._estimate()
         self._seen += 1
         return remaining < FIRST_SEND_SHARE * self._usual
 
-    def _learned(self) -> float:
+    def _estimate(self) -> float:
         ordered = sorted(self._samples)
         return ordered[int(USUAL_QUANTILE * (len(ordered) - 1))]
 
@@ -70,10 +70,10 @@
 
 
 RATE_DECAY_SECONDS = 2.0
-RETRY_LOAD = 0.5
+RETRY_RATE_SHARE = 0.5
 """Callers are told to retry at this part of the rate of answers."""
 
-REFUSED_TWICE_SECONDS = 0.8
+MIN_ADVICE_SECONDS = 0.8
 """A call that was refused twice is late in any case: let the overload pass."""
 
 MAX_ADVICE_SECONDS = 2.0
@@ -104,7 +104,7 @@
         ``wait``: seconds until a slot may be free for it, as far as is known.
         """
         self._fade(now)
-        self._next = max(self._next, now + max(wait, REFUSED_TWICE_SECONDS))
+        self._next = max(self._next, now + max(wait, MIN_ADVICE_SECONDS))
         advice = self._next - now
         if advice < MAX_ADVICE_SECONDS:
             self._next += self._spacing_seconds
@@ -113,7 +113,7 @@
     @property
     def _spacing_seconds(self) -> float:
         rate = self._answers / RATE_DECAY_SECONDS
-        return 1.0 / (RETRY_LOAD * rate) if rate > 0.0 else 0.0
+        return 1.0 / (RETRY_RATE_SHARE * rate) if rate > 0.0 else 0.0
 
     def _fade(self, now: float) -> None:
         self._answers *= math.exp((self._seen_at - now) / RATE_DECAY_SECONDS)
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -38,15 +38,15 @@
 """One that refuses for load is passed over for so long, twice as long each time in a
 row: in its zone it may be the only one, and would draw every call by that."""
 
-LOAD_SECONDS = 0.5
+LOAD_MAX_AGE_SECONDS = 0.5
 """What a back end's own node told of its load counts for so long."""
 
-FULL_SECONDS = 0.005
-FAR_FULL_SECONDS = 0.25
+FULL_PAUSE_SECONDS = 0.005
+FAR_FULL_PAUSE_SECONDS = 0.25
 """A back end whose slots are all taken is passed over for so long at least, in the own
 zone and in another one; longer if its queue takes longer."""
 
-CROWDING = 0.5
+UTILIZATION_COST = 0.5
 """How much more a call costs at a back end that has no slot left than at an idle one:
 some are slower when nearly full, and what is told of a free slot is old."""
 
@@ -66,9 +66,9 @@
         "_sheds",
         "_last_seen",
         "_link_wait",
-        "_load_at",
+        "_load_received_at",
         "_others",
-        "_slots_told",
+        "_reported_slots",
         "consecutive_failures",
         "ejected_until",
         "endpoint",
@@ -99,9 +99,9 @@
         self._last_seen = now
         self._others = 0
         self.speed = Speed()
-        self._slots_told = 0
+        self._reported_slots = 0
         self._link_wait = 0.0
-        self._load_at = -LOAD_SECONDS
+        self._load_received_at = -LOAD_MAX_AGE_SECONDS
 
     def ramp(self, now: float) -> float:
         """Give the share of full load allowed now, between RAMP_FLOOR and 1."""
@@ -120,7 +120,7 @@
             return False
         return self.ramp_seconds <= 0.0 or self.in_flight < self.slots(now)
 
-    def takes_a_call(self, now: float) -> bool:
+    def can_accept_call(self, now: float) -> bool:
         """Whether a call may be sent to it now, as far as is known."""
         return self.free(now) and not self.ejected(now)
 
@@ -139,13 +139,16 @@
         zones.
         """
         self._others = max(0, load.running + load.waiting - self.in_flight)
-        self._load_at = now
-        self._slots_told = load.slots
+        self._load_received_at = now
+        self._reported_slots = load.slots
         self._link_wait = load.link_wait_milliseconds / 1_000
         if load.running >= load.slots:
-            pause = max(FAR_FULL_SECONDS if is_far else FULL_SECONDS, _queue_seconds(load))
+            pause = max(
+                FAR_FULL_PAUSE_SECONDS if is_far else FULL_PAUSE_SECONDS,
+                _queue_seconds(load),
+            )
             self.passed_over_until = max(self.passed_over_until, now + pause)
-        self.speed.told_pace(load.pace_percent, load.pace_age_milliseconds, now)
+        self.speed.update_pace(load.pace_percent, load.pace_age_milliseconds, now)
         slow = self.speed.slow_seconds(now)
         if slow > 0.0:
             self.passed_over_until = max(self.passed_over_until, now + slow)
@@ -155,8 +158,8 @@
 
         What its own node told last gets less as the link carries on; 0 once it is old.
         """
-        age = now - self._load_at
-        return max(0.0, self._link_wait - age) if age < LOAD_SECONDS else 0.0
+        age = now - self._load_received_at
+        return max(0.0, self._link_wait - age) if age < LOAD_MAX_AGE_SECONDS else 0.0
 
     def has_link_room(self, now: float, due: float) -> bool:
         """Whether one more large answer would be through by ``due``, as far as is known."""
@@ -165,7 +168,7 @@
     @property
     def has_free_slot(self) -> bool:
         """Whether a slot was free by what its own node told last."""
-        return self.in_flight + self._others < self._slots_told
+        return self.in_flight + self._others < self._reported_slots
 
     @property
     def others(self) -> int:
@@ -174,7 +177,11 @@
 
     def load_age_milliseconds(self, now: float) -> int:
         """Give how long ago its load was told; 0 before the first time."""
-        return round((now - self._load_at) * 1_000) if self._load_at > 0.0 else 0
+        return (
+            round((now - self._load_received_at) * 1_000)
+            if self._load_received_at > 0.0
+            else 0
+        )
 
     def cost(self, now: float) -> float:
         """Give the expected cost of one more call; lower is better.
@@ -184,9 +191,9 @@
         """
         fade = math.exp((self._last_seen - now) / FADE_SECONDS)
         failing = 1.0 + FAILURE_COST * (self._failure_rate * fade) ** 2
-        others = self._others if now - self._load_at < LOAD_SECONDS else 0
+        others = self._others if now - self._load_received_at < LOAD_MAX_AGE_SECONDS else 0
         calls = self.in_flight + others
-        if self._slots_told or self.endpoint.owner_address:
+        if self._reported_slots or self.endpoint.owner_address:
             expected = self._expected_multiple(calls, now, fade)
         else:
             expected = (calls + 1) * self._expected_latency(fade)
@@ -195,8 +202,8 @@
     def _expected_multiple(self, calls: int, now: float, fade: float) -> float:
         """Give the time until an answer, its wait included, in usual times."""
         pace = self.speed.expected(now, fade)
-        slots = self._slots_told or max(1, self.limit)
-        crowded = CROWDING * min(1.0, calls / slots) ** 2
+        slots = self._reported_slots or max(1, self.limit)
+        crowded = UTILIZATION_COST * min(1.0, calls / slots) ** 2
         wait = max(0, calls + 1 - slots) / slots
         return pace * (1.0 + crowded + wait)
 
@@ -261,7 +268,7 @@
     """
     if not load.slots:
         return 0.0
-    return min(LOAD_SECONDS, (load.waiting + 1) * load.work_seconds / load.slots)
+    return min(LOAD_MAX_AGE_SECONDS, (load.waiting + 1) * load.work_seconds / load.slots)
 
 
 def _weight(elapsed: float, decay: float) -> float:
--- a/src/peppershore/request/next_attempt.py
+++ b/src/peppershore/request/next_attempt.py
@@ -22,11 +22,11 @@
 MAX_TRIES = 8
 """Attempts of one call in all, those that no back end saw included."""
 
-NEAR_SEEKS = 2
+NEAR_PROBES = 2
 """Back ends that a call asks for a free slot, the near ones first.  Where two that seemed
 free were full, what is known of the others near by is as old."""
 
-MAX_SEEKS = NEAR_SEEKS + 1
+MAX_SEEKS = NEAR_PROBES + 1
 """Back ends that a call asks before it waits: the last one is of another zone, where slots
 may be free all the while.  With 41 back ends of which each node sees little, calls went
 round eight of them and were refused without a wait."""
@@ -36,7 +36,7 @@
 next would be as well; the request would only cross the zones once more."""
 
 
-MOST_ENDS = 2
+MAX_CRASHES = 2
 """Back ends that may end under one request before its node sends it to no other, those
 known from elsewhere among them: the third is left to a try that runs alone."""
 
@@ -58,7 +58,7 @@
     @property
     def tries_another_zone(self) -> bool:
         """Whether the next one to be asked should be of another zone."""
-        return self.tries == NEAR_SEEKS and not self.may_wait
+        return self.tries == NEAR_PROBES and not self.may_wait
 
 
 class AttemptTerms(msgspec.Struct, frozen=True):
@@ -116,39 +116,41 @@
         return _after_refusal(progress, failed, terms)
     if progress.offers >= terms.most_offers:
         return GIVE_UP
-    if failed.reason == BACK_END_ENDED and progress.ends + terms.known_ends >= MOST_ENDS:
+    if failed.reason == BACK_END_ENDED and progress.ends + terms.known_ends >= MAX_CRASHES:
         return GIVE_UP
     if isinstance(failed, NotRun):
-        may_repeat = failed.retryable and terms.has_other
+        may_retry = failed.retryable and terms.has_other
     else:
-        may_repeat = terms.repeatable and failed.status != STATUS_GATEWAY_TIMEOUT
-    if not may_repeat:
+        may_retry = terms.repeatable and failed.status != STATUS_GATEWAY_TIMEOUT
+    if not may_retry:
         return GIVE_UP
     return TryAgain(terms.has_other, progress.may_wait, costs_budget=True)
 
 
 def _after_refusal(progress: CallProgress, failed: NotRun, terms: AttemptTerms) -> NextStep:
     """No back end saw the call: look for a free slot, then wait where it is shortest."""
-    if _waits_on(progress, failed, terms):
+    if _may_wait_elsewhere(progress, failed, terms):
         return TryAgain(elsewhere=True, may_wait=True)
-    if not failed.retryable or _waited_in_vain(progress, failed):
+    if not failed.retryable or _waits_are_used_up(progress, failed):
         return GIVE_UP
-    is_seeking = failed.reason in SEEK_ON and not progress.may_wait
+    is_probing = failed.reason in SEEK_ON and not progress.may_wait
     if terms.has_other:
-        may_wait = progress.may_wait or (is_seeking and progress.tries >= MAX_SEEKS)
+        may_wait = progress.may_wait or (is_probing and progress.tries >= MAX_SEEKS)
         return TryAgain(elsewhere=True, may_wait=may_wait)
-    if is_seeking:
+    if is_probing:
         return TryAgain(elsewhere=False, may_wait=True)
     return GIVE_UP
 
 
-def _waits_on(progress: CallProgress, failed: NotRun, terms: AttemptTerms) -> bool:
+def _may_wait_elsewhere(
+    progress: CallProgress, failed: NotRun, terms: AttemptTerms
+) -> bool:
     """Whether a call whose part of its patience is over waits at another back end."""
     is_over = progress.may_wait and failed.reason == NO_SLOT_IN_TIME
     return is_over and terms.may_wait_on and terms.has_other
 
 
-def _waited_in_vain(progress: CallProgress, failed: NotRun) -> bool:
+def _waits_are_used_up(progress: CallProgress, failed: NotRun) -> bool:
     """Whether enough back ends had no slot in time."""
     is_load = progress.may_wait and failed.reason in LOAD_REASONS
     return is_load and progress.waits >= MAX_WAITS
--- a/src/peppershore/request/picker.py
+++ b/src/peppershore/request/picker.py
@@ -62,20 +62,20 @@
 ) -> EndpointState | None:
     """Give the back end for one call, or None if none has room now."""
     willing, shedding, failed = _with_room(states, preference, now)
-    home = _home_with_free_slot(willing[NEAR], preference)
+    home = _local_with_free_slot(willing[NEAR], preference)
     if home is not None:
         return home
-    chosen = _of_zones(willing, preference, random, now, choose)
+    chosen = _choose_by_zone(willing, preference, random, now, choose)
     if chosen is None and (shedding[NEAR] or shedding[FAR]):
-        fresh = _both(willing, shedding)
-        chosen = _of_zones(fresh, preference, random, now, choose)
+        fresh = _merged(willing, shedding)
+        chosen = _choose_by_zone(fresh, preference, random, now, choose)
     if chosen is None and (failed[NEAR] or failed[FAR]):
-        usable = _both(_both(willing, shedding), failed)
-        chosen = _of_zones(usable, preference, random, now, choose)
+        usable = _merged(_merged(willing, shedding), failed)
+        chosen = _choose_by_zone(usable, preference, random, now, choose)
     return chosen
 
 
-def _home_with_free_slot(
+def _local_with_free_slot(
     near: list[EndpointState], preference: Preference
 ) -> EndpointState | None:
     """Give the back end beside this node, if a call there would run at once.
@@ -114,11 +114,11 @@
     return willing, shedding, failed
 
 
-def _both(one: ByZone, other: ByZone) -> ByZone:
+def _merged(one: ByZone, other: ByZone) -> ByZone:
     return ByZone((one[NEAR] + other[NEAR], one[FAR] + other[FAR]))
 
 
-def _of_zones(
+def _choose_by_zone(
     candidates: ByZone,
     preference: Preference,
     random: RandomSource,
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -30,17 +30,17 @@
 """A new release of the back end may have mended it: after so long one more run may show
 it.  An end then holds the request twice as long as before."""
 
-LONGEST_HOLD_SECONDS = 86_400.0
+MAX_HOLD_SECONDS = 86_400.0
 
-KEEP_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 """A suspect, and a clearing, are remembered for so long: callers that come again do so
 within seconds or minutes."""
 
-MOST_ENTRIES = 1_024
+MAX_ENTRIES = 1_024
 """About 100 bytes each.  An end adds as many as the back end has slots; those with the
 fewest ends are dropped first, so none that is held goes for one that is suspected."""
 
-MOST_LIVES = 16
+MAX_INCARNATIONS = 16
 """Lives kept of one request: the hold is at its longest well before."""
 
 MILLISECONDS = 1_000
@@ -73,7 +73,7 @@
         return ends >= HELD_LIVES and now - self.changed_at < hold_seconds(ends)
 
     def is_old(self, now: float) -> bool:
-        return now - self.changed_at >= hold_seconds(len(self.lives)) + KEEP_SECONDS
+        return now - self.changed_at >= hold_seconds(len(self.lives)) + RETENTION_SECONDS
 
 
 class Quarantine:
@@ -192,10 +192,10 @@
     def digest(self) -> int:
         """Digest of all that is known: equal where two processes agree."""
         if self._digest is None:
-            self._digest = self._worked_out()
+            self._digest = self._compute_digest()
         return self._digest
 
-    def _worked_out(self) -> int:
+    def _compute_digest(self) -> int:
         known = sorted(
             (key, each.generation, sorted(each.lives))
             for key, each in self._entries.items()
@@ -209,7 +209,7 @@
         self._entries[key] = entry
         if len(entry.lives) >= SUSPECT_LIVES:
             self._suspects.setdefault(entry.identity, set()).add(key)
-        if len(self._entries) > MOST_ENTRIES:
+        if len(self._entries) > MAX_ENTRIES:
             self._drop(min(self._entries, key=self._rank))
 
     def _rank(self, key: bytes) -> tuple[int, float]:
@@ -231,12 +231,16 @@
     """Give for how long a request with so many ends is held after the last one."""
     if ends < HELD_LIVES:
         return 0.0
-    return min(LONGEST_HOLD_SECONDS, HOLD_SECONDS * 2.0 ** (ends - HELD_LIVES))
+    return min(MAX_HOLD_SECONDS, HOLD_SECONDS * 2.0 ** (ends - HELD_LIVES))
 
 
 def _bounded(lives: frozenset[str]) -> frozenset[str]:
     """Keep the same lives everywhere, whatever the order they were told in."""
-    return lives if len(lives) <= MOST_LIVES else frozenset(sorted(lives)[:MOST_LIVES])
+    return (
+        lives
+        if len(lives) <= MAX_INCARNATIONS
+        else frozenset(sorted(lives)[:MAX_INCARNATIONS])
+    )
 
 
 def _record(key: bytes, entry: _Entry, now: float) -> CrashRecord:
--- a/src/peppershore/request/recent_keys.py
+++ b/src/peppershore/request/recent_keys.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MOST_RECENT = 1_024
+MAX_KEYS_PER_SET = 1_024
 """Keys in each of two sets: at 122 calls a second, what a node has at the planned size, the
 last 8 to 17 s, in about 0.2 MB."""
 
@@ -22,6 +22,6 @@
     def add(self, key: bytes) -> None:
         """Remember a key."""
         self._newer.add(key)
-        if len(self._newer) >= MOST_RECENT:
+        if len(self._newer) >= MAX_KEYS_PER_SET:
             self._older = self._newer
             self._newer = set()
--- a/src/peppershore/request/seeking.py
+++ b/src/peppershore/request/seeking.py
@@ -15,14 +15,14 @@
 """For so long calls wait in line at once; then the next one asks again."""
 
 
-class SlotSeeking:
+class FreeSlotProbing:
     """What the last asks at the back ends of one service came to."""
 
-    __slots__ = ("_in_vain", "_pause_until")
+    __slots__ = ("_refusals_in_a_row", "_pause_until")
 
     def __init__(self) -> None:
         """Begin with asking."""
-        self._in_vain = 0
+        self._refusals_in_a_row = 0
         self._pause_until = 0.0
 
     def is_in_vain(self, now: float) -> bool:
@@ -31,11 +31,11 @@
 
     def refused(self, now: float) -> None:
         """A back end had no slot free for a call that asked."""
-        self._in_vain += 1
-        if self._in_vain >= ASKS_IN_VAIN:
+        self._refusals_in_a_row += 1
+        if self._refusals_in_a_row >= ASKS_IN_VAIN:
             self._pause_until = now + PAUSE_SECONDS
 
     def granted(self) -> None:
         """A call that asked was given a slot."""
-        self._in_vain = 0
+        self._refusals_in_a_row = 0
         self._pause_until = 0.0
--- a/src/peppershore/request/shared_retries.py
+++ b/src/peppershore/request/shared_retries.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-SAFETY = 0.7
+USED_SHARE = 0.7
 """Part of the bound that is used: nodes know of each other late."""
 
 
@@ -33,7 +33,7 @@
         """Begin without calls and without repeats."""
         self._bound = bound
         self._calls: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def called(self, now: float) -> None:
         """A call was made for the first time."""
@@ -43,18 +43,18 @@
     def spend(self, nodes: int, now: float) -> bool:
         """Take one repeat; false if this node's part is used up."""
         self._forget(now)
-        if len(self._repeats) + 1 > self.allowed(nodes):
+        if len(self._retries) + 1 > self.allowed(nodes):
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def allowed(self, nodes: int) -> float:
         """Give the repeats this node may make within a window."""
         slack = self._bound.slack / max(1, nodes)
-        return SAFETY * (self._bound.ratio * len(self._calls) + slack)
+        return USED_SHARE * (self._bound.ratio * len(self._calls) + slack)
 
     def _forget(self, now: float) -> None:
         since = now - self._bound.window_seconds
-        for moments in (self._calls, self._repeats):
+        for moments in (self._calls, self._retries):
             while moments and moments[0] < since:
                 moments.popleft()
--- a/src/peppershore/request/slot_loans.py
+++ b/src/peppershore/request/slot_loans.py
@@ -24,7 +24,7 @@
 RECALL_NUMBER = 0
 """Number of a grant that answers no ask: nothing more may begin under it."""
 
-KEPT_SHARE = 0.25
+RESERVED_SHARE = 0.25
 """Share of the slots never lent: for calls that must pass the authority."""
 
 
@@ -54,7 +54,7 @@
     @property
     def lendable(self) -> int:
         """Most slots that may be lent at a time."""
-        return self._slots - max(1, math.ceil(self._slots * KEPT_SHARE))
+        return self._slots - max(1, math.ceil(self._slots * RESERVED_SHARE))
 
     def lent(self, now: float) -> int:
         """Slots that others may be using now."""
--- a/src/peppershore/request/tenants/callers.py
+++ b/src/peppershore/request/tenants/callers.py
@@ -24,7 +24,7 @@
 from peppershore.version.model import RouteSettings
 from peppershore.version.tenants import key_digest
 
-OWNER_PATIENCE_SHARE = 0.5
+OWNER_WAIT_SHARE = 0.5
 """Part of the time in which a change comes into force for which a call with a key may
 wait at a back end's own node, which holds no key.  The other part is for the change to
 come to the node that sent it on."""
@@ -92,7 +92,7 @@
 
     def longest_wait(self, age_seconds: float) -> float:
         """Give the seconds for which a call with a key may wait out of sight."""
-        wait = self.apply_seconds * OWNER_PATIENCE_SHARE
+        wait = self.apply_seconds * OWNER_WAIT_SHARE
         if not self.fails_closed:
             return wait
         return max(0.0, min(wait, self.revocation_seconds - age_seconds))
@@ -106,7 +106,7 @@
         self.keys = TenantKeys()
         self._terms = terms
 
-    def asks_for_key(self, route: RouteSettings) -> bool:
+    def requires_key(self, route: RouteSettings) -> bool:
         """Whether a route's calls come with a key.
 
         One that asks for a signed token can't ask for a key too: one field holds both.
@@ -126,7 +126,7 @@
         """
         if parentage.tenant is not None:
             return Success(self._of_running_call(parentage.tenant))
-        if not self.asks_for_key(route):
+        if not self.requires_key(route):
             return Success(NOBODY)
         key = shown_key(headers)
         if not key:
--- a/src/peppershore/request/tenants/fair_shares.py
+++ b/src/peppershore/request/tenants/fair_shares.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterator
 from typing import Generic, Protocol, TypeVar
 
-GONE_ALLOWED = 16
+MAX_STALE_ENTRIES = 16
 """Withdrawn tickets that a line keeps, however few wait in it."""
 
 
-class InLine(Protocol):
+class QueuedTicket(Protocol):
     """What a line must know of a ticket."""
 
     number: int
@@ -28,7 +28,7 @@
     tenant: str
 
 
-Waiter = TypeVar("Waiter", bound=InLine)
+Waiter = TypeVar("Waiter", bound=QueuedTicket)
 
 WeightOf = Callable[[str], float]
 """Gives a tenant's share against those of others, above 0."""
@@ -39,7 +39,7 @@
     return 1.0
 
 
-class TenantLine(Generic[Waiter]):
+class TenantQueue(Generic[Waiter]):
     """The waiting tickets of one tenant, by deadline; ``time`` is virtual."""
 
     __slots__ = ("_heap", "time", "waiting")
@@ -59,7 +59,7 @@
         """A ticket waits no more; drop such once they are the larger part."""
         self.waiting -= 1
         gone = len(self._heap) - self.waiting
-        if gone > GONE_ALLOWED and gone * 2 > len(self._heap):
+        if gone > MAX_STALE_ENTRIES and gone * 2 > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].waiting]
             heapq.heapify(self._heap)
 
@@ -83,25 +83,25 @@
         return (ticket for _, _, ticket in self._heap if ticket.waiting)
 
 
-class FairLine(Generic[Waiter]):
+class FairQueue(Generic[Waiter]):
     """The waiting tickets of one rank."""
 
-    __slots__ = ("_rested", "_tenants", "_time", "_weight_of", "waiting")
+    __slots__ = ("_idle_tenant_times", "_tenants", "_time", "_weight_of", "waiting")
 
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
         """Begin without tickets."""
         self.waiting = 0
         self._weight_of = weight_of
         self._time = 0.0
-        self._tenants: dict[str, TenantLine[Waiter]] = {}
-        self._rested: dict[str, float] = {}
+        self._tenants: dict[str, TenantQueue[Waiter]] = {}
+        self._idle_tenant_times: dict[str, float] = {}
 
     def push(self, ticket: Waiter) -> None:
         """Add a ticket that waits."""
         line = self._tenants.get(ticket.tenant)
         if line is None:
-            line = TenantLine[Waiter](self._begin_time(ticket.tenant))
-            self._rested.pop(ticket.tenant, None)
+            line = TenantQueue[Waiter](self._start_time(ticket.tenant))
+            self._idle_tenant_times.pop(ticket.tenant, None)
             self._tenants[ticket.tenant] = line
         line.push(ticket)
         self.waiting += 1
@@ -112,9 +112,9 @@
         line.left()
         self.waiting -= 1
         if not line.waiting:
-            self._rest(ticket.tenant, line)
+            self._remember_idle(ticket.tenant, line)
         if not self.waiting:
-            self._rested.clear()
+            self._idle_tenant_times.clear()
             self._time = 0.0
 
     def served(self, ticket: Waiter) -> None:
@@ -139,7 +139,7 @@
         """Give the ticket that gives way: the latest of the tenant that holds most."""
         return self._tenants[max(self._tenants, key=self._held)].last()
 
-    def holds_less(self, tenant: str, other: str) -> bool:
+    def would_hold_less(self, tenant: str, other: str) -> bool:
         """Whether a tenant would hold less than another one, with one ticket more."""
         line = self._tenants.get(tenant)
         waiting = line.waiting if line is not None else 0
@@ -153,7 +153,7 @@
         ahead = 0 if own is None else own.due_by(deadline)
         if len(self._tenants) == (own is not None):
             return ahead
-        begins = self._begin_time(tenant) if own is None else own.time
+        begins = self._start_time(tenant) if own is None else own.time
         turn = begins + ahead / self._weight_of(tenant)
         for name, line in self._tenants.items():
             if name != tenant and line.time < turn:
@@ -171,11 +171,11 @@
     def _held(self, tenant: str) -> float:
         return self._tenants[tenant].waiting / self._weight_of(tenant)
 
-    def _begin_time(self, tenant: str) -> float:
-        return max(self._time, self._rested.get(tenant, 0.0))
+    def _start_time(self, tenant: str) -> float:
+        return max(self._time, self._idle_tenant_times.get(tenant, 0.0))
 
-    def _rest(self, tenant: str, line: TenantLine[Waiter]) -> None:
+    def _remember_idle(self, tenant: str, line: TenantQueue[Waiter]) -> None:
         """Remember what a tenant with nothing in line still has to pay."""
         del self._tenants[tenant]
         if line.time > self._time:
-            self._rested[tenant] = line.time
+            self._idle_tenant_times[tenant] = line.time
--- a/src/peppershore/request/tenants/weights.py
+++ b/src/peppershore/request/tenants/weights.py
@@ -26,7 +26,7 @@
 SCALE_SECONDS = 4.0
 """Sums are scaled back after so long, which bounds them, and the idle are forgotten."""
 
-LEAST_WEIGHT = 0.01
+MIN_WEIGHT = 0.01
 """Of the mean: the smallest of tenants still has a turn."""
 
 
@@ -54,7 +54,7 @@
         held = self._tenants.get(tenant)
         if held is None or not held.rate_per_second:
             return 1.0
-        return max(LEAST_WEIGHT, held.rate_per_second / self._mean)
+        return max(MIN_WEIGHT, held.rate_per_second / self._mean)
 
 
 class ShareWeights:
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -13,7 +13,7 @@
 from peppershore.version.model import ServiceSettings
 from peppershore.version.rollout import RUNNING
 
-LEAST_SECONDS = 0.001
+MIN_SECONDS = 0.001
 GROWTH = 1.25
 BUCKETS = 64
 """Buckets of times: the first up to a millisecond, each a quarter wider than the one
@@ -27,13 +27,13 @@
 
 def bucket_of(seconds: float) -> int:
     """Give the bucket that a time falls into."""
-    if seconds <= LEAST_SECONDS:
+    if seconds <= MIN_SECONDS:
         return 0
-    number = math.ceil(math.log(seconds / LEAST_SECONDS) / _LOG_GROWTH)
+    number = math.ceil(math.log(seconds / MIN_SECONDS) / _LOG_GROWTH)
     return min(BUCKETS - 1, number)
 
 
-class _Route:
+class _RouteCounts:
     __slots__ = ("calls", "failed", "times")
 
     def __init__(self) -> None:
@@ -48,8 +48,8 @@
     def __init__(self) -> None:
         """Begin without a roll-out."""
         self.began_milliseconds = 0
-        self._routes: dict[str, _Route] = {}
-        self._is_news = False
+        self._routes: dict[str, _RouteCounts] = {}
+        self._has_changed = False
 
     def use_settings(self, settings: ServiceSettings) -> None:
         """Take the settings of the own service: another roll-out begins at nothing."""
@@ -62,7 +62,7 @@
         """Count from now on: of another roll-out, or of another life of the back end."""
         self.began_milliseconds = began_milliseconds
         self._routes.clear()
-        self._is_news = began_milliseconds > 0
+        self._has_changed = began_milliseconds > 0
 
     def note(
         self, route: str, seconds: float, verdict: Verdict | None, is_warm: bool
@@ -76,19 +76,19 @@
             return
         if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             route = ""
-        counts = self._routes.setdefault(route, _Route())
+        counts = self._routes.setdefault(route, _RouteCounts())
         counts.calls += 1
         counts.failed += verdict == "failed"
         if is_warm:
             bucket = bucket_of(seconds)
             counts.times[bucket] = counts.times.get(bucket, 0) + 1
-        self._is_news = True
+        self._has_changed = True
 
     def take_news(self) -> tuple[RouteEvidence, ...] | None:
         """Give all counts if they grew since the last time, else None."""
-        if not self._is_news:
+        if not self._has_changed:
             return None
-        self._is_news = False
+        self._has_changed = False
         return tuple(
             RouteEvidence(route, counts.calls, counts.failed, _flat(counts.times))
             for route, counts in sorted(self._routes.items())
--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_lanes.py
@@ -21,14 +21,14 @@
 LANES: tuple[Lane, ...] = ("any", "new", "old")
 State = TypeVar("State")
 
-FEW_UNTIL = ALL_CALLS // 2
+SUBSET_BELOW_SHARE = ALL_CALLS // 2
 """Below this share the new version's calls go to few of its back ends: what is bad only
 under load shows there, and costs the fewest callers."""
 
-LEAST_FEW = 3
+MIN_SUBSET = 3
 """With fewer, one slow or failing machine would speak for the version."""
 
-ROOM = 2.0
+SUBSET_HEADROOM = 2.0
 """So many times the back ends that the share alone would need take it: the new version
 has a load like that of the old one, and room for what comes at the same time."""
 
@@ -42,7 +42,7 @@
     return "old"
 
 
-def split_lanes(
+def group_by_version(
     states: dict[str, State], versions: dict[str, str], settings: ServiceSettings
 ) -> dict[Lane, tuple[dict[str, State], ...]]:
     """Give for each lane the back ends to try, one group after the other.
@@ -68,14 +68,14 @@
 ) -> dict[Lane, tuple[dict[str, State], ...]]:
     if share >= ALL_CALLS:
         return dict.fromkeys(LANES, (new or old,))
-    few = _few_of(new, share)
+    few = _subset_of(new, share)
     return {"any": (old,), "new": (few, old), "old": (old,)}
 
 
-def _few_of(new: dict[str, State], share: int) -> dict[str, State]:
-    if share >= FEW_UNTIL:
+def _subset_of(new: dict[str, State], share: int) -> dict[str, State]:
+    if share >= SUBSET_BELOW_SHARE:
         return new
-    wanted = max(LEAST_FEW, math.ceil(len(new) * share / ALL_CALLS * ROOM))
+    wanted = max(MIN_SUBSET, math.ceil(len(new) * share / ALL_CALLS * SUBSET_HEADROOM))
     return {node: new[node] for node in sorted(new, key=_place)[:wanted]}
 
 
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from peppershore.request.tenants.fair_shares import FairLine, WeightOf, equal_weight
+from peppershore.request.tenants.fair_shares import FairQueue, WeightOf, equal_weight
 from peppershore.request.version_lanes import Lane
 from peppershore.version.model import CallClass
 
@@ -60,10 +60,10 @@
     @property
     def rank(self) -> int:
         """What goes first, lowest first: class, the route's priority, first calls."""
-        return line_of(self.call_class, self.priority) + self.is_client_retry
+        return base_rank(self.call_class, self.priority) + self.is_client_retry
 
 
-def line_of(call_class: CallClass, priority: int) -> int:
+def base_rank(call_class: CallClass, priority: int) -> int:
     """Give the rank of the first sends of a class and priority, lowest first."""
     return RANKS[call_class] * RANKS_OF_CLASS + 2 * min(priority, PRIORITIES - 1)
 
@@ -78,7 +78,7 @@
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
         """Start empty; ``weight_of`` gives a tenant's share against those of others."""
         self._weight_of = weight_of
-        self._lines: dict[int, FairLine[Ticket]] = {}
+        self._lines: dict[int, FairQueue[Ticket]] = {}
         self._length = 0
         self._taken = 0
 
@@ -103,7 +103,7 @@
         self._length += 1
         line = self._lines.get(ticket.rank)
         if line is None:
-            line = self._lines[ticket.rank] = FairLine[Ticket](self._weight_of)
+            line = self._lines[ticket.rank] = FairQueue[Ticket](self._weight_of)
         line.push(ticket)
 
     def remove(self, ticket: Ticket) -> None:
@@ -123,9 +123,11 @@
                 return first
         return None
 
-    def take_out(self, is_out: Callable[[Ticket], bool]) -> list[Ticket]:
+    def remove_matching(self, matches: Callable[[Ticket], bool]) -> list[Ticket]:
         """Take out the waiting tickets for which ``is_out`` holds."""
-        out = [ticket for line in self._lines.values() for ticket in line if is_out(ticket)]
+        out = [
+            ticket for line in self._lines.values() for ticket in line if matches(ticket)
+        ]
         for ticket in out:
             self.remove(ticket)
         return out
@@ -137,7 +139,7 @@
             self._lines[ticket.rank].served(ticket)
         self.remove(ticket)
 
-    def gives_way(self, ticket: Ticket) -> Ticket | None:
+    def displaced_by(self, ticket: Ticket) -> Ticket | None:
         """Give the ticket that leaves its place to a new one; None if none does.
 
         That is one of the last rank, and there of the tenant that holds most.
@@ -149,7 +151,9 @@
             last = line.last()
             if ticket.rank < rank:
                 return last
-            is_less = ticket.rank == rank and line.holds_less(ticket.tenant, last.tenant)
+            is_less = ticket.rank == rank and line.would_hold_less(
+                ticket.tenant, last.tenant
+            )
             return last if is_less else None
         return None
 
--- a/src/peppershore/request/work_times.py
+++ b/src/peppershore/request/work_times.py
@@ -11,7 +11,7 @@
 FIRST_SECONDS = 0.005
 """Assumed before anything was seen."""
 
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 MAX_ROUTES = 1_000
 
 
@@ -24,7 +24,7 @@
     def observe(self, seconds: float) -> None:
         """Take one time."""
         self.count += 1
-        self.seconds += (seconds - self.seconds) * max(LEAST_WEIGHT, 1.0 / self.count)
+        self.seconds += (seconds - self.seconds) * max(MIN_WEIGHT, 1.0 / self.count)
 
 
 class WorkTimes:
--- a/tests/back_ends/test_own_report.py
+++ b/tests/back_ends/test_own_report.py
@@ -6,7 +6,7 @@
 
 from peppershore.request.back_ends.own_report import COUNT_SECONDS, OwnReport
 from peppershore.request.back_ends.pace import (
-    KEPT_PACES,
+    PACE_SAMPLES,
     PACE_SECONDS,
     pace_after,
     slow_seconds,
@@ -73,7 +73,7 @@
 
 def _usual(report: OwnReport, percent: int = 100, now: float = 0.5) -> None:
     """Tell the usual pace of a machine often enough to be known."""
-    for _ in range(KEPT_PACES):
+    for _ in range(PACE_SAMPLES):
         report.heard(ToldLoad(1, 0, 5, percent), 1, now)
 
 
@@ -94,10 +94,10 @@
     report = OwnReport()
     _usual(report)
     slow = 0
-    for _ in range(KEPT_PACES):
+    for _ in range(PACE_SAMPLES):
         report.heard(ToldLoad(1, 0, 5, 250), 1, 1.0)
         slow += report.is_slow(1.0)
-    assert KEPT_PACES // 2 <= slow <= KEPT_PACES // 2 + 1
+    assert PACE_SAMPLES // 2 <= slow <= PACE_SAMPLES // 2 + 1
     assert report.pace_percent == 100
 
 
--- a/tests/request/test_bodies_ahead.py
+++ b/tests/request/test_bodies_ahead.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peppershore.request.bodies_ahead import AHEAD, BodiesAhead
-from peppershore.request.body_transfers import COSTLY_SECONDS, takes_long
+from peppershore.request.bodies_ahead import PREFETCH_BEYOND_SLOTS, BodiesAhead
+from peppershore.request.body_transfers import LONG_TRANSFER_SECONDS, takes_long
 
 
 def test_one_more_body_than_slots_is_under_way() -> None:
@@ -26,7 +26,7 @@
 def test_never_more_than_one_beyond_the_slots(held: int, waiting: int, slots: int) -> None:
     bodies = BodiesAhead()
     while bodies.begin(held, waiting, slots):
-        assert held + waiting + bodies.coming <= slots + AHEAD
+        assert held + waiting + bodies.coming <= slots + PREFETCH_BEYOND_SLOTS
 
 
 def test_a_wide_link_takes_no_body_for_long() -> None:
@@ -36,7 +36,7 @@
 
 
 def test_a_narrow_link_takes_a_body_for_long_from_a_size_on() -> None:
-    edge = int(1.0 * 125_000 * COSTLY_SECONDS)
+    edge = int(1.0 * 125_000 * LONG_TRANSFER_SECONDS)
     assert not takes_long(0, 1.0)
     assert not takes_long(edge, 1.0)
     assert takes_long(edge + 1, 1.0)
--- a/tests/request/test_body_transfers.py
+++ b/tests/request/test_body_transfers.py
@@ -8,8 +8,8 @@
 from peppershore.connection.call_link import ReceiveWindow
 from peppershore.connection.messages.calls import STREAM_WINDOW_BYTES
 from peppershore.request.body_transfers import (
-    LEAST_TRANSFERS,
     LEAST_WINDOW_BYTES,
+    MIN_TRANSFERS,
     BodyTransfers,
 )
 
@@ -25,7 +25,7 @@
 
 def test_a_narrow_link_takes_few_bodies_in_small_pieces() -> None:
     transfers = BodyTransfers(NARROW)
-    assert [transfers.begin() for _ in range(4)] == [True] * LEAST_TRANSFERS + [False] * 2
+    assert [transfers.begin() for _ in range(4)] == [True] * MIN_TRANSFERS + [False] * 2
     assert transfers.window_bytes == LEAST_WINDOW_BYTES
     transfers.end()
     assert transfers.has_room
--- a/tests/request/test_expected_time.py
+++ b/tests/request/test_expected_time.py
@@ -11,14 +11,14 @@
 from peppershore.connection.messages.calls import OwnerLoad
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.request.admission import Admission, Dispatch
-from peppershore.request.classification import CROSSING_SHARE
+from peppershore.request.classification import CROSS_ZONE_GAIN_SHARE
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
 
 SLOTS = 10
 USUAL = 0.1
 TARGET_LATENCY = 0.4
-CROSSING = TARGET_LATENCY * CROSSING_SHARE
+CROSSING = TARGET_LATENCY * CROSS_ZONE_GAIN_SHARE
 SETTINGS = ServiceSettings(slow_start_milliseconds=0)
 
 
--- a/tests/request/test_full_back_ends.py
+++ b/tests/request/test_full_back_ends.py
@@ -7,9 +7,9 @@
 
 from peppershore.connection.messages.calls import OwnerLoad
 from peppershore.request.endpoint_state import (
-    FAR_FULL_SECONDS,
-    FULL_SECONDS,
-    LOAD_SECONDS,
+    FAR_FULL_PAUSE_SECONDS,
+    FULL_PAUSE_SECONDS,
+    LOAD_MAX_AGE_SECONDS,
 )
 
 SLOTS = 10
@@ -29,19 +29,19 @@
 def test_a_full_back_end_of_another_zone_is_passed_over_for_longer() -> None:
     state = _state("k1", "vantaa")
     state.note_load(OwnerLoad(SLOTS, 0, SLOTS, WORK_MICROSECONDS), 0.0, True)
-    assert state.sheds(FAR_FULL_SECONDS * 0.9)
-    assert not state.sheds(FAR_FULL_SECONDS)
+    assert state.sheds(FAR_FULL_PAUSE_SECONDS * 0.9)
+    assert not state.sheds(FAR_FULL_PAUSE_SECONDS)
 
 
 def test_a_long_queue_is_believed_for_no_longer_than_any_load() -> None:
     state = _state("k1", "pasila")
     state.note_load(OwnerLoad(SLOTS, 10_000, SLOTS, WORK_MICROSECONDS), 0.0, True)
-    assert state.sheds(LOAD_SECONDS * 0.9)
-    assert not state.sheds(LOAD_SECONDS)
+    assert state.sheds(LOAD_MAX_AGE_SECONDS * 0.9)
+    assert not state.sheds(LOAD_MAX_AGE_SECONDS)
 
 
 def test_without_a_known_pace_it_goes_by_the_zone() -> None:
-    for is_far, seconds in ((False, FULL_SECONDS), (True, FAR_FULL_SECONDS)):
+    for is_far, seconds in ((False, FULL_PAUSE_SECONDS), (True, FAR_FULL_PAUSE_SECONDS)):
         state = _state("k1", "pasila")
         state.note_load(OwnerLoad(SLOTS, 5, SLOTS), 0.0, is_far)
         assert state.sheds(seconds * 0.9)
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -10,15 +10,15 @@
 from peppershore.connection.messages.crashes import CrashRecord
 from peppershore.request.quarantine import (
     HOLD_SECONDS,
-    KEEP_SECONDS,
-    LONGEST_HOLD_SECONDS,
-    MOST_ENTRIES,
-    MOST_LIVES,
+    MAX_ENTRIES,
+    MAX_HOLD_SECONDS,
+    MAX_INCARNATIONS,
+    RETENTION_SECONDS,
     Quarantine,
     Suspect,
     hold_seconds,
 )
-from peppershore.request.recent_keys import MOST_RECENT, RecentKeys
+from peppershore.request.recent_keys import MAX_KEYS_PER_SET, RecentKeys
 
 KEY = b"key-of-request"
 REQUEST = Suspect(b"head", KEY)
@@ -61,23 +61,23 @@
     table.ended(REQUEST, "life-of-trial", HOLD_SECONDS + 1.0)
     assert table.standing(KEY, HOLD_SECONDS + 2.0) == "held"
     assert table.hold_left_seconds(KEY, HOLD_SECONDS + 1.0) == 2 * HOLD_SECONDS
-    assert hold_seconds(MOST_LIVES) == LONGEST_HOLD_SECONDS
+    assert hold_seconds(MAX_INCARNATIONS) == MAX_HOLD_SECONDS
 
 
 def test_what_nobody_comes_again_with_is_forgotten() -> None:
     table = after(2)
-    table.forget_old(KEEP_SECONDS - 1.0)
+    table.forget_old(RETENTION_SECONDS - 1.0)
     assert len(table) == 1
-    table.forget_old(KEEP_SECONDS)
+    table.forget_old(RETENTION_SECONDS)
     assert len(table) == 0
     assert not table.concerns(REQUEST.identity)
 
 
 def test_a_held_request_is_not_pushed_out_by_suspects() -> None:
     table = after(3)
-    for number in range(2 * MOST_ENTRIES):
+    for number in range(2 * MAX_ENTRIES):
         table.ended(Suspect(b"h", b"k-%d" % number), "life-x", 1.0 + number)
-    assert len(table) == MOST_ENTRIES
+    assert len(table) == MAX_ENTRIES
     assert table.standing(KEY, 1.0) == "held"
 
 
@@ -92,7 +92,7 @@
 
 def test_an_old_record_is_not_taken() -> None:
     table = after(2)
-    record = table.record(KEY, KEEP_SECONDS + 1.0)
+    record = table.record(KEY, RETENTION_SECONDS + 1.0)
     assert record is not None
     assert not Quarantine().merge(record, 0.0)
 
@@ -123,8 +123,8 @@
 
 def test_recent_keys_are_bounded_and_keep_the_newest() -> None:
     recent = RecentKeys()
-    for number in range(5 * MOST_RECENT):
+    for number in range(5 * MAX_KEYS_PER_SET):
         recent.add(b"%d" % number)
-    assert b"%d" % (5 * MOST_RECENT - 1) in recent
-    assert b"%d" % (4 * MOST_RECENT) in recent
+    assert b"%d" % (5 * MAX_KEYS_PER_SET - 1) in recent
+    assert b"%d" % (4 * MAX_KEYS_PER_SET) in recent
     assert b"0" not in recent
--- a/tests/request/test_retries_of_callers.py
+++ b/tests/request/test_retries_of_callers.py
@@ -11,7 +11,7 @@
 from peppershore.request.admission import Admission, Dispatch, Waiting
 from peppershore.request.client_retries import (
     MAX_ADVICE_SECONDS,
-    REFUSED_TWICE_SECONDS,
+    MIN_ADVICE_SECONDS,
     ClientRetryPace,
     UsualDeadline,
     UsualDeadlines,
@@ -70,10 +70,10 @@
     for number in range(200):
         pace.answered(number / 20)
     advice = [pace.book(0.1, 10.0) for _ in range(6)]
-    assert advice[0] == pytest.approx(REFUSED_TWICE_SECONDS)
+    assert advice[0] == pytest.approx(MIN_ADVICE_SECONDS)
     gaps = [later - earlier for earlier, later in itertools.pairwise(advice)]
     assert all(0.05 < gap < 0.2 for gap in gaps)
-    assert pace.book(0.1, 12.0) == pytest.approx(REFUSED_TWICE_SECONDS)
+    assert pace.book(0.1, 12.0) == pytest.approx(MIN_ADVICE_SECONDS)
 
 
 def test_advice_is_bounded_and_never_before_a_slot_is_likely() -> None:
--- a/tests/request/test_seeking.py
+++ b/tests/request/test_seeking.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from peppershore.request.seeking import ASKS_IN_VAIN, PAUSE_SECONDS, SlotSeeking
+from peppershore.request.seeking import ASKS_IN_VAIN, PAUSE_SECONDS, FreeSlotProbing
 
 
-def in_vain(now: float) -> SlotSeeking:
-    seeking = SlotSeeking()
+def in_vain(now: float) -> FreeSlotProbing:
+    seeking = FreeSlotProbing()
     for _ in range(ASKS_IN_VAIN):
         assert not seeking.is_in_vain(now)
         seeking.refused(now)
