--- a/src/peppershore/request/__init__.py
+++ b/src/peppershore/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one call: classification, admission, routing, retries, outcomes."""
+"""Handling of a single call: classification, admission, routing, retries, outcomes."""
--- a/src/peppershore/request/admission.py
+++ b/src/peppershore/request/admission.py
@@ -1,7 +1,8 @@
-"""Whether a call may start now, waits, or is refused, for one target service.
+"""Admission control for the calls to one target service: start, queue or refuse.
 
-The core of limits: slots per back end, a bounded queue, refusal at once when
-the deadline can't be met.  Time is passed in; randomness is the seeded source.
+Each back end has a number of slots, and calls that find none free wait in a bounded queue.
+A call whose deadline can't be met is refused at once. The caller passes in the time; all
+randomness comes from a seeded source.
 """
 
 from __future__ import annotations
@@ -43,27 +44,28 @@
 STATE_READY = "ready"
 STATE_LEAVING = "leaving"
 BULK_SHARE = 0.5
-"""Share of all slots that bulk calls may hold, so that others find room."""
+"""Share of all slots that bulk calls may hold. The rest stays available to other
+classes."""
 
 MIN_RETRY_AFTER_MILLISECONDS = 100
 NOBODY_READY_RETRY_AFTER_MILLISECONDS = 250
 
 WAIT_TOLERANCE = 1.5
-"""A call is refused at once if the wait expected is so many times what it may wait: it
-is only a mean, and what is ahead may be given up."""
+"""A call is refused at once if its expected wait exceeds the time it may wait by this
+factor. The expected wait is only a mean, and calls ahead of it may give up."""
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """The ticket holds a slot of this back end until ``finished``."""
+    """A call that may start now; it holds a slot of this back end until ``finished``."""
 
     ticket: Ticket
     endpoint: Endpoint
 
 
 class Waiting(msgspec.Struct, frozen=True):
-    """The ticket waits; a later ``ready`` gives its dispatch.
+    """A call that was queued; a later call of ``ready`` returns its dispatch.
 
-    ``evicted`` gave its place to this one and is refused.
+    ``evicted`` is the queued call that made room for it, and must now be refused.
     """
 
     evicted: Ticket | None = None
@@ -73,7 +75,7 @@
 
 
 class Admission:
-    """Slots and queue of one target service, as one node applies them."""
+    """Slots and queue of one target service, as seen by one node."""
 
     def __init__(
         self,
@@ -88,8 +90,9 @@
     ) -> None:
         """Start without back ends; ``choose`` picks among those that have room.
 
-        ``home`` names the node itself where it chooses for its own callers.
-        ``weights`` are those of the tenants on whose behalf calls are made.
+        ``home`` is the name of this node if it routes calls for its own callers, else "".
+        ``weights`` are the configured weights of the tenants on whose behalf calls are
+        made.
         """
         self.service = service
         self.settings = settings
@@ -110,16 +113,16 @@
 
     @property
     def waiting(self) -> int:
-        """Calls in the queue."""
+        """Number of calls in the queue."""
         return len(self._queue)
 
     @property
     def in_flight(self) -> int:
-        """Calls that hold a slot."""
+        """Number of calls that hold a slot."""
         return sum(state.in_flight for state in self._states.values())
 
     def draw_lane(self) -> Lane:
-        """Draw for one call which version of the service's software is to take it."""
+        """Choose at random which version of the service's software handles one call."""
         return draw_lane(self.settings, self._random)
 
     def has_besides(
@@ -129,11 +132,11 @@
         for_free_slot: bool = False,
         lane: Lane = "any",
     ) -> bool:
-        """Whether a back end that is none of these nodes' can be given a call now.
+        """Report whether a back end outside ``nodes`` can accept a call now.
 
-        What counts is what ``pick`` would give; else a call goes round between those
-        that refused it.  ``for_free_slot``: one that was full or refused for load a
-        moment ago does not count.
+        This uses the same conditions as ``pick``; otherwise a call would circulate among
+        the back ends that refused it. With ``for_free_slot``, a back end that was full or
+        refused for load a moment ago does not count.
         """
         return any(
             node not in nodes
@@ -144,34 +147,34 @@
         )
 
     def all_shed(self, now: float, lane: Lane = "any") -> bool:
-        """Whether every back end was full or refused for load a moment ago."""
+        """Report whether every back end was full or refused for load a moment ago."""
         groups = self._lanes[lane]
         return all(state.sheds(now) for group in groups for state in group.values())
 
     def known_work(self, route: str) -> float:
-        """Give the mean seconds of a route's calls here; 0 where none was seen."""
+        """Return the mean duration, in seconds, of a route's calls seen here; 0 if none."""
         return self._work.known(route)
 
     def told_work(self, route: str) -> float:
-        """Give the mean seconds of a route's calls as owners told; 0: unknown."""
+        """Return a route's mean duration in seconds by reports of owners; 0 if unknown."""
         return self._reported_work.known(route)
 
     def state(self, node: str) -> EndpointState | None:
-        """Give what is known of one back end."""
+        """Return the state of one back end, or None if the node is unknown."""
         return self._states.get(node)
 
     def use_settings(self, settings: ServiceSettings) -> None:
-        """Take new settings; calls in flight keep their slots."""
+        """Apply new settings; calls in flight keep their slots."""
         self.settings = settings
         self._regroup_by_version()
         for state in self._states.values():
             state.ramp_seconds = self._ramp_seconds(state.endpoint)
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...], now: float) -> None:
-        """Replace the live back ends; what was seen of those that stay is kept.
+        """Replace the set of live back ends; those that stay keep their observed state.
 
-        Where nobody is ready, those that leave are asked: their own nodes take calls
-        for as long as they may, and refuse them as not run after that.
+        If no back end is ready, calls go to those that are leaving. Their local nodes
+        accept calls for as long as they may, and refuse later ones as not run.
         """
         ready: dict[str, EndpointState] = {}
         leaving: dict[str, EndpointState] = {}
@@ -189,13 +192,13 @@
                 del self._states[node]
 
     def set_limit(self, node: str, limit: int) -> None:
-        """Change how many calls one back end may hold; 0 stops new ones."""
+        """Set how many calls one back end may hold; 0 stops new ones."""
         state = self._states.get(node)
         if state is not None:
             state.limit = limit
 
     def offer(self, ticket: Ticket, now: float) -> Decision:
-        """Decide on a new call."""
+        """Decide whether a new call starts, waits or is refused."""
         if ticket.tenant:
             self._shares.asked(ticket.tenant, now)
         if not any(self._lanes[ticket.lane]):
@@ -214,9 +217,10 @@
     def finished(
         self, dispatch: Dispatch, latency: float, verdict: Verdict | None, now: float
     ) -> float | None:
-        """Free the slot; learn from the attempt (verdict None: nothing to learn).
+        """Free the slot of an attempt and learn from its result.
 
-        Gives the seconds of an ejection if this failure caused one.
+        A ``verdict`` of None says nothing about the back end. Return the duration of the
+        ejection, in seconds, if this failure caused one, else None.
         """
         state = self._states.get(dispatch.endpoint.node)
         if dispatch.ticket.call_class == "bulk":
@@ -233,21 +237,21 @@
         return self._eject_outlier(state, now)
 
     def impatient(self, now: float) -> list[Ticket]:
-        """Give up the waiting calls that would have had to start by now."""
+        """Remove and return the waiting calls whose wait time-out has passed."""
         return self._queue.remove_matching(lambda ticket: ticket.start_by <= now)
 
     def hopeless(self, now: float) -> list[Ticket]:
-        """Give up the waiting calls whose time is too short for a back end's work.
+        """Remove and return the waiting calls that can no longer finish in time.
 
-        Started, they would hold a slot and end at their deadline all the same:
-        under overload, earliest deadline first would serve little else.
+        If started, they would hold a slot and still miss their deadline. Under overload,
+        earliest deadline first would serve little else.
         """
         return self._queue.remove_matching(
             lambda ticket: ticket.deadline <= now + self._work.of(ticket.route)
         )
 
     def ready(self, now: float) -> list[Dispatch]:
-        """Give the waiting calls that can start now."""
+        """Return dispatches for the waiting calls that can start now."""
         started: list[Dispatch] = []
         while len(self._queue):
             ticket = self._queue.peek(self._bulk_allowed())
@@ -261,7 +265,7 @@
         return started
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting call out of the queue."""
+        """Remove a call from the queue."""
         self._queue.remove(ticket)
 
     def _adopt(self, endpoint: Endpoint, now: float) -> EndpointState:
@@ -281,7 +285,7 @@
         return state
 
     def _ramp_seconds(self, endpoint: Endpoint) -> float:
-        """What the back end says of its warming goes before the setting."""
+        """Return the ramp's duration; a reported warm-up time overrides the setting."""
         milliseconds = endpoint.warming_milliseconds
         if milliseconds == WARMING_NOT_TOLD:
             return self._slow_start_seconds
@@ -292,7 +296,7 @@
         return self.settings.slow_start_milliseconds / 1_000
 
     def _must_wait(self, ticket: Ticket) -> bool:
-        """Whether a new call would overtake one that waits, or bulk has its share."""
+        """Report whether a new call would overtake a waiting one or exceed bulk's share."""
         if ticket.call_class == "bulk" and not self._bulk_allowed():
             return True
         if not len(self._queue):
@@ -317,10 +321,10 @@
     def _pick_by_link(
         self, states: Iterable[EndpointState], ticket: Ticket, now: float
     ) -> EndpointState | None:
-        """Choose for a large answer among those whose link has room for it.
+        """Choose a back end for a large answer among those whose link has room for it.
 
-        Where none has, one that waited goes to any: their own nodes decide, and it does
-        not keep back those behind it.
+        If no link has room, a call that has waited goes to any back end, whose local node
+        then decides, so that it does not block the calls behind it.
         """
         known = list(states)
         with_link_room = [state for state in known if state.has_link_room(now, ticket.due)]
@@ -330,7 +334,7 @@
         )
 
     def _links_are_full(self, ticket: Ticket, now: float) -> bool:
-        """Whether every owner told a moment ago that its link has no room."""
+        """Report whether no link has room for this answer, by recent reports of owners."""
         groups = self._lanes[ticket.lane]
         return not any(
             state.has_link_room(now, ticket.due)
@@ -339,7 +343,7 @@
         )
 
     def _link_lateness(self, ticket: Ticket, now: float) -> float:
-        """Give how many seconds too late its answer would be through at best."""
+        """Return by how many seconds the answer would be late on the best link, or 0."""
         groups = self._lanes[ticket.lane]
         waits = [state.link_wait(now) for group in groups for state in group.values()]
         return max(0.0, now + min(waits, default=0.0) - ticket.due)
@@ -384,15 +388,15 @@
         return Waiting(evicted)
 
     def refusal_of_hopeless(self, ticket: Ticket, now: float) -> NotRun:
-        """Give what a call is told whose time has become too short."""
+        """Return the refusal for a call whose remaining time has become too short."""
         return self._refusal(DEADLINE_TOO_SHORT, self._expected_wait(ticket, now))
 
     def refusal_of_evicted(self, ticket: Ticket, now: float) -> NotRun:
-        """Give what a call is told that gave its place to a more important one."""
+        """Return the refusal for a call that was evicted by a more important one."""
         return self._refusal(DISPLACED, self._expected_wait(ticket, now))
 
     def _expected_wait(self, ticket: Ticket, now: float) -> float:
-        """Give the seconds until a slot is free for this call, from what was seen."""
+        """Estimate the seconds until a slot is free for this call, by observed means."""
         states = [state for state in self._offered.values() if not state.ejected(now)]
         slots = sum(state.slots(now) for state in states)
         if not slots:
@@ -401,11 +405,11 @@
         return (ahead + 1) * self._work.of_all / slots
 
     def refusal_of_impatient(self, ticket: Ticket, now: float) -> NotRun:
-        """Give what a call is told that may wait no longer for a slot."""
+        """Return the refusal for a call whose wait time-out has passed."""
         return self._refusal(NO_SLOT_IN_TIME, self._expected_wait(ticket, now))
 
     def note_load(self, node: str, load: OwnerLoad, route: str, now: float) -> None:
-        """An owner told how loaded its back end is, and its work for a route."""
+        """Record a back end's load and its mean work for a route, as its owner reported."""
         state = self._states.get(node)
         if state is None:
             return
@@ -421,7 +425,7 @@
         return NotRun(STATUS_UNAVAILABLE, reason, advice, retryable)
 
     def _eject_outlier(self, state: EndpointState, now: float) -> float | None:
-        """Eject a back end that keeps failing, unless too many are out already."""
+        """Eject a back end that keeps failing, unless too many are ejected already."""
         limit = self.settings.ejection_failures
         if limit <= 0 or state.consecutive_failures < limit:
             return None
--- a/src/peppershore/request/audience.py
+++ b/src/peppershore/request/audience.py
@@ -1,8 +1,8 @@
-"""Whom a route serves: callers show a signed token unless the public may call.
+"""Access control of routes: callers present a signed token unless the route is public.
 
-Tokens are JWTs signed with HS256 by a generation of the route's verify secret;
-their ``aud`` names the audience.  A route without a verify secret serves the
-public or nobody: an internal lookup never opens by a missing setting.
+Tokens are JWTs signed with HS256 by a generation of the route's verify secret; their
+``aud`` claim names the audience. A route without a verify secret serves either the public
+or nobody, so that a missing setting never opens an internal route.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 CLOCK_LEEWAY_SECONDS = 5
 
 REFUSAL_FRESHNESS_SECONDS = 6.0
-"""A node whose configuration was confirmed longer ago than this may lack a key that
-signers use by now, so it can't tell a bad token from one it does not know.  Shorter
-than every time after which a rotation counts a silent node no more."""
+"""A node whose configuration was last confirmed longer ago than this may lack a key that
+signers already use, so it can't tell an invalid token from one signed with an unknown key.
+This is shorter than every interval after which a key rotation stops waiting for a silent
+node."""
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """Who calls: ``name`` is the token's subject, empty for the public."""
+    """The identity of a caller: ``name`` is the token's subject, empty for the public."""
 
     audience: str
     name: str = ""
@@ -45,10 +46,10 @@
 
 
 class AudienceCheck:
-    """Checks tokens; remembers the verified ones until they expire or a key goes."""
+    """Verifies tokens; caches verified ones until they expire or their key is removed."""
 
     def __init__(self) -> None:
-        """Start without remembered tokens."""
+        """Start with an empty cache."""
         self._verified: OrderedDict[tuple[str, bytes], _Verified] = OrderedDict()
 
     def check(
@@ -60,11 +61,11 @@
         *,
         is_confirmed: bool = True,
     ) -> Result[Caller, NotRun]:
-        """Give the caller, or the refusal; ``now_unix`` is wall-clock seconds.
+        """Return the caller, or the refusal; ``now_unix`` is wall-clock time in seconds.
 
-        ``is_confirmed``: the configuration was confirmed within
-        REFUSAL_FRESHNESS_SECONDS; if not, an unknown key is no reason for a
-        refusal that the caller would take as final.
+        ``is_confirmed`` says whether the configuration was confirmed within the last
+        REFUSAL_FRESHNESS_SECONDS. If it was not, an unknown key does not lead to a refusal
+        that the caller would treat as final.
         """
         if PUBLIC in route.audience:
             return Success(Caller(PUBLIC))
@@ -98,12 +99,12 @@
 
 
 def load_token_library() -> None:
-    """Import it now, so that the first token does not hold all other calls up."""
+    """Import the token library now, so that the first token does not delay other calls."""
     import jwt  # noqa: F401, PLC0415 - it takes long to import, and few sites need tokens
 
 
 def sign_token(secret: SecretResource, audience: str, subject: str, expires: int) -> str:
-    """Give a token signed with the secret's signing generation."""
+    """Return a token signed with the secret's signing generation."""
     material = next(
         held.material
         for held in secret.generations
--- a/src/peppershore/request/back_ends/__init__.py
+++ b/src/peppershore/request/back_ends/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of back ends: their own word, their pace, their links."""
+"""What is known of back ends: their reported load, their pace, their links."""
--- a/src/peppershore/request/back_ends/link_room.py
+++ b/src/peppershore/request/back_ends/link_room.py
@@ -1,8 +1,9 @@
-"""One model of a machine's link: what is promised to it, and what goes over it next.
+"""Model of one direction of a machine's link: admission and order of large transfers.
 
-Large transfers that share a narrow link are all late together.  So one more is taken only
-if it can still be through in time behind those that were, and they go one after the
-other: what has begun is ended, then what can still be in time, the soonest due first.
+Large transfers that share a narrow link are all late together. So another one is accepted
+only if it can still complete in time behind those accepted before, and they are sent one
+after the other: a transfer that has begun is completed first, then those that can still be
+in time, the earliest due time first.
 """
 
 from __future__ import annotations
@@ -13,38 +14,39 @@
 
 BYTES_PER_MEGABIT = 125_000
 USABLE_SHARE = 0.95
-"""What is left of the link's rate for payload: packet heads take 3 to 5 %."""
+"""Share of the link's rate that is left for payload: packet headers take 3 to 5 %."""
 
 LEAST_SHARE = 0.25
-"""Small messages are taken to leave large transfers so much of the link at least."""
+"""Minimum share of the link that small messages are assumed to leave to large transfers."""
 
 TYPICAL_BYTES = 64 * 1024
-"""Size that a large transfer is taken to have until some of its route were seen."""
+"""Assumed size of a large transfer until some of its route have been observed."""
 
 MIN_WEIGHT = 0.05
-"""The newest size counts at least so much in a route's mean."""
+"""Minimum weight of the newest size in a route's mean."""
 
 MAX_ROUTES = 1_000
 RATE_SECONDS = 1.0
-"""The rate of small messages is a mean over about so long."""
+"""Averaging time of the rate of small messages."""
 
 LINK_QUEUE_SECONDS = 0.03
-"""A small message waits behind so much of the link's work in large ones at most."""
+"""Maximum time for which a small message waits behind large ones, as work of the link."""
 
 PIECE_SECONDS = 0.01
-"""A large transfer is handed over in pieces that take the link so long."""
+"""A large transfer is handed over in pieces that take the link this long."""
 
 MIN_PIECE_BYTES = 1_024
 MARGIN_SECONDS = 0.02
-"""Kept of the time left for the ways between the machines."""
+"""Part of the time left that is reserved for the network paths between the machines."""
 
 
 class Transfer(msgspec.Struct, eq=False):
-    """One large transfer that was taken; times are monotonic seconds.
+    """One accepted large transfer; times are in monotonic seconds.
 
-    ``due``: when it should be through; ``ready_at``: when its first bytes are expected.
-    ``left``: bytes still to go over the link, as far as is known; ``held``: those that are
-    here.  ``blocked``: whoever it goes to takes no more for now.
+    - ``due``: when it should be complete; ``ready_at``: when its first bytes are expected.
+    - ``left``: bytes still to be sent over the link, as far as is known; ``held``: bytes
+      that have arrived here and are not yet sent.
+    - ``blocked``: its receiver accepts no more bytes for now.
     """
 
     number: int
@@ -60,22 +62,22 @@
 
 
 class MeanSize(msgspec.Struct):
-    """A mean of bytes that follows changes."""
+    """A moving mean of sizes in bytes."""
 
     octets: float = TYPICAL_BYTES
     count: int = 0
 
     def observe(self, octets: int) -> None:
-        """Take one size."""
+        """Add one size."""
         self.count += 1
         self.octets += (octets - self.octets) * max(MIN_WEIGHT, 1.0 / self.count)
 
 
 class LinkRoom:
-    """One direction of one link; ``rate`` is what it carries, bytes a second."""
+    """One direction of one link; ``rate`` is its usable rate in bytes per second."""
 
     def __init__(self, link_megabits: float) -> None:
-        """Begin with nothing promised on a link of that rate, above 0."""
+        """Start without transfers on a link of that rate, above 0."""
         self.rate = link_megabits * BYTES_PER_MEGABIT * USABLE_SHARE
         self._transfers: dict[int, Transfer] = {}
         self._numbers = itertools.count(1)
@@ -86,27 +88,27 @@
 
     @property
     def transfers(self) -> int:
-        """Transfers taken that are not through."""
+        """Number of accepted transfers that are not complete."""
         return len(self._transfers)
 
     @property
     def held(self) -> int:
-        """Bytes of large transfers that wait here."""
+        """Number of bytes of large transfers that wait here."""
         return self._held
 
     @property
     def left_rate(self) -> float:
-        """What small messages leave of the link, bytes a second."""
+        """Rate that small messages leave on the link, in bytes per second."""
         return max(self.rate * LEAST_SHARE, self.rate - self._small_rate)
 
     def size_of(self, route: str) -> float:
-        """Give the mean bytes of a route's large transfers."""
+        """Return the mean size of a route's large transfers, in bytes."""
         return self._sizes.get(route, self._all).octets
 
     def offer(self, route: str, due: float, work: float, now: float) -> Transfer | float:
-        """Take one more, or give how many seconds too late it would be through.
+        """Accept one more transfer, or return by how many seconds it would be late.
 
-        ``work``: seconds until its first bytes are expected.
+        ``work`` is the number of seconds until its first bytes are expected.
         """
         size = self.size_of(route)
         late = self._completion_time(size, now + work, now) + MARGIN_SECONDS - due
@@ -117,23 +119,23 @@
         return transfer
 
     def wait(self, now: float) -> float:
-        """Give in how many seconds one more would be through, work aside."""
+        """Return in how many seconds one more transfer would complete, without its work."""
         return self._completion_time(self._all.octets, now, now) - now
 
     def sized(self, transfer: Transfer, length: int) -> None:
-        """Its length is known now."""
+        """Record the length of a transfer, which is known now."""
         transfer.length = length
         transfer.left = max(0.0, float(length - transfer.sent))
 
     def came(self, transfer: Transfer, octets: int, now: float) -> None:
-        """More of its bytes are here."""
+        """Record that more bytes of a transfer have arrived here."""
         transfer.held += octets
         transfer.ready_at = min(transfer.ready_at, now)
         transfer.left = max(transfer.left, float(transfer.held))
         self._held += octets
 
     def next(self, now: float) -> Transfer | None:
-        """Give the transfer that goes now; None if none has bytes that can."""
+        """Return the transfer to send from now, or None if none has bytes to send."""
         sendable = [
             each for each in self._transfers.values() if each.held and not each.blocked
         ]
@@ -142,7 +144,7 @@
         return min(sendable, key=lambda each: self._rank(each, now))
 
     def went(self, transfer: Transfer, octets: int) -> None:
-        """So many of its bytes were handed to the link."""
+        """Record that this many bytes of a transfer were handed to the link."""
         transfer.begun = True
         transfer.sent += octets
         transfer.held -= octets
@@ -150,7 +152,7 @@
         self._held -= octets
 
     def over(self, transfer: Transfer, is_whole: bool) -> None:
-        """It is through, or given up: its room is free."""
+        """Remove a transfer that is complete or was given up, which frees its room."""
         if self._transfers.pop(transfer.number, None) is None:
             return
         self._held -= transfer.held
@@ -159,7 +161,7 @@
             self._learn(transfer.route, transfer.sent)
 
     def small_sent(self, octets: int, elapsed: float) -> None:
-        """Small messages took so many bytes in so many seconds."""
+        """Record the bytes of small messages sent within ``elapsed`` seconds."""
         if elapsed > 0.0:
             weight = min(1.0, elapsed / RATE_SECONDS)
             self._small_rate += (octets / elapsed - self._small_rate) * weight
@@ -169,7 +171,7 @@
         return (not transfer.begun, is_late, transfer.due, transfer.number)
 
     def _completion_time(self, size: float, ready_at: float, now: float) -> float:
-        """Give when one more would be through, behind those that are ready before it."""
+        """Return when one more would be complete, after all that are accepted."""
         rate = self.left_rate
         free_at = now
         ahead = sorted(self._transfers.values(), key=lambda each: each.ready_at)
@@ -185,14 +187,14 @@
 
 
 class LinkPace:
-    """A token bucket: how many bytes of large transfers may be handed to the link now.
+    """A token bucket that limits how many bytes of large transfers go to the link now.
 
-    All bytes that this node sends are counted, those of small messages as well, so that
-    what waits in the system's buffers is bounded whoever sent it.
+    All bytes that this node sends are counted, including those of small messages, so that
+    the bytes in the system's buffers are bounded whoever sent them.
     """
 
     def __init__(self, rate: float, now: float) -> None:
-        """Begin with a full bucket; ``rate`` in bytes a second."""
+        """Start with a full bucket; ``rate`` is in bytes per second."""
         self.rate = rate
         self.piece = max(MIN_PIECE_BYTES, int(rate * PIECE_SECONDS))
         self._most = max(1.0, rate * (LINK_QUEUE_SECONDS - PIECE_SECONDS))
@@ -200,11 +202,11 @@
         self._at = now
 
     def sent(self, octets: int) -> None:
-        """Count bytes that went to the link; small ones may go beyond the bound."""
+        """Count bytes that went to the link; small messages may exceed the limit."""
         self._tokens -= octets
 
     def may_send(self, now: float) -> bool:
-        """Whether one more piece may go."""
+        """Report whether one more piece may be sent."""
         elapsed = max(0.0, now - self._at)
         self._at = now
         tokens = self._tokens + elapsed * self.rate
@@ -213,5 +215,5 @@
 
     @property
     def pause(self) -> float:
-        """Seconds until one more piece may go; at least what a piece takes."""
+        """Seconds until one more piece may be sent; at least the duration of a piece."""
         return max(PIECE_SECONDS, -self._tokens / self.rate)
--- a/src/peppershore/request/back_ends/own_report.py
+++ b/src/peppershore/request/back_ends/own_report.py
@@ -1,7 +1,8 @@
-"""What the back end beside this node told last: work the node doesn't know, and its pace.
+"""Last load report of the local back end: work unknown to the node, and its pace.
 
-A figure counts for a while only: answers bring new ones, and a back end that is given
-nothing more, for what it said of itself, would never be heard again.
+The pace is the time that work takes now relative to the usual one: 100 % is as usual, 200 %
+twice as long. A reported value is used only for a while. New answers bring new values, and
+a back end that got no more calls because of its own report would never send another one.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 from peppershore.request.work_times import WorkTimes
 
 COUNT_SECONDS = 0.5
-"""Work that the node doesn't know is believed for so long after it was told."""
+"""Work that the node doesn't know of counts for this long after it was reported."""
 
 LONG_QUEUE_FACTOR = 2
-"""So many times its slots of unknown work mean that as much waits there as runs."""
+"""Unknown work of this many times the slots means that as much waits there as runs."""
 
 NEVER_MILLISECONDS = -1
 MILLISECONDS = 1_000
 
 
 class OwnReport:
-    """The figures of one life of a back end, with their ages."""
+    """The reported values of one incarnation of a back end, with their ages."""
 
     __slots__ = (
         "_excess",
@@ -36,7 +37,7 @@
     )
 
     def __init__(self) -> None:
-        """Begin without figures."""
+        """Start without reports."""
         self._excess = 0
         self._unknown_calls = 0
         self._reported_at = 0.0
@@ -45,10 +46,10 @@
         self._work = WorkTimes()
 
     def heard(self, told: ToldLoad, known: int, now: float) -> None:
-        """Take what an answer told while the node knew of ``known`` calls there.
+        """Record the load in an answer, read while the node knew of ``known`` calls there.
 
-        Answers that end in one moment may be read in another order than they were
-        written, so work counts as unknown where two figures in a row hold it.
+        Answers that end at about the same time may be read in another order than they were
+        written, so work counts as unknown only if two reports in a row include it.
         """
         excess = max(0, told.running + told.waiting - known)
         self._unknown_calls = min(self._excess, excess)
@@ -58,10 +59,11 @@
             self._add_pace(told.pace_percent, now)
 
     def taken(self, slots: int, now: float) -> int:
-        """Give how many slots are taken by work of which the node knows nothing.
+        """Return how many slots are taken by work that the node doesn't know of.
 
-        One is left, since a back end that says too much would be given nothing for that;
-        none where its queue is long too: what it can't queue it may never answer.
+        One slot is always left, since a back end that reports too much would otherwise get
+        no calls. None is left if its queue is long too: it might never answer what it can't
+        queue.
         """
         if now - self._reported_at >= COUNT_SECONDS:
             return 0
@@ -71,42 +73,43 @@
 
     @property
     def pace_percent(self) -> int:
-        """How long work takes, as it was told last; 100 as usual for this machine.
+        """How long work takes by the last report; 100 is usual for this machine.
 
-        Some tell a figure that holds the machine's fixed speed too.  What it usually
-        tells shows in what its work takes, and counts as usual here.
+        Some back ends report a value that includes the machine's fixed speed. The value
+        that a machine usually reports counts as 100 here, since its fixed speed shows in
+        the duration of its work.
         """
         return self._paces[-1][1] if self._paces else USUAL_PERCENT
 
     def pace_age_milliseconds(self, now: float) -> int:
-        """Give how long ago the pace was told; -1 if it never was."""
+        """Return the age of the reported pace; -1 if there is none."""
         if not self._paces:
             return NEVER_MILLISECONDS
         return round((now - self._paces[-1][0]) * MILLISECONDS)
 
     def is_slow(self, now: float) -> bool:
-        """Whether the machine is slow for a while, and a call is better off elsewhere."""
+        """Report whether the machine is slow for now, so that calls should go elsewhere."""
         if not self._paces:
             return False
         told_at, percent = self._paces[-1]
         return slow_seconds(percent, now - told_at) > 0.0
 
     def ended(self, route: str, seconds: float, now: float) -> None:
-        """Learn from a call that was answered now what its work takes as usual."""
+        """Learn from a call that was answered now how long its work usually takes."""
         if self._paces:
             pace = self._mean_pace(now - seconds)
             self._work.observe(route, seconds * USUAL_PERCENT / pace)
 
     def mean_pace_percent(self, since: float) -> int:
-        """Give the mean pace of what ran since then; 0 if it was never told."""
+        """Return the mean pace since that time; 0 if none was ever reported."""
         return round(self._mean_pace(since)) if self._paces else PACE_NOT_REPORTED
 
     def usual_work(self, route: str) -> float:
-        """Give the mean seconds of a route's calls at the usual pace; 0 if not known."""
+        """Return the mean duration of a route's calls at the usual pace; 0 if not known."""
         return self._work.known(route)
 
     def _mean_pace(self, since: float) -> float:
-        """Give the mean of what was told since then; the last one told if nothing was."""
+        """Return the mean of the paces reported since then, else the last one reported."""
         told = [percent for at, percent in self._paces if at >= since]
         return sum(told) / len(told) if told else self.pace_percent
 
--- a/src/peppershore/request/back_ends/pace.py
+++ b/src/peppershore/request/back_ends/pace.py
@@ -1,4 +1,8 @@
-"""For how long the pace that a machine told says something of now, and when it is slow."""
+"""How long a reported pace of a machine remains valid, and when a machine is slow.
+
+The pace is the time that work takes relative to the usual one: 100 % is as usual, 200 %
+means twice as long.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +11,28 @@
 USUAL_PERCENT: Final = 100
 
 PACE_SECONDS = 0.6
-"""A pace is believed for so long, less from moment to moment: what shares a machine
-comes and goes many times a second, and an answer tells it as it was at its end."""
+"""A reported pace counts for this long, and less as it ages: other load on a machine comes
+and goes many times a second, and an answer reports the pace as it was at its end."""
 
 SLOW_PERCENT = 150
-"""A machine is slow from here on, against its own usual.  Back ends of one service differ
-as much in speed all the time; sending a call on costs a way there and back."""
+"""A machine is slow from this pace on, relative to its own usual one. Smaller differences
+in speed are permanent among the back ends of one service, and redirecting a call costs a
+network round trip."""
 
 PACE_SAMPLES = 64
-"""Figures by whose median a machine's usual pace is known: a few seconds of answers, so
-that a slow moment is less than half of them, and one that stays slow soon is usual."""
+"""Number of reported values whose median is a machine's usual pace: a few seconds of
+answers. A slow moment then makes up less than half of them, and a machine that stays slow
+soon counts as usual."""
 
 
 def pace_after(percent: int, age: float) -> float:
-    """Give what a pace that was told ``age`` seconds ago says of now: it fades to 100."""
+    """Return the expected pace now of one reported ``age`` seconds ago: it fades to 100."""
     share = max(0.0, 1.0 - max(0.0, age) / PACE_SECONDS)
     return USUAL_PERCENT + (percent - USUAL_PERCENT) * share
 
 
 def slow_seconds(percent: int, age: float) -> float:
-    """Give for how much longer a machine is taken to be slow; 0 if it is not."""
+    """Return for how much longer a machine counts as slow; 0 if it does not."""
     above = percent - USUAL_PERCENT
     if percent < SLOW_PERCENT:
         return 0.0
--- a/src/peppershore/request/back_ends/speed.py
+++ b/src/peppershore/request/back_ends/speed.py
@@ -1,7 +1,7 @@
-"""How quick one back end is, as callers' nodes know it: learned, and told of now.
+"""Speed of one back end, as nodes of callers know it: learned work and reported pace.
 
-Its own node tells what its work takes as a mean over all callers, with the pace of the
-machine taken out, and beside that the pace as it was told last.
+Its local node reports the mean duration of its work over all callers, with the machine's
+pace factored out, and separately the last reported pace.
 """
 
 from __future__ import annotations
@@ -9,41 +9,41 @@
 from peppershore.request.back_ends.pace import USUAL_PERCENT, pace_after, slow_seconds
 
 LEARNED_WEIGHT = 0.3
-"""Weight of what the back end's own node told last of its work.  That is a mean over many
-calls already; it is smoothed since routes differ in which back ends take them."""
+"""Weight of the last work time that the back end's local node reported. It is a mean over
+many calls already; it is smoothed because routes differ in which back ends serve them."""
 
 MILLISECONDS = 1_000
 
 
 class Speed:
-    """Times that work takes at one back end, as multiples of the usual."""
+    """Time that work takes at one back end, as multiples of the usual time."""
 
     __slots__ = ("_work_ratio", "_percent", "_pace_measured_at")
 
     def __init__(self) -> None:
-        """Begin as usual."""
+        """Start with the usual speed."""
         self._work_ratio = 1.0
         self._percent: int = USUAL_PERCENT
         self._pace_measured_at = 0.0
 
     @property
     def pace_percent(self) -> int:
-        """The pace as it was told last, 100 as usual."""
+        """The last reported pace, 100 if as usual."""
         return self._percent
 
     def learn(self, multiple: float) -> None:
-        """Take the work of a call as a multiple of the usual for its route."""
+        """Record the work of a call as a multiple of the usual one for its route."""
         self._work_ratio += (multiple - self._work_ratio) * LEARNED_WEIGHT
 
     def update_pace(self, percent: int, age_milliseconds: int, now: float) -> None:
-        """Take the pace that the machine had so long ago; a negative age: never told."""
+        """Record the pace that the machine had that long ago; a negative age means none."""
         if age_milliseconds < 0:
             return
         self._percent = percent
         self._pace_measured_at = now - age_milliseconds / MILLISECONDS
 
     def pace_age_milliseconds(self, now: float) -> int:
-        """Give how long ago the pace was; -1 if it was never told."""
+        """Return the age of the pace; -1 if none was ever reported."""
         return (
             round((now - self._pace_measured_at) * MILLISECONDS)
             if self._pace_measured_at
@@ -51,13 +51,13 @@
         )
 
     def slow_seconds(self, now: float) -> float:
-        """Give for how much longer its machine is taken to be slow; 0 if it is not."""
+        """Return for how much longer the machine counts as slow; 0 if it does not."""
         return slow_seconds(self._percent, now - self._pace_measured_at)
 
     def expected(self, now: float, trust: float) -> float:
-        """Give the multiple of the usual that one more call is likely to take.
+        """Return the multiple of the usual time that one more call is likely to take.
 
-        ``trust``: how much of what was learned still counts, 0 to 1.
+        ``trust`` is the share of the learned value that still counts, from 0 to 1.
         """
         learned = 1.0 + (self._work_ratio - 1.0) * trust
         if self._percent == USUAL_PERCENT:
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/told_load.py
@@ -1,8 +1,9 @@
-"""What a back end says of itself in a field of its answers, read and checked.
+"""Parsing and validation of the load field in a back end's answers.
 
-The field holds whole numbers with commas between them: running, waiting, slots, and with
-some the pace of the machine.  A field that can't be read whole counts as missing: nothing
-tells which of its figures is right.  A pace that can't be is left out, the rest counts.
+The field holds integers separated by commas: running calls, waiting calls, slots, and
+optionally the pace of the machine (time that work takes, 100 as usual, 200 twice as long).
+A field that can't be parsed completely counts as missing, since nothing shows which of its
+values are right. An implausible pace is ignored, and the other values are used.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 MAX_FIELD_BYTES = 64
 MAX_CALLS = 100_000
-"""More calls or slots than that no one back end has."""
+"""No single back end has more calls or slots than this."""
 
 MIN_PERCENT = 10
 MAX_PERCENT = 10_000
-"""A machine that is ten times as quick as usual, or a hundred times as slow, is none."""
+"""No machine is ten times as fast as usual, or a hundred times as slow."""
 
 FIELDS_WITHOUT_PACE = 3
 FIELDS_WITH_PACE = 4
 
 
 class ToldLoad(msgspec.Struct, frozen=True):
-    """Calls that run and wait at a back end, its slots, and its machine's pace.
+    """Running and waiting calls of a back end, its slots, and its machine's pace.
 
-    ``pace_percent`` is how long work takes now, 100 as usual, 0 where it is not told.
+    ``pace_percent`` is how long work takes now: 100 as usual, 0 if it is not reported.
     """
 
     running: int
@@ -38,7 +39,7 @@
 
 
 def read_load(value: bytes) -> ToldLoad | None:
-    """Read the field's value; None if it is missing or can't be read whole."""
+    """Parse the field's value; return None if it is missing or malformed."""
     if not value or len(value) > MAX_FIELD_BYTES:
         return None
     figures = [figure.strip(b" ") for figure in value.split(b",")]
@@ -52,7 +53,7 @@
 
 
 def _count(figure: bytes) -> int | None:
-    """Give a whole number that may be, else None; a sign makes it none."""
+    """Return the integer if it is plausible, else None; a sign is not allowed."""
     if not figure.isdigit():
         return None
     count = int(figure)
@@ -60,7 +61,7 @@
 
 
 def _percent(figure: bytes) -> int:
-    """Give a pace that may be, a fraction of it dropped, else ``PACE_NOT_TOLD``."""
+    """Return the pace without its fraction, or ``PACE_NOT_REPORTED`` if implausible."""
     whole, point, fraction = figure.partition(b".")
     if point and not fraction.isdigit():
         return PACE_NOT_REPORTED
--- a/src/peppershore/request/caller_rate.py
+++ b/src/peppershore/request/caller_rate.py
@@ -1,4 +1,4 @@
-"""Calls a second of each caller on a route, bounded in memory."""
+"""Rate limit per caller and route, with bounded memory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallerRates:
-    """A token bucket per (route, caller); the longest unseen is forgotten first."""
+    """A token bucket per (route, caller); the least recently seen one is evicted first."""
 
     def __init__(self, max_callers: int = MAX_CALLERS) -> None:
         """Start without callers."""
@@ -17,11 +17,11 @@
         self._buckets: OrderedDict[tuple[str, str], tuple[float, float]] = OrderedDict()
 
     def __len__(self) -> int:
-        """Callers remembered."""
+        """Return the number of callers that have a bucket."""
         return len(self._buckets)
 
     def wait_seconds(self, route: str, caller: str, rate: int, now: float) -> float:
-        """Count one call; give 0 if allowed, else the seconds until it would be."""
+        """Count one call; return 0 if it is allowed, else the seconds until it would be."""
         if rate <= 0:
             return 0.0
         name = (route, caller)
--- a/src/peppershore/request/claim.py
+++ b/src/peppershore/request/claim.py
@@ -1,4 +1,4 @@
-"""The hook for calls that run at most once even when their caller resends them."""
+"""Interface for calls that run at most once even if their caller sends them again."""
 
 from __future__ import annotations
 
@@ -22,23 +22,25 @@
 DIGEST_DIGITS = 16
 CLAIM_KEY_PARTS = 3
 CLAIM_RETRY_AFTER_MILLISECONDS = 1_000
-"""Advice where no claim could be recorded: an election of the group takes no longer."""
+"""Retry advice if no claim could be recorded; an election in the group takes no longer than
+this."""
 
 MAX_KEPT_BODY_BYTES = 64 * 1024
-"""A longer answer is not kept: a resend is told that the outcome is not known."""
+"""A longer answer is not stored; if the call is sent again, its outcome is reported as
+unknown."""
 
 
 class ClaimGranted(msgspec.Struct, frozen=True):
-    """This attempt, and no other, may run the call of that key.
+    """This attempt alone may run the call with that key.
 
-    The record is kept for ``horizon_seconds`` at least.
+    The claim is retained for at least ``horizon_seconds``.
     """
 
     horizon_seconds: int = DEFAULT_HORIZON_SECONDS
 
 
 class ClaimTaken(msgspec.Struct, frozen=True):
-    """The key was claimed before; ``answer`` is there once it was answered and kept."""
+    """The key was claimed before; ``answer`` is the stored answer, if there is one."""
 
     answer: KeptAnswer | None = None
 
@@ -59,7 +61,7 @@
 
 
 class ClaimsClient(Protocol):
-    """Records claims in a place that survives the losses promised."""
+    """Records claims in storage that survives the failures it is specified for."""
 
     async def claim(
         self, key: str, attempt: str, seconds: float
@@ -67,14 +69,14 @@
         """Claim ``key`` for ``attempt`` before anything is sent to a back end."""
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer for resends (None: it is too long to keep)."""
+        """Store the answer for later requests with this key (None: too long to store)."""
 
     def release(self, key: str, attempt: str) -> None:
-        """Give the claim back: this attempt was proven not to have run."""
+        """Release the claim: this attempt is proven not to have run."""
 
 
 def denied_as(denied: ClaimDenied) -> Failed | KeptAnswer:
-    """Give what the caller of a call without a claim gets: a failure or a kept answer."""
+    """Return what the caller gets if a claim is denied: a failure or the stored answer."""
     if isinstance(denied, ClaimKeyRefused):
         return NotRun(STATUS_BAD_REQUEST, "idempotency-key-refused")
     if isinstance(denied, ClaimUnavailable):
@@ -86,15 +88,16 @@
 
 
 def callers_key(key: str) -> str:
-    """Give the part of a claim's key that the caller chose."""
+    """Return the part of a claim's key that the caller chose."""
     return key.split("/", CLAIM_KEY_PARTS - 1)[-1]
 
 
 def claim_key(head: RequestHead, key: str, caller: str) -> str:
-    """Give the name of a call among all calls: two callers never share one.
+    """Return the key that identifies a call; two callers never share one.
 
-    A resend has the method and path of the first send.  Its route and service may
-    be others by then: an edit of the tree must not make it another call.
+    A call that is sent again has the same method and path. Its route and service are left
+    out of the key, because an edit of the routing tree may change them and must not turn it
+    into another call.
     """
     path = head.target.partition(b"?")[0]
     owner = _digest(caller.encode()) if caller else "-"
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -1,4 +1,4 @@
-"""What a call is: route, target, class, repeatability, deadline, key."""
+"""Classification of a request: route, target, class, idempotency, deadline, key."""
 
 from __future__ import annotations
 
@@ -25,35 +25,38 @@
 
 MILLISECONDS = 1_000
 WAIT_SHARE = 0.2
-"""Part of a route's target latency for which a call may wait for a slot.  A caller that
-is refused within a quarter of it can still come again in good time; the rest is for the
-way there and back."""
+"""Share of a route's target latency for which a call may wait for a slot. A caller that is
+refused within a quarter of the target can still retry in time; the rest is for the network
+round trip."""
 
 CROSS_ZONE_GAIN_SHARE = 0.4
-"""Part of a route's target latency by which an answer from another zone must be sooner to
-be worth the bytes between zones.  Work that is spread by half its mean comes too late
-about 15 in 100 times less often then, and a crossing costs up to 18 in 100 of an answer.
-0.2 was tried: on two of three sites the bytes cost more than the answers gained."""
+"""Share of a route's target latency by which an answer from another zone must be faster to
+justify the traffic between zones. If durations have a standard deviation of half their
+mean, an answer is then late about 15 in 100 times less often, while crossing costs up to 18
+in 100 of an answer. With 0.2, on two of three sites the traffic cost more than the answers
+gained."""
 
 NESTED_WAIT_SHARE = 0.4
-"""Part of its time for which a call of a back end may wait for a slot."""
+"""Share of its remaining time for which a call made by a back end may wait for a slot."""
 
 NO_CONFIGURATION_RETRY_AFTER_MILLISECONDS = 600
 """A node that has just started holds a configuration about a second later."""
 
 
 class CallPlan(msgspec.Struct, frozen=True):
-    """All that is decided about a call before it is admitted.
-
-    ``deadline`` is monotonic seconds; ``key`` is the caller's idempotency key,
-    empty for what may be repeated.  ``start_by`` is the monotonic time after which it
-    waits no more for a slot: an answer would come too late for its target latency.
-    ``remaining`` is the time its caller gave it, in seconds; ``is_client_retry``: it was
-    refused before.  ``crossing_seconds``: so much sooner must another zone answer.
-    ``lane``: the version of the target's software that it was drawn for.
-    ``tenant``: on whose behalf it is made, "" where there are none; ``is_counted``: it
-    comes with that tenant's key, so its limit counts it.  ``due``: the monotonic time by
-    which its answer should be through.
+    """All that is decided about a call before admission.
+
+    - ``deadline``: monotonic seconds.
+    - ``key``: the caller's idempotency key, empty for a call that is safe to retry.
+    - ``start_by``: monotonic time after which the call no longer waits for a slot, because
+      its answer would miss the route's target latency.
+    - ``remaining``: the time that its caller allows, in seconds; None if not given.
+    - ``is_client_retry``: the caller sends it again after a refusal.
+    - ``crossing_seconds``: how much sooner another zone must answer to be chosen.
+    - ``lane``: the version of the target's software chosen for it.
+    - ``tenant``: on whose behalf the call is made, "" if there are no tenants.
+    - ``is_counted``: it carries that tenant's key, so it counts against its limit.
+    - ``due``: monotonic time by which its answer should have arrived.
     """
 
     service: str
@@ -83,9 +86,9 @@
     random: RandomSource,
     names: WireNames = OWN_NAMES,
 ) -> Result[CallPlan, NotRun]:
-    """Give the plan of a request, or why it can't be one.
+    """Return the plan of a request, or the refusal if it can't be served.
 
-    ``random`` draws among the targets of a route that splits its calls.
+    ``random`` chooses among the targets of a route that splits its calls.
     """
     if configuration is None:
         advice = NO_CONFIGURATION_RETRY_AFTER_MILLISECONDS
@@ -120,7 +123,7 @@
 
 
 def route_of(configuration: ActiveConfiguration, head: RequestHead) -> RouteResource | None:
-    """Give the route that a request matches."""
+    """Return the route that a request matches, or None."""
     path = head.target.partition(b"?")[0].decode("latin-1")
     method = head.method.decode("latin-1")
     return configuration.match_route(path, method, host=host_of(head))
@@ -137,9 +140,9 @@
 
 
 def _crossing_seconds(settings: RouteSettings) -> float:
-    """Give what a way to another zone must save; a large body is never worth it.
+    """Return the seconds that another zone must save; infinite for streamed bodies.
 
-    It still goes there where the own zone has no room.
+    Calls with streamed bodies still go to another zone if the local one has no room.
     """
     latency = settings.target_latency_milliseconds
     if not latency or settings.streamed_bodies:
@@ -148,22 +151,22 @@
 
 
 def first_in_line(plan: CallPlan, now: float) -> CallPlan:
-    """Let a call that a back end makes for one it is running go before new calls.
+    """Return the plan of a call nested in a running one, placed ahead of new calls.
 
-    Refused, it would waste all the work done so far, so it also waits longer.
+    Its refusal would waste all the work done so far, so it may also wait longer.
     """
     start_by = now + (plan.deadline - now) * NESTED_WAIT_SHARE
     return msgspec.structs.replace(plan, call_class="critical", start_by=start_by)
 
 
 def host_of(head: RequestHead) -> str:
-    """Give the host a request names, in lower case and without its port."""
+    """Return the host that a request names, in lower case and without its port."""
     host = head.header(b"host").decode("latin-1").lower()
     return host.partition(":")[0] if host.count(":") == 1 else host
 
 
 def choose_target(route: RouteResource, random: RandomSource) -> str:
-    """Give the service that takes one call of a route, drawn by weight."""
+    """Return the service that handles one call of a route, chosen at random by weight."""
     settings = route.settings
     if not settings.splits:
         return settings.target or route.service
@@ -177,7 +180,7 @@
 
 
 def _idempotency_key(settings: RouteSettings, head: RequestHead) -> str:
-    """Give the caller's key where it counts: what may be repeated needs none."""
+    """Return the caller's key if it matters; a call that is safe to retry needs none."""
     if settings.repeatable:
         return ""
     return head.header(IDEMPOTENCY_KEY_HEADER).decode("latin-1")
--- a/src/peppershore/request/client_retries.py
+++ b/src/peppershore/request/client_retries.py
@@ -1,8 +1,8 @@
-"""Which calls are retries of refused ones, and when their callers should retry.
+"""Detection of retries by callers, and the pacing of those retries.
 
-Under load a call that comes for the first time goes before one that was refused
-before: the first can still be answered within its target latency.  Served oldest first,
-a service at its limit answers every call late and none in time.
+Under load, a call sent for the first time takes precedence over one that was refused
+before, because the first can still be answered within its target latency. If served oldest
+first, an overloaded service answers every call late and none in time.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from collections.abc import Callable
 
 SAMPLES = 64
-"""Calls of a route by which its callers' usual time is known."""
+"""Number of recent calls of a route from which its callers' usual time-out is estimated."""
 
 RELEARN_EVERY = 16
-"""Calls of a route after which its callers' usual time is worked out again."""
+"""Number of calls of a route after which its callers' usual time-out is estimated again."""
 
 USUAL_QUANTILE = 0.85
-"""The usual time is longer than that of most retries, of which there may be more than
-first calls, and shorter than that of the few callers with more patience than others."""
+"""High enough to exceed the remaining time of most retries, of which there may be more than
+first sends, and low enough to exclude the few callers with unusually long time-outs."""
 
 FIRST_SEND_SHARE = 0.98
-"""A call with less than this part of the usual time left came before."""
+"""A call with less than this share of the usual time-out left is a retry."""
 
 
 class UsualDeadline:
-    """The time that callers of one route give a call at first, in seconds."""
+    """The time-out, in seconds, that callers of one route set on a first send."""
 
     __slots__ = ("_samples", "_seen", "_usual")
 
     def __init__(self) -> None:
-        """Begin without calls."""
+        """Start without samples."""
         self._samples: deque[float] = deque(maxlen=SAMPLES)
         self._seen = 0
         self._usual = 0.0
 
     def is_client_retry(self, remaining: float) -> bool:
-        """Take the time that a call has left; tell whether it came before."""
+        """Record the time that a call has left and report whether it is a retry."""
         self._samples.append(remaining)
         if self._seen % RELEARN_EVERY == 0:
             self._usual = self._estimate()
@@ -50,58 +50,59 @@
 
 
 class UsualDeadlines:
-    """The usual time of each route's callers, by the names of service and route."""
+    """The usual time-out of each route's callers, by the names of service and route."""
 
     def __init__(self) -> None:
-        """Begin without routes."""
+        """Start without routes."""
         self._routes: dict[tuple[str, str], UsualDeadline] = {}
 
     def is_client_retry(self, service: str, route: str, remaining: float | None) -> bool:
-        """Take one call; without a deadline nothing is known of it."""
+        """Record one call and report whether it is a retry; False if it has no deadline."""
         if remaining is None:
             return False
         usual = self._routes.setdefault((service, route), UsualDeadline())
         return usual.is_client_retry(remaining)
 
     def keep_only(self, is_there: Callable[[str, str], bool]) -> None:
-        """Forget routes that are there no more, by the names of service and route."""
+        """Drop the routes for which ``is_there(service, route)`` is false."""
         for name in [name for name in self._routes if not is_there(*name)]:
             del self._routes[name]
 
 
 RATE_DECAY_SECONDS = 2.0
 RETRY_RATE_SHARE = 0.5
-"""Callers are told to retry at this part of the rate of answers."""
+"""Callers are advised to retry at this share of the rate of answers."""
 
 MIN_ADVICE_SECONDS = 0.8
-"""A call that was refused twice is late in any case: let the overload pass."""
+"""A call that was refused twice is late in any case, so it can wait until the overload has
+passed."""
 
 MAX_ADVICE_SECONDS = 2.0
 
 
 class ClientRetryPace:
-    """Spreads over time the calls of one service that were refused more than once.
+    """Spreads over time the retries of one service's calls that were refused repeatedly.
 
-    All told the same, they would come back together and be refused again.
+    If all got the same advice, they would return together and be refused again.
     """
 
     __slots__ = ("_answers", "_next", "_seen_at")
 
     def __init__(self) -> None:
-        """Begin without answers, so without a rate."""
+        """Start without answers, so without a rate."""
         self._answers = 0.0
         self._seen_at = 0.0
         self._next = 0.0
 
     def answered(self, now: float) -> None:
-        """A call was answered."""
+        """Record that a call was answered."""
         self._fade(now)
         self._answers += 1.0
 
     def book(self, wait: float, now: float) -> float:
-        """Give the seconds after which a call should come back once more.
+        """Reserve a time for a retry and return the seconds until then.
 
-        ``wait``: seconds until a slot may be free for it, as far as is known.
+        ``wait`` is the expected number of seconds until a slot is free for the call.
         """
         self._fade(now)
         self._next = max(self._next, now + max(wait, MIN_ADVICE_SECONDS))
--- a/src/peppershore/request/confirmation.py
+++ b/src/peppershore/request/confirmation.py
@@ -1,8 +1,9 @@
-"""Refusals that a caller takes as final need a configuration confirmed lately.
+"""Final refusals require a configuration that was confirmed recently.
 
-A node that was not told for long of a quorum's confirmation may lack a route, a limit
-or a key that is in force.  It goes on serving by what it holds, for that is better than
-nothing while no quorum is left; but what it would refuse for good it only puts off.
+A node that has not received a quorum's confirmation for long may lack a route, a limit or a
+key that is in force. It goes on serving with the configuration it holds, which is better
+than not serving while there is no quorum. Refusals that a caller would treat as final
+become temporary ones.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
 
 
 class RefusalBound(msgspec.Struct, frozen=True):
-    """How old a confirmation may be, in seconds, for a refusal that is final.
+    """Maximum age, in seconds, of the confirmation on which a final refusal may be based.
 
-    What was confirmed within the time in which a change comes into force lacks nothing
-    that must be in force by now.
+    A change comes into force within this time, so a configuration confirmed this recently
+    lacks nothing that must be in force.
     """
 
     seconds: float
 
     def allows(self, age_seconds: float) -> bool:
-        """Tell whether a final refusal may go by a configuration of this age."""
+        """Report whether a final refusal may rely on a configuration of this age."""
         return age_seconds <= self.seconds
 
     def judged(self, refusal: NotRun, age_seconds: float) -> NotRun:
-        """Give the refusal, or the one to come again in place of a final one."""
+        """Return the refusal, or a temporary one if a final one may not be given yet."""
         if refusal.status in FINAL_STATUSES and not self.allows(age_seconds):
             return NOT_CONFIRMED
         return refusal
--- a/src/peppershore/request/deadline.py
+++ b/src/peppershore/request/deadline.py
@@ -1,22 +1,22 @@
-"""Deadlines travel as remaining milliseconds and shrink at every hop."""
+"""Deadlines are sent as remaining milliseconds, which shrink at every hop."""
 
 from __future__ import annotations
 
 HOP_MARGIN_SECONDS = 0.002
-"""Kept back at each hop, so that the inner hop gives up before the outer one."""
+"""Subtracted at each hop, so that the inner hop gives up before the outer one."""
 
 MAX_DEADLINE_DIGITS = 9
 
 
 def parse_remaining(value: bytes) -> float | None:
-    """Give seconds from a deadline header; None if absent or not a number."""
+    """Return the seconds in a deadline header; None if it is absent or not a number."""
     if not value or len(value) > MAX_DEADLINE_DIGITS or not value.isdigit():
         return None
     return int(value) / 1_000
 
 
 def call_deadline(now: float, timeout_milliseconds: int, remaining: float | None) -> float:
-    """Give the monotonic time by which a call must be over."""
+    """Return the monotonic time by which a call must be over."""
     timeout = timeout_milliseconds / 1_000
     if remaining is not None:
         timeout = min(timeout, remaining)
@@ -24,6 +24,6 @@
 
 
 def remaining_milliseconds(now: float, deadline: float) -> int:
-    """Give what the next hop is allowed, never below 0."""
+    """Return the time left for the next hop, at least 0."""
     remaining = deadline - now - HOP_MARGIN_SECONDS
     return max(0, int(remaining * 1_000))
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -1,7 +1,7 @@
-"""What this node has seen of one back end: in flight, latency, failures, ramp.
+"""What this node has observed of one back end: calls in flight, latency, failures, ramp.
 
-Own sight goes before reports: the reported state only says whether a back end
-wants work at all; whether it gets any is decided from here.
+This node's own observations take precedence over reports. The reported state only says
+whether a back end accepts work at all; the decision to send it any is made here.
 """
 
 from __future__ import annotations
@@ -14,50 +14,51 @@
 from peppershore.request.back_ends.speed import Speed
 
 Verdict = Literal["good", "failed", "shed", "late"]
-"""What an attempt says of its back end; "shed": alive, and refusing for load;
-"late": no answer within the time its caller had."""
+"""Result of an attempt as far as it concerns the back end. "shed": the back end is alive
+and refused for load; "late": no answer within the time that the caller allowed."""
 
 LATE_FACTOR = 4.0
-"""An attempt without answer says something of its back end only after so many
-times the usual time: a caller in a hurry is no fault of the back end."""
+"""An attempt without an answer counts as a failure of the back end only after this multiple
+of the usual latency, since a short time-out of the caller is no fault of the back end."""
 
 LATENCY_DECAY_SECONDS = 5.0
 FIRST_LATENCY_SECONDS = 0.005
 FAILURE_DECAY_SECONDS = 10.0
 FAILURE_COST = 200.0
-"""How many times more a back end that always fails is taken to cost.  Failures are
-quick: with less, a failing back end looks the fastest and draws calls.  It goes by
-the square of the share of failures, so that a few now and then shift no load."""
+"""Cost multiplier of a back end that always fails. Failures are quick: with a smaller
+value, a failing back end looks the fastest and attracts calls. It is scaled by the square
+of the share of failures, so that a few occasional failures shift no load."""
 
 FADE_SECONDS = 10.0
-"""What was seen counts less with time: one that is not picked any more for what it
-did once would never be seen to have recovered."""
+"""Time constant by which observations lose weight. Without it, a back end that is no longer
+chosen because of past failures would never be found to have recovered."""
 
 FIRST_SHED_PAUSE_SECONDS = 0.05
 MAX_SHED_PAUSE_SECONDS = 1.0
-"""One that refuses for load is passed over for so long, twice as long each time in a
-row: in its zone it may be the only one, and would draw every call by that."""
+"""How long a back end that refused for load is avoided, at first and at most; the time
+doubles with each refusal in a row. Without this pause, a back end that is the only one in
+its zone would get every call because of that."""
 
 LOAD_MAX_AGE_SECONDS = 0.5
-"""What a back end's own node told of its load counts for so long."""
+"""A load reported by a back end's local node is used for this long."""
 
 FULL_PAUSE_SECONDS = 0.005
 FAR_FULL_PAUSE_SECONDS = 0.25
-"""A back end whose slots are all taken is passed over for so long at least, in the own
-zone and in another one; longer if its queue takes longer."""
+"""Minimum time for which a back end without free slots is avoided, in the local zone and in
+another zone. It is longer if the back end's queue takes longer."""
 
 UTILIZATION_COST = 0.5
-"""How much more a call costs at a back end that has no slot left than at an idle one:
-some are slower when nearly full, and what is told of a free slot is old."""
+"""How much more a call costs at a back end without a free slot than at an idle one: some
+back ends slow down when nearly full, and a reported free slot may be taken by now."""
 
 FIRST_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 30.0
 RAMP_FLOOR = 0.1
-"""Share of its slots that a back end gets when its ramp begins."""
+"""Share of its slots that a back end gets at the start of its ramp."""
 
 
 class EndpointState:
-    """One back end as this node knows it; ``limit`` calls may be in flight."""
+    """One back end as this node sees it; up to ``limit`` calls may be in flight."""
 
     __slots__ = (
         "_ejections",
@@ -83,7 +84,7 @@
     def __init__(
         self, endpoint: Endpoint, limit: int, ramp_seconds: float, now: float
     ) -> None:
-        """Begin without observations, at the start of the ramp."""
+        """Start without observations, at the beginning of the ramp."""
         self.endpoint = endpoint
         self.limit = limit
         self.in_flight = 0
@@ -104,39 +105,39 @@
         self._load_received_at = -LOAD_MAX_AGE_SECONDS
 
     def ramp(self, now: float) -> float:
-        """Give the share of full load allowed now, between RAMP_FLOOR and 1."""
+        """Return the share of full load allowed now, between RAMP_FLOOR and 1."""
         if self.ramp_seconds <= 0.0:
             return 1.0
         share = (now - self.ramp_started) / self.ramp_seconds
         return min(1.0, max(RAMP_FLOOR, share))
 
     def slots(self, now: float) -> int:
-        """Give how many calls may be in flight now; at least one."""
+        """Return how many calls may be in flight now, at least one."""
         return max(1, math.ceil(self.limit * self.ramp(now)))
 
     def free(self, now: float) -> bool:
-        """Whether one more call may start."""
+        """Report whether one more call may start."""
         if self.in_flight >= self.limit:
             return False
         return self.ramp_seconds <= 0.0 or self.in_flight < self.slots(now)
 
     def can_accept_call(self, now: float) -> bool:
-        """Whether a call may be sent to it now, as far as is known."""
+        """Report whether a call may be sent to the back end now, as far as is known."""
         return self.free(now) and not self.ejected(now)
 
     def ejected(self, now: float) -> bool:
-        """Whether failures keep this back end out for now."""
+        """Report whether the back end is ejected because of failures."""
         return now < self.ejected_until
 
     def sheds(self, now: float) -> bool:
-        """Whether it refused for load a moment ago: others go first."""
+        """Report whether it refused for load a moment ago, so that others are preferred."""
         return now < self.passed_over_until
 
     def note_load(self, load: OwnerLoad, now: float, is_far: bool) -> None:
-        """The back end's own node told how many calls it has, of all callers.
+        """Record the load that the back end's local node reported, over all callers.
 
-        ``is_far``: it is in another zone, so that asking in vain costs bytes between
-        zones.
+        ``is_far`` says that it is in another zone, where a useless probe costs traffic
+        between zones.
         """
         self._others = max(0, load.running + load.waiting - self.in_flight)
         self._load_received_at = now
@@ -154,29 +155,30 @@
             self.passed_over_until = max(self.passed_over_until, now + slow)
 
     def link_wait(self, now: float) -> float:
-        """Give for how many seconds one more large answer would wait for its link.
+        """Return how many seconds one more large answer would wait for its link.
 
-        What its own node told last gets less as the link carries on; 0 once it is old.
+        The reported wait decreases with its age, as the link keeps sending, and counts as 0
+        once the report is too old.
         """
         age = now - self._load_received_at
         return max(0.0, self._link_wait - age) if age < LOAD_MAX_AGE_SECONDS else 0.0
 
     def has_link_room(self, now: float, due: float) -> bool:
-        """Whether one more large answer would be through by ``due``, as far as is known."""
+        """Report whether one more large answer would arrive by ``due`` by what is known."""
         return now + self.link_wait(now) <= due
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether a slot was free by what its own node told last."""
+        """Whether a slot was free according to the last report of its local node."""
         return self.in_flight + self._others < self._reported_slots
 
     @property
     def others(self) -> int:
-        """Calls of other nodes, as the back end's own node told last."""
+        """Number of calls of other nodes, by the last report of its local node."""
         return self._others
 
     def load_age_milliseconds(self, now: float) -> int:
-        """Give how long ago its load was told; 0 before the first time."""
+        """Return the age of the last load report; 0 if there was none."""
         return (
             round((now - self._load_received_at) * 1_000)
             if self._load_received_at > 0.0
@@ -184,10 +186,11 @@
         )
 
     def cost(self, now: float) -> float:
-        """Give the expected cost of one more call; lower is better.
+        """Return the expected cost of one more call; lower is better.
 
-        Where the back end's own node counts its slots, that is the time until an answer
-        as a multiple of the usual for the call's route; else seconds of work in line.
+        If the back end's local node counts its slots, this is the expected time until an
+        answer as a multiple of the usual time of the call's route. Otherwise it is the
+        seconds of work in flight there, this call included.
         """
         fade = math.exp((self._last_seen - now) / FADE_SECONDS)
         failing = 1.0 + FAILURE_COST * (self._failure_rate * fade) ** 2
@@ -200,7 +203,7 @@
         return expected * failing / self.ramp(now)
 
     def _expected_multiple(self, calls: int, now: float, fade: float) -> float:
-        """Give the time until an answer, its wait included, in usual times."""
+        """Return the time until an answer, wait included, in multiples of the usual one."""
         pace = self.speed.expected(now, fade)
         slots = self._reported_slots or max(1, self.limit)
         crowded = UTILIZATION_COST * min(1.0, calls / slots) ** 2
@@ -215,11 +218,11 @@
 
     @property
     def latency_seconds(self) -> float:
-        """Smoothed time of a call."""
+        """Smoothed duration of a call, in seconds."""
         return self._latency
 
     def observe(self, latency: float, verdict: Verdict, now: float) -> None:
-        """Take what one finished attempt showed."""
+        """Record the result of one finished attempt."""
         if verdict == "late":
             if latency < LATE_FACTOR * self._latency:
                 return
@@ -241,7 +244,7 @@
         self._latency += (latency - self._latency) * (max(weight, 0.3) if peak else weight)
 
     def eject(self, now: float) -> float:
-        """Keep this back end out, longer each time; give for how many seconds."""
+        """Eject the back end and return for how many seconds, longer each time."""
         seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**self._ejections)
         self._ejections = min(self._ejections + 1, 10)
         self.consecutive_failures = 0
@@ -261,10 +264,10 @@
 
 
 def _queue_seconds(load: OwnerLoad) -> float:
-    """Give how long a full back end is likely to have no slot for one more call.
+    """Estimate for how long a full back end will have no slot for one more call.
 
-    Those that wait there come first; then a slot is freed so many times in the time
-    that one call takes.
+    The calls that wait there come first. One slot is freed, on average, in the duration of
+    a call divided by the number of slots.
     """
     if not load.slots:
         return 0.0
@@ -272,5 +275,5 @@
 
 
 def _weight(elapsed: float, decay: float) -> float:
-    """Give the weight of a new observation: at least 5 %, more after silence."""
+    """Return the weight of a new observation: at least 5 %, more after a long gap."""
     return max(0.05, 1.0 - math.exp(-elapsed / decay))
--- a/src/peppershore/request/fingerprint.py
+++ b/src/peppershore/request/fingerprint.py
@@ -1,8 +1,8 @@
-"""Which requests are the same one, sent again.
+"""Fingerprints by which a request is recognised when its caller sends it again.
 
-A caller that sends a request again gives it another id and another deadline, at any
-node.  Host, method, path with query, caller and body stay the same; the service does not
-count, since a route that splits its calls may draw another one.
+A retry has another id and another deadline, and may arrive at any node. Host, method, path
+with query, caller and body stay the same. The service is left out, since a route that
+splits its calls may choose another one.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 from peppershore.request.classification import host_of
 
 DIGEST_BYTES = 16
-"""Two requests share a digest by chance once in 2^64 pairs, and nobody can make them."""
+"""Two given requests share a digest by chance once in 2^64 pairs, and nobody can produce
+such a pair on purpose."""
 
 BODY_BYTES = 64 * 1024
-"""So much of a body counts.  A larger one is known before its end, and costs no more than
-0.1 ms of processor time."""
+"""Number of body bytes that are hashed. With this bound, the fingerprint of a larger body
+is known before its end, and costs at most 0.1 ms of processor time."""
 
 
 def identity_of(head: RequestHead, caller: str) -> bytes:
-    """Give the digest of all that is the same in a request sent again, but its body.
+    """Return the digest of everything that stays the same in a retry, except the body.
 
-    ``caller`` is the subject of its token, empty for the public.
+    ``caller`` is the subject of the caller's token, empty for the public.
     """
     host = host_of(head).encode()
     lengths = b"%d %d %d " % (len(host), len(head.method), len(head.target))
@@ -32,20 +33,20 @@
 
 
 class Fingerprint:
-    """One request's digest, worked out as its body comes."""
+    """The digest of one request, computed while its body arrives."""
 
     __slots__ = ("_body", "_taken", "identity", "is_known")
 
     def __init__(self, identity: bytes = b"") -> None:
-        """Begin before the body; ``identity`` is empty while it is not known."""
+        """Start before the body; ``identity`` is empty as long as it is not known."""
         self.identity = identity
         self.is_known = False
-        """Whether all of the body that counts is in."""
+        """Whether all body bytes that are hashed have arrived."""
         self._body: blake2b | None = None
         self._taken = 0
 
     def add(self, data: bytes) -> None:
-        """Take the next piece of the body."""
+        """Add the next piece of the body."""
         counted = data[: BODY_BYTES - self._taken]
         if not counted:
             return
@@ -56,12 +57,12 @@
         self.is_known = self.is_known or self._taken == BODY_BYTES
 
     def end(self) -> None:
-        """The body is whole."""
+        """Record that the body is complete."""
         self.is_known = True
 
     @property
     def key(self) -> bytes:
-        """What tells the request from all others; that of its head without a body."""
+        """The digest that identifies the request; that of its head if it has no body."""
         if self._body is None:
             return self.identity
         whole = blake2b(self.identity + self._body.digest(), digest_size=DIGEST_BYTES)
@@ -69,5 +70,5 @@
 
     @property
     def name(self) -> str:
-        """Its name in log lines and for operators; that of its head until it is known."""
+        """Hexadecimal name for logs and operators; that of the head until all is known."""
         return (self.key if self.is_known else self.identity).hex()
--- a/src/peppershore/request/next_attempt.py
+++ b/src/peppershore/request/next_attempt.py
@@ -1,8 +1,9 @@
-"""Whether a call is tried again after an attempt failed, where, and at whose cost.
+"""Whether and where a call is retried after a failed attempt, and at what cost.
 
-What a back end may have seen costs the retry budget and counts against the route's
-attempts; a refusal by a back end's own node costs nothing, since no back end saw the
-call.  What may run once goes on only after a refusal.
+An attempt that a back end may have seen costs retry budget and counts against the route's
+maximum number of attempts. A refusal by a back end's local node costs nothing, since the
+back end never saw the call. A call that is not safe to retry continues only after a
+refusal.
 """
 
 from __future__ import annotations
@@ -20,33 +21,35 @@
 )
 
 MAX_TRIES = 8
-"""Attempts of one call in all, those that no back end saw included."""
+"""Maximum number of attempts of one call, including those that no back end saw."""
 
 NEAR_PROBES = 2
-"""Back ends that a call asks for a free slot, the near ones first.  Where two that seemed
-free were full, what is known of the others near by is as old."""
+"""Number of back ends in the local zone that a call probes for a free slot first. If two
+that seemed free were full, the information about the other near ones is equally
+outdated."""
 
 MAX_SEEKS = NEAR_PROBES + 1
-"""Back ends that a call asks before it waits: the last one is of another zone, where slots
-may be free all the while.  With 41 back ends of which each node sees little, calls went
-round eight of them and were refused without a wait."""
+"""Number of back ends that a call probes before it waits. The last one is in another zone,
+where slots may be free. With 41 back ends, of which each node sees little traffic, calls
+without this bound visited eight of them and were refused without a wait."""
 
 MAX_WAITS = 3
-"""Attempts of one call that may wait for a slot.  Where each is refused for load, the
-next would be as well; the request would only cross the zones once more."""
+"""Maximum number of attempts of one call that may wait for a slot. If each is refused for
+load, the next one would be too, and the request would only cross zones once more."""
 
 
 MAX_CRASHES = 2
-"""Back ends that may end under one request before its node sends it to no other, those
-known from elsewhere among them: the third is left to a try that runs alone."""
+"""Number of back ends that may crash under one request, including crashes reported by
+others, before its node stops retrying it. The third attempt is left to a run in
+isolation."""
 
 
 class CallProgress(msgspec.Struct, frozen=True):
-    """How far a call is.
+    """Counts of what has been tried for a call so far.
 
-    ``offers`` counts the back ends that may have seen it, ``tries`` all attempts,
-    ``waits`` those that were allowed to wait for a slot; ``may_wait``: the last was.
-    ``ends`` counts the back ends whose process ended under it.
+    ``offers`` counts the back ends that may have seen it, ``tries`` all attempts, and
+    ``waits`` the attempts that were allowed to wait for a slot; ``may_wait`` says whether
+    the last one was. ``ends`` counts the back ends whose process ended while running it.
     """
 
     offers: int = 0
@@ -57,17 +60,18 @@
 
     @property
     def tries_another_zone(self) -> bool:
-        """Whether the next one to be asked should be of another zone."""
+        """Whether the next attempt should go to another zone."""
         return self.tries == NEAR_PROBES and not self.may_wait
 
 
 class AttemptTerms(msgspec.Struct, frozen=True):
-    """What decides besides the failure itself.
+    """Conditions, besides the failure itself, that decide about a retry.
 
-    ``most_offers``: back ends that may see the call; ``has_other``: a ready back end
-    has not been tried; ``replayable``: the request can be sent again whole.
-    ``known_ends``: back ends that ended under it in other tries, as far as is known.
-    ``may_wait_on``: one that waited in vain has time and leave to wait elsewhere.
+    - ``most_offers``: maximum number of back ends that may see the call.
+    - ``has_other``: a ready back end has not been tried.
+    - ``replayable``: the complete request can be sent again.
+    - ``known_ends``: back ends that ended under other runs of it, as far as is known.
+    - ``may_wait_on``: after a wait without success, it may wait at another back end.
     """
 
     repeatable: bool
@@ -81,8 +85,8 @@
 class TryAgain(msgspec.Struct, frozen=True):
     """Make another attempt.
 
-    ``elsewhere``: at a back end not tried so far.  ``costs_budget``: take it from the
-    retry budget first, and give up if that is spent.
+    ``elsewhere``: at a back end not tried so far. ``costs_budget``: take it from the retry
+    budget first, and give up if the budget is used up.
     """
 
     elsewhere: bool
@@ -91,7 +95,7 @@
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """Tell the caller of the failure."""
+    """Report the failure to the caller."""
 
 
 NextStep = TryAgain | GiveUp
@@ -99,7 +103,10 @@
 
 
 def counted(progress: CallProgress, failed: Failed) -> CallProgress:
-    """Count an attempt that a back end may have seen, and one that it ended under."""
+    """Return the progress after an attempt, with its offer and crash counted.
+
+    An attempt that no back end can have seen changes nothing.
+    """
     if isinstance(failed, NotRun) and not failed.offered:
         return progress
     has_ended = failed.reason == BACK_END_ENDED
@@ -109,7 +116,7 @@
 
 
 def next_step(progress: CallProgress, failed: Failed, terms: AttemptTerms) -> NextStep:
-    """Decide after a failed attempt, which ``progress`` counts already."""
+    """Decide what follows a failed attempt, which ``progress`` includes already."""
     if not terms.replayable or progress.tries >= MAX_TRIES:
         return GIVE_UP
     if isinstance(failed, NotRun) and not failed.offered:
@@ -128,7 +135,7 @@
 
 
 def _after_refusal(progress: CallProgress, failed: NotRun, terms: AttemptTerms) -> NextStep:
-    """No back end saw the call: look for a free slot, then wait where it is shortest."""
+    """Decide after a refusal by a local node: probe for a free slot, then wait for one."""
     if _may_wait_elsewhere(progress, failed, terms):
         return TryAgain(elsewhere=True, may_wait=True)
     if not failed.retryable or _waits_are_used_up(progress, failed):
@@ -145,12 +152,12 @@
 def _may_wait_elsewhere(
     progress: CallProgress, failed: NotRun, terms: AttemptTerms
 ) -> bool:
-    """Whether a call whose part of its patience is over waits at another back end."""
+    """Report whether a call whose wait here timed out may wait at another back end."""
     is_over = progress.may_wait and failed.reason == NO_SLOT_IN_TIME
     return is_over and terms.may_wait_on and terms.has_other
 
 
 def _waits_are_used_up(progress: CallProgress, failed: NotRun) -> bool:
-    """Whether enough back ends had no slot in time."""
+    """Report whether the maximum number of waits ended in a refusal for load."""
     is_load = progress.may_wait and failed.reason in LOAD_REASONS
     return is_load and progress.waits >= MAX_WAITS
--- a/src/peppershore/request/outcome.py
+++ b/src/peppershore/request/outcome.py
@@ -1,7 +1,7 @@
-"""How a call ends, as its caller sees it.
+"""Outcomes of a call as reported to its caller.
 
-*answered*: the caller has the back end's whole answer.  *not run*: proven, no
-back end began it.  *unknown*: it was sent and no whole answer came.
+*answered*: the caller has the back end's complete answer. *not run*: it is proven that no
+back end began the call. *unknown*: the call was sent and no complete answer arrived.
 """
 
 from __future__ import annotations
@@ -17,54 +17,56 @@
 RETRY_AFTER_HEADER = b"retry-after"
 
 UNREACHABLE_RETRY_AFTER_MILLISECONDS = 250
-"""Advice after a refusal because nobody could be reached."""
+"""Retry advice in a refusal because no back end could be reached."""
 
 DEADLINE_RETRY_AFTER_MILLISECONDS = 100
-"""Advice after a refusal because the caller's time was over before a start."""
+"""Retry advice in a refusal because the caller's deadline passed before the call
+started."""
 
 BUSY = "busy"
-"""Reason of a refusal because no slot is free at this moment."""
+"""Reason of a refusal because no slot is free at the moment."""
 
 SLOW_NOW = "slow-now"
-"""Reason of a refusal because the back end's machine is slow at this moment."""
+"""Reason of a refusal because the back end's machine is slow at the moment."""
 
 SEEK_ON = frozenset({BUSY, SLOW_NOW})
-"""Reasons of refusals to calls that may not wait: the next back end is asked."""
+"""Reasons for which a call that may not wait is refused; the next back end is then
+probed."""
 
 NO_SLOT_IN_TIME = "no-slot-in-time"
-"""Reason of a refusal because no slot comes free while the call may wait."""
+"""Reason of a refusal because no slot becomes free within the call's wait time-out."""
 
 BROKE_OFF = "back-end-broke-off"
-"""Reason of an outcome that is not known: the connection ended under the call."""
+"""Reason of an unknown outcome: the connection closed while the call was running."""
 
 BACK_END_ENDED = "back-end-ended"
-"""Reason of an outcome that is not known: the back end's process ended under the call."""
+"""Reason of an unknown outcome: the back end's process ended while it ran the call."""
 
 QUARANTINED = "quarantined"
-"""Reason of a refusal: back ends end under this request, and it is held for a while."""
+"""Reason of a refusal: the request is held for a while because it crashes back ends."""
 
 RUNS_ALONE = "suspect-waits"
-"""Reason of a refusal: another request that is suspected as well runs there."""
+"""Reason of a refusal: another suspect request is running at this back end."""
 
 LINK_FULL = "link-full"
-"""Reason of a refusal because the link carries no more large answers in time."""
+"""Reason of a refusal because the link can't carry one more large answer in time."""
 
 QUEUE_FULL = "queue-full"
 DISPLACED = "displaced"
 DEADLINE_TOO_SHORT = "deadline-too-short"
 
 LOAD_REASONS = SEEK_ON | {NO_SLOT_IN_TIME, QUEUE_FULL, DISPLACED, DEADLINE_TOO_SHORT}
-"""Reasons of refusals for want of slots: the caller may come back for one."""
+"""Reasons of refusals for lack of slots; the caller may retry later."""
 
 ROOM_REASONS = LOAD_REASONS | {LINK_FULL}
-"""Reasons of refusals for want of slots or of room on a link."""
+"""Reasons of refusals for lack of slots or of link capacity."""
 
 ANSWERED = b"answered"
 NOT_RUN = b"not-run"
 UNKNOWN = b"unknown"
 
 FIRST_SERVER_ERROR = 500
-"""An answer of a back end's with this status or above failed its caller."""
+"""An answer of a back end with this status or above counts as a failure."""
 
 STATUS_BAD_REQUEST = 400
 STATUS_UNAUTHORIZED = 401
@@ -81,9 +83,10 @@
 class NotRun(msgspec.Struct, frozen=True):
     """No back end began the call.
 
-    ``reason`` is a stable word; ``retry_after_milliseconds`` 0 means: no advice.
-    ``retryable`` says whether another back end may do better at once.  ``offered``:
-    a back end was given the call and said that it did not begin it.
+    ``reason`` is a stable identifier. ``retry_after_milliseconds`` is the retry advice, 0
+    if there is none. ``retryable`` says whether another back end might accept the call at
+    once. ``offered`` says that a back end received the call and reported that it had not
+    begun it.
     """
 
     status: int
@@ -94,7 +97,7 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """The call was sent and may have run; ``reason`` is a stable word."""
+    """The call was sent and may have run; ``reason`` is a stable identifier."""
 
     status: int
     reason: str
@@ -104,19 +107,19 @@
 
 
 def unreachable(reason: str) -> NotRun:
-    """Give the refusal of a call that reached nobody; others may be reached."""
+    """Return the refusal of a call that reached no back end; another may be reachable."""
     advice = UNREACHABLE_RETRY_AFTER_MILLISECONDS
     return NotRun(STATUS_UNAVAILABLE, reason, advice, retryable=True)
 
 
 def out_of_time() -> NotRun:
-    """Give the refusal of a call whose time was over before it was begun."""
+    """Return the refusal of a call whose deadline passed before it began."""
     advice = DEADLINE_RETRY_AFTER_MILLISECONDS
     return NotRun(STATUS_UNAVAILABLE, "deadline-passed", advice)
 
 
 def worse(earlier: Failed | None, later: Failed) -> Failed:
-    """Give what the caller must be told of several attempts: unknown outlives not run."""
+    """Return the outcome to report after two attempts: unknown overrides not run."""
     if isinstance(earlier, Unknown) and isinstance(later, NotRun):
         return earlier
     return later
--- a/src/peppershore/request/picker.py
+++ b/src/peppershore/request/picker.py
@@ -1,9 +1,11 @@
-"""Which back end takes a call: power of two choices, the nearest zone first.
+"""Choice of the back end for a call: power of two choices, local zone first.
 
-Another zone's goes before it where that is worth the way.
+A back end of another zone is preferred if its cost is lower by more than the crossing
+costs.
 
-``benchmarks/pickers.py`` compares this choice with others on skewed, cold,
-failing and lying back ends; the figures are in ``docs/design/calls.md``.
+``benchmarks/pickers.py`` compares this choice with others on back ends that are skewed, not
+yet warmed up, failing, or reporting false loads; the figures are in
+``docs/design/calls.md``.
 """
 
 from __future__ import annotations
@@ -18,21 +20,21 @@
 
 
 class RandomSource(Protocol):
-    """The seeded generator that a core is given."""
+    """The seeded random generator that the caller provides."""
 
     def below(self, limit: float) -> float:
-        """Give a number in [0, limit)."""
+        """Return a random number in [0, limit)."""
 
 
 class Preference(msgspec.Struct, frozen=True):
-    """What one call asks of its back end.
-
-    Back ends in ``zone`` go first; others take what does not fit there if
-    ``spill_over``.  ``excluded`` names the nodes that failed this call before;
-    they are taken only when nobody else is there.  A back end of another zone is taken
-    before one in ``zone`` if it costs less by more than ``crossing_cost``, and before all
-    of them if the call ``prefers_far``.  The one beside this node, ``home``, goes first
-    while it has a slot free.
+    """Routing preferences of one call.
+
+    Back ends in ``zone`` are preferred; those of other zones take what does not fit there
+    if ``spill_over`` is set. ``excluded`` names the nodes that failed this call before;
+    they are used only if there is no other. A back end of another zone is preferred to one
+    in ``zone`` if its cost is lower by more than ``crossing_cost``, and to all of them if
+    ``prefers_far`` is set. The back end of this node, ``home``, is preferred while it has a
+    free slot.
     """
 
     zone: str
@@ -44,13 +46,13 @@
 
 
 ByZone = NewType("ByZone", tuple[list[EndpointState], list[EndpointState]])
-"""Back ends of the own zone and of the others."""
+"""Back ends of the local zone and of other zones."""
 
 NEAR, FAR = 0, 1
-"""Their places in ``ByZone``."""
+"""Their indices in ``ByZone``."""
 
 Choice = Callable[[Sequence[EndpointState], RandomSource, float], EndpointState]
-"""Chooses among candidates, at least one, by what was seen until now (seconds)."""
+"""Chooses among one or more candidates, by what was observed until now (seconds)."""
 
 
 def pick(
@@ -60,7 +62,7 @@
     now: float,
     choose: Choice,
 ) -> EndpointState | None:
-    """Give the back end for one call, or None if none has room now."""
+    """Return the back end for one call, or None if none has room now."""
     willing, shedding, failed = _with_room(states, preference, now)
     home = _local_with_free_slot(willing[NEAR], preference)
     if home is not None:
@@ -78,9 +80,9 @@
 def _local_with_free_slot(
     near: list[EndpointState], preference: Preference
 ) -> EndpointState | None:
-    """Give the back end beside this node, if a call there would run at once.
+    """Return the local back end if it has a free slot, else None.
 
-    What is known of it is never old, and the call takes no link and one node's work.
+    What is known of it is always current, and a call there uses no link and only one node.
     """
     if not preference.home or preference.prefers_far:
         return None
@@ -93,9 +95,10 @@
 def _with_room(
     states: Iterable[EndpointState], preference: Preference, now: float
 ) -> tuple[ByZone, ByZone, ByZone]:
-    """Give the willing ones, those that shed, and those that failed this call before.
+    """Return the back ends with room: willing, shedding, and failed for this call before.
 
-    One pass that looks at fields: it runs once a call over all back ends of a service.
+    This is a single pass that reads fields directly, because it runs once a call over all
+    back ends of a service.
     """
     zone, excluded = preference.zone, preference.excluded
     willing, shedding, failed = ByZone(([], [])), ByZone(([], [])), ByZone(([], []))
@@ -125,7 +128,7 @@
     now: float,
     choose: Choice,
 ) -> EndpointState | None:
-    """Choose in the own zone, unless another zone's costs less by more than the way."""
+    """Choose in the local zone, unless another is cheaper by more than the crossing."""
     near, far = candidates
     if preference.prefers_far and preference.spill_over and far:
         return choose(far, random, now)
@@ -144,7 +147,7 @@
 def better_of_two(
     candidates: Sequence[EndpointState], random: RandomSource, now: float
 ) -> EndpointState:
-    """Give the cheaper of two candidates drawn at random."""
+    """Return the cheaper of two randomly chosen candidates."""
     one, other = _two_of(candidates, random)
     if one is other:
         return one
@@ -154,7 +157,10 @@
 def wider_link_of_two(
     candidates: Sequence[EndpointState], random: RandomSource, now: float
 ) -> EndpointState:
-    """Give that of two drawn at random whose link is free sooner; else the cheaper one."""
+    """Return the one of two random candidates whose link is free sooner.
+
+    If both links are free at the same time, it is the cheaper one.
+    """
     one, other = _two_of(candidates, random)
     first = (one.link_wait(now), one.cost(now))
     return one if first <= (other.link_wait(now), other.cost(now)) else other
@@ -163,7 +169,7 @@
 def _two_of(
     candidates: Sequence[EndpointState], random: RandomSource
 ) -> tuple[EndpointState, EndpointState]:
-    """Draw two candidates; twice the same where there is only one."""
+    """Choose two candidates at random; the same one twice if there is only one."""
     count = len(candidates)
     if count == 1:
         return candidates[0], candidates[0]
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -1,9 +1,10 @@
-"""Requests that end the back ends that run them: who is suspected, and who is held.
+"""Requests that crash the back ends that run them: suspicion and quarantine.
 
-Whatever runs where a back end ends is a suspect, so one end proves nothing.  A request
-under which two ended runs only where no other such request runs: a third end then has one
-suspect with a past, and that one is held.  Ends are counted by the lives of back ends, so
-that it does not matter how often and by whom one is told.  One good end clears a request.
+Every request that runs in a back end when it crashes is a suspect, so one crash proves
+nothing. A request with two crashes may run only where no other such request runs. After a
+third crash there is then only one suspect with earlier crashes, and it is held. Crashes are
+counted by the incarnation of the back end, so that repeated reports from different
+processes count once. One successful run clears a request.
 """
 
 from __future__ import annotations
@@ -18,30 +19,33 @@
 from peppershore.connection.messages.crashes import CrashRecord
 
 SUSPECT_LIVES = 2
-"""Ends after which a request runs alone among its kind.  After one, all that ran there
-would wait for each other: 18 at a time, whenever a back end ends for another reason."""
+"""Number of crashes after which a request runs in isolation from other suspects. With one,
+all requests that ran in a crashed back end would wait for each other: 18 at a time,
+whenever a back end crashes for another reason."""
 
 HELD_LIVES = 3
-"""Ends after which a request is held.  Of 70 calls that broke off in one recorded wave 12
-had two ends behind them, 10 of these at the same two back ends within 0.1 s: nearly all of
-them only ran beside the cause."""
+"""Number of crashes after which a request is held. Of 70 calls that broke off in one
+recorded series of crashes, 12 had two crashes, 10 of these at the same two back ends within
+0.1 s: nearly all of them only ran next to the cause."""
 
 HOLD_SECONDS = 600.0
-"""A new release of the back end may have mended it: after so long one more run may show
-it.  An end then holds the request twice as long as before."""
+"""How long a request is held first. A new release of the back end may have fixed the fault,
+so one more run is allowed afterwards; if it crashes again, the hold doubles."""
 
 MAX_HOLD_SECONDS = 86_400.0
 
 RETENTION_SECONDS = 600.0
-"""A suspect, and a clearing, are remembered for so long: callers that come again do so
-within seconds or minutes."""
+"""How long a suspect, or the fact that a request was cleared, is remembered. Callers that
+retry do so within seconds or minutes."""
 
 MAX_ENTRIES = 1_024
-"""About 100 bytes each.  An end adds as many as the back end has slots; those with the
-fewest ends are dropped first, so none that is held goes for one that is suspected."""
+"""Bound on the entries, of about 100 bytes each. A crash adds as many entries as the back
+end has slots. Those with the fewest crashes are evicted first, so that a held request is
+never evicted in favour of a suspect."""
 
 MAX_INCARNATIONS = 16
-"""Lives kept of one request: the hold is at its longest well before."""
+"""Maximum number of incarnations stored for one request; the hold reaches its maximum well
+before."""
 
 MILLISECONDS = 1_000
 
@@ -49,7 +53,7 @@
 
 
 class Suspect(msgspec.Struct, frozen=True):
-    """A request that ran when a back end ended: its head's digest, and its own."""
+    """A request that ran when a back end crashed: the digest of its head, and its own."""
 
     identity: bytes
     key: bytes
@@ -65,7 +69,7 @@
 
     @property
     def is_notable(self) -> bool:
-        """Whether nodes must know: it runs alone or not at all, or does so no more."""
+        """Whether all nodes must know of it: it is restricted, or was cleared."""
         return len(self.lives) >= SUSPECT_LIVES or self.generation > 0
 
     def is_held(self, now: float) -> bool:
@@ -77,49 +81,49 @@
 
 
 class Quarantine:
-    """All that one process knows of such requests, by their keys."""
+    """The suspect and held requests known to one process, by their keys."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without entries."""
         self._entries: dict[bytes, _Entry] = {}
         self._suspects: dict[bytes, set[bytes]] = {}
-        """Keys with two ends or more, by the digest of the head."""
+        """Keys with two crashes or more, by the digest of the head."""
         self._digest: int | None = None
-        """Of what is known now; it takes 1 ms for 500 requests, so it is kept."""
+        """Cached digest of all entries; computing it takes 1 ms for 500 requests."""
 
     def __len__(self) -> int:
-        """Count the requests known."""
+        """Return the number of known requests."""
         return len(self._entries)
 
-    # --- what becomes of a request
+    # --- queries
 
     def concerns(self, identity: bytes) -> bool:
-        """Whether a request with this head may be a suspect, by its body."""
+        """Report whether a request with this head may be a suspect, by its body."""
         return identity in self._suspects
 
     def standing(self, key: bytes, now: float) -> Standing:
-        """Tell whether a request may run: freely, alone among suspects, or not at all."""
+        """Return whether a request may run freely, isolated or not at all."""
         entry = self._entries.get(key)
         if entry is None or len(entry.lives) < SUSPECT_LIVES:
             return "clear"
         return "held" if entry.is_held(now) else "suspect"
 
     def ends(self, key: bytes) -> int:
-        """Count the back ends that are known to have ended under a request."""
+        """Return the number of back ends known to have crashed while running a request."""
         entry = self._entries.get(key)
         return 0 if entry is None else len(entry.lives)
 
     def hold_left_seconds(self, key: bytes, now: float) -> float:
-        """Give the seconds until a held request may run again."""
+        """Return the seconds until a held request may run again; 0 if it is not held."""
         entry = self._entries.get(key)
         if entry is None or not entry.is_held(now):
             return 0.0
         return entry.changed_at + hold_seconds(len(entry.lives)) - now
 
-    # --- what is learned
+    # --- updates
 
     def ended(self, suspect: Suspect, life: str, now: float) -> CrashRecord:
-        """A life of a back end ended under a request."""
+        """Record that an incarnation of a back end crashed while running a request."""
         entry = self._entries.get(suspect.key)
         lives = frozenset({life}) if entry is None else entry.lives | {life}
         generation = 0 if entry is None else entry.generation
@@ -128,7 +132,10 @@
         return _record(suspect.key, changed, now)
 
     def cleared(self, key: bytes, now: float) -> CrashRecord | None:
-        """A request ended well, or an operator lets it go; None if nothing is known."""
+        """Clear a request after a success or at an operator's order.
+
+        Return its new record, or None if no crash of it is known.
+        """
         entry = self._entries.get(key)
         if entry is None or not entry.lives:
             return None
@@ -137,7 +144,7 @@
         return _record(key, changed, now)
 
     def merge(self, record: CrashRecord, now: float) -> bool:
-        """Take what another process knows; tell whether it was news."""
+        """Merge the record of another process; return whether it changed anything."""
         changed_at = now - record.age_milliseconds / MILLISECONDS
         told = _Entry(
             record.identity,
@@ -159,18 +166,18 @@
         return lives != known.lives
 
     def forget_old(self, now: float) -> None:
-        """Drop what nobody came again with."""
+        """Drop the entries of requests that were not sent again for long."""
         for key in [key for key, each in self._entries.items() if each.is_old(now)]:
             self._drop(key)
 
-    # --- for other processes
+    # --- exchange with other processes
 
     def records(self, now: float) -> tuple[CrashRecord, ...]:
-        """Give all that is known."""
+        """Return the records of all known requests."""
         return tuple(_record(key, each, now) for key, each in self._entries.items())
 
     def notable(self, now: float) -> tuple[CrashRecord, ...]:
-        """Give what every node must know."""
+        """Return the records that every node must know."""
         return tuple(
             _record(key, each, now)
             for key, each in self._entries.items()
@@ -178,19 +185,19 @@
         )
 
     def notable_among(self, records: Iterable[CrashRecord]) -> tuple[CrashRecord, ...]:
-        """Give those of these requests that every node must know."""
+        """Return those of the given records that every node must know."""
         known = self._entries
         return tuple(
             each for each in records if each.key in known and known[each.key].is_notable
         )
 
     def record(self, key: bytes, now: float) -> CrashRecord | None:
-        """Give what is known of one request."""
+        """Return the record of one request, or None if nothing is known."""
         entry = self._entries.get(key)
         return None if entry is None else _record(key, entry, now)
 
     def digest(self) -> int:
-        """Digest of all that is known: equal where two processes agree."""
+        """Return a digest of all entries, which is equal in processes that agree."""
         if self._digest is None:
             self._digest = self._compute_digest()
         return self._digest
@@ -202,7 +209,7 @@
         )
         return xxhash.xxh3_64_intdigest(repr(known).encode())
 
-    # --- inside
+    # --- internal
 
     def _put(self, key: bytes, entry: _Entry) -> None:
         self._drop(key)
@@ -228,14 +235,14 @@
 
 
 def hold_seconds(ends: int) -> float:
-    """Give for how long a request with so many ends is held after the last one."""
+    """Return for how long a request with this many crashes is held after the last one."""
     if ends < HELD_LIVES:
         return 0.0
     return min(MAX_HOLD_SECONDS, HOLD_SECONDS * 2.0 ** (ends - HELD_LIVES))
 
 
 def _bounded(lives: frozenset[str]) -> frozenset[str]:
-    """Keep the same lives everywhere, whatever the order they were told in."""
+    """Truncate the set so that every process retains the same ones, in whatever order."""
     return (
         lives
         if len(lives) <= MAX_INCARNATIONS
--- a/src/peppershore/request/recent_keys.py
+++ b/src/peppershore/request/recent_keys.py
@@ -1,22 +1,22 @@
-"""The requests that ended well lately, in bounded memory."""
+"""The requests that succeeded recently, in bounded memory."""
 
 from __future__ import annotations
 
 MAX_KEYS_PER_SET = 1_024
-"""Keys in each of two sets: at 122 calls a second, what a node has at the planned size, the
-last 8 to 17 s, in about 0.2 MB."""
+"""Number of keys in each of two sets. At 122 calls a second, the rate of a node at the
+planned size, they cover the last 8 to 17 s in about 0.2 MB."""
 
 
 class RecentKeys:
-    """Remembers the last keys; the older half goes as a whole."""
+    """Remembers the most recent keys; the older half is evicted all at once."""
 
     def __init__(self) -> None:
-        """Remember none."""
+        """Start without keys."""
         self._newer: set[bytes] = set()
         self._older: set[bytes] = set()
 
     def __contains__(self, key: object) -> bool:
-        """Whether a key is remembered."""
+        """Return whether a key is remembered."""
         return key in self._newer or key in self._older
 
     def add(self, key: bytes) -> None:
--- a/src/peppershore/request/retry_budget.py
+++ b/src/peppershore/request/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of calls, with full jitter, only where time remains."""
+"""Retry budget as a share of calls, and retry delays with full jitter."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 FIRST_DELAY_SECONDS = 0.005
 MAX_DELAY_SECONDS = 0.25
 RESERVE_TOKENS = 3.0
-"""Retries a quiet service may make before its calls have earned any."""
+"""Retries that a service may make before its calls have earned any."""
 
 MAX_TOKENS = 50.0
-"""Most retries saved up, so that a long good time does not feed a storm."""
+"""Maximum number of retries saved up, so that a long time without failures does not enable
+a retry storm."""
 
 
 class RetryBudget:
-    """Retries of one service: each call earns a share, each retry costs one."""
+    """Retry budget of one service: each call earns a share, each retry costs one token."""
 
     def __init__(self) -> None:
         """Start with the reserve."""
@@ -22,15 +23,15 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that could be made now."""
+        """Number of retries available now."""
         return self._tokens
 
     def earn(self, percent: int) -> None:
-        """A first attempt was made."""
+        """Credit the share of a retry, in percent, that a first attempt earns."""
         self._tokens = min(MAX_TOKENS, self._tokens + percent / 100)
 
     def spend(self) -> bool:
-        """Take one retry; false if the budget is used up."""
+        """Spend one retry and return True, or return False if the budget is used up."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -38,6 +39,6 @@
 
 
 def retry_delay(attempts_made: int, random: RandomSource) -> float:
-    """Give the seconds to wait before the next attempt: full jitter."""
+    """Return the seconds to wait before the next attempt: exponential, with full jitter."""
     ceiling = min(MAX_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2 ** (attempts_made - 1))
     return random.below(ceiling)
--- a/src/peppershore/request/running_calls.py
+++ b/src/peppershore/request/running_calls.py
@@ -1,8 +1,8 @@
-"""Which requests the own back end runs now, by their ids, and on whose behalf.
+"""Requests that the local back end runs now, by their ids, and their tenants.
 
-Callers and the back end of one machine may share an address, so an address does not
-tell whose call it is.  A back end that calls on for a request it runs gives the call
-an id of its own that begins with the request's: ``parent.child``.
+The back end and other callers on its machine may share an address, so an address does not
+identify the caller. A back end that makes a call for a request that it runs gives the call
+an id that begins with the request's: ``parent.child``.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 
 
 class RunningCalls:
-    """Ids of the requests that the own back end was given and has not ended."""
+    """Ids of the requests that the local back end has received and not yet finished."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without requests."""
         self._running: dict[bytes, _Run] = {}
 
     def began(self, request_id: bytes, tenant: str = "") -> None:
-        """The back end was given a request; the same id may run more than once.
+        """Record that the back end received a request; the same id may run more than once.
 
-        Calls for an id that runs for two tenants count as the first one's.
+        If an id runs for two tenants, calls made for it count as the first tenant's.
         """
         run = self._running.setdefault(request_id, _Run(0, tenant))
         run.count += 1
 
     def ended(self, request_id: bytes) -> None:
-        """A request that had begun is over."""
+        """Record that a request has finished."""
         run = self._running.get(request_id)
         assert run is not None, "a request ended that had not begun"
         run.count -= 1
@@ -41,16 +41,16 @@
             del self._running[request_id]
 
     def includes_parent_of(self, request_id: bytes) -> bool:
-        """Tell whether a call is made for a request that runs."""
+        """Report whether a call is made for a request that is running."""
         return self.tenant_of_parent(request_id) is not None
 
     def tenant_of_parent(self, request_id: bytes) -> str | None:
-        """Give the tenant of the running request that a call is made for, if it runs."""
+        """Return the tenant of the running request that a call is made for, else None."""
         parent, separator, _ = request_id.rpartition(CHILD_SEPARATOR)
         run = self._running.get(parent) if separator else None
         return None if run is None else run.tenant
 
 
 def may_be_child(request_id: bytes) -> bool:
-    """Whether an id has the form of a call that is made for another one."""
+    """Report whether an id has the form of a call that is made for another one."""
     return CHILD_SEPARATOR in request_id
--- a/src/peppershore/request/shared_patience.py
+++ b/src/peppershore/request/shared_patience.py
@@ -1,7 +1,7 @@
-"""Until when a call waits at one back end, where it may wait at several one by one.
+"""Division of a call's wait time-out among the back ends at which it may wait in turn.
 
-What a node knows of queues is about a second old, so each wait is a draw: one that is
-long somewhere may be short elsewhere.
+What a node knows of queues is about a second old, so the length of each wait is uncertain:
+if it is long at one back end, it may be short at another.
 """
 
 from __future__ import annotations
@@ -9,13 +9,14 @@
 import math
 
 LEAST_WAIT_SECONDS = 0.005
-"""A wait that is shorter brings no slot: only the way there and back."""
+"""A shorter wait yields no slot and only costs the network round trip."""
 
 
 def wait_until(now: float, start_by: float, waits: int, most_waits: int) -> float:
-    """Give until when the ``waits``-th wait of a call lasts (monotonic seconds).
+    """Return the monotonic time at which the ``waits``-th wait of a call times out.
 
-    Waits that are left share the time until ``start_by`` alike; the last one has it all.
+    The remaining waits share the time until ``start_by`` equally; the last one gets all
+    that is left.
     """
     left = most_waits - waits + 1
     if start_by == math.inf or left <= 1 or now >= start_by:
@@ -24,6 +25,9 @@
 
 
 def may_wait_on(now: float, start_by: float, waits: int, most_waits: int) -> bool:
-    """Whether a call whose wait was in vain has time and leave for another one."""
+    """Report whether a call whose wait timed out may wait at another back end.
+
+    It must have time left until ``start_by``, and fewer waits than ``most_waits``.
+    """
     has_time = start_by == math.inf or now + LEAST_WAIT_SECONDS <= start_by
     return has_time and waits < most_waits
--- a/src/peppershore/request/shared_retries.py
+++ b/src/peppershore/request/shared_retries.py
@@ -1,8 +1,8 @@
-"""A retry budget that all nodes of a service share, kept by each node alone.
+"""A retry budget shared by all nodes of a service, without coordination.
 
-The bound is on the repeats of all nodes together within a window: a share of the
-calls in it, and a slack.  A node knows its own calls and how many nodes there are; it
-keeps within its own calls' share and its part of the slack.
+The bound covers the retries of all nodes together within a time window: a share of the
+calls in it, plus a slack. A node knows its own calls and the number of nodes. It stays
+within the share of its own calls plus its part of the slack.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import msgspec
 
 USED_SHARE = 0.7
-"""Part of the bound that is used: nodes know of each other late."""
+"""Share of the bound that is used, since nodes learn of each other with a delay."""
 
 
 class RetryBound(msgspec.Struct, frozen=True):
-    """Repeats of a service in any ``window_seconds``, over all nodes together.
+    """Bound on the retries of a service in any ``window_seconds``, over all nodes together.
 
-    At most ``ratio`` times the calls, plus ``slack``.
+    It is ``ratio`` times the number of calls, plus ``slack``.
     """
 
     ratio: float
@@ -30,18 +30,18 @@
     """One node's part of the bound, for one service."""
 
     def __init__(self, bound: RetryBound) -> None:
-        """Begin without calls and without repeats."""
+        """Start without calls and retries."""
         self._bound = bound
         self._calls: deque[float] = deque()
         self._retries: deque[float] = deque()
 
     def called(self, now: float) -> None:
-        """A call was made for the first time."""
+        """Record a call's first attempt."""
         self._calls.append(now)
         self._forget(now)
 
     def spend(self, nodes: int, now: float) -> bool:
-        """Take one repeat; false if this node's part is used up."""
+        """Spend one retry and return True, or False if this node's part is used up."""
         self._forget(now)
         if len(self._retries) + 1 > self.allowed(nodes):
             return False
@@ -49,7 +49,7 @@
         return True
 
     def allowed(self, nodes: int) -> float:
-        """Give the repeats this node may make within a window."""
+        """Return the number of retries that this node may make within a window."""
         slack = self._bound.slack / max(1, nodes)
         return USED_SHARE * (self._bound.ratio * len(self._calls) + slack)
 
--- a/src/peppershore/request/slot_loans.py
+++ b/src/peppershore/request/slot_loans.py
@@ -1,9 +1,9 @@
-"""Slots of one back end, shared between its own node and nodes that call it directly.
+"""Slots of one back end, shared by its local node with nodes that call it directly.
 
-The back end's node (the lender) keeps the sum of what it lent and what it uses
-itself within the slots.  A loan is taken back only when the borrower confirms,
-or when its lease and the longest call begun under it are over.  Time is passed
-in, monotonic seconds of the side that reads it.
+The local node (the lender) keeps the sum of the slots it has lent and those it uses itself
+within the total. A loan ends only when the borrower confirms, or when its lease and the
+longest call begun under it are over. Time is passed in, in monotonic seconds of the process
+that reads it.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 MILLISECONDS = 1_000
 
 RECALL_NUMBER = 0
-"""Number of a grant that answers no ask: nothing more may begin under it."""
+"""Number of a grant that answers no request: no call may begin under it any more."""
 
 RESERVED_SHARE = 0.25
-"""Share of the slots never lent: for calls that must pass the authority."""
+"""Share of the slots that is never lent: it is for calls that must pass through the
+authority, the back end's local node."""
 
 
 class _Loan(msgspec.Struct):
-    """``number`` names the latest grant; ``slots`` is what may be in use."""
+    """A loan under its latest grant, ``number``; ``slots`` is how many may be in use."""
 
     slots: int
     number: int
@@ -37,14 +38,14 @@
 
 
 class Lender:
-    """What the back end's own node has lent to whom.
+    """Slots that a back end's local node has lent, by borrower.
 
-    ``longest_call_seconds`` bounds a call begun under a loan: what was lent
-    counts as in use until so long after the lease's end.
+    ``longest_call_seconds`` bounds the duration of a call begun under a loan: lent slots
+    count as in use until that long after the lease's end.
     """
 
     def __init__(self, slots: int, longest_call_seconds: float) -> None:
-        """Nothing is lent."""
+        """Start without loans."""
         self.longest_call_seconds = longest_call_seconds
         self._slots = slots
         self._loans: dict[int, _Loan] = {}
@@ -53,20 +54,20 @@
 
     @property
     def lendable(self) -> int:
-        """Most slots that may be lent at a time."""
+        """Maximum number of slots that may be lent at a time."""
         return self._slots - max(1, math.ceil(self._slots * RESERVED_SHARE))
 
     def lent(self, now: float) -> int:
-        """Slots that others may be using now."""
+        """Return the number of slots that borrowers may be using now."""
         self._lost = [loan for loan in self._lost if self._counts(loan, now)]
         held = sum(loan.slots for loan in self._loans.values() if self._counts(loan, now))
         return held + sum(loan.slots for loan in self._lost)
 
     def asked(self, borrower: int, number: int, wanted: int, free: int, now: float) -> int:
-        """Give how many slots ``borrower`` may hold now, as grant ``number``.
+        """Return how many slots ``borrower`` may hold now, under grant ``number``.
 
-        ``free`` is how many neither the authority nor a loan uses; a loan only
-        grows into those.
+        ``free`` is the number of slots used neither by the lender nor by a loan; a loan
+        grows only into those.
         """
         self._wanted[borrower] = wanted
         loan = self._loans.setdefault(borrower, _Loan(0, 0, now))
@@ -78,18 +79,21 @@
         return granted
 
     def recall(self) -> None:
-        """The back end leaves: every loan is to shrink to nothing."""
+        """Recall all loans because the back end is leaving."""
         for loan in self._loans.values():
             loan.number = RECALL_NUMBER
 
     def returned(self, borrower: int, number: int, kept: int) -> None:
-        """The borrower confirmed that under grant ``number`` it keeps ``kept``."""
+        """Record the borrower's confirmation that it keeps ``kept`` slots under a grant.
+
+        A confirmation of an older grant than the latest one is ignored.
+        """
         loan = self._loans.get(borrower)
         if loan is not None and loan.number == number:
             loan.slots = min(loan.slots, kept)
 
     def borrower_lost(self, borrower: int) -> None:
-        """The link is gone: calls may still run under the loan for a while."""
+        """Record that the link to a borrower closed; its calls may run on for a while."""
         self._wanted.pop(borrower, None)
         loan = self._loans.pop(borrower, None)
         if loan is not None and loan.slots > 0:
@@ -99,16 +103,16 @@
         return now < loan.lease_ends + self.longest_call_seconds
 
     def _fair_share(self) -> int:
-        """Give what each may hold when all that ask share alike, at least one."""
+        """Return the equal share of each borrower that wants slots, at least one."""
         asking = sum(1 for wanted in self._wanted.values() if wanted > 0)
         return max(1, self.lendable // max(1, asking))
 
 
 class Borrower:
-    """What this node holds of one back end's slots."""
+    """Slots of one back end that this node has borrowed."""
 
     def __init__(self) -> None:
-        """Nothing is held."""
+        """Start without slots."""
         self.in_use = 0
         self._held = 0
         self._until = 0.0
@@ -120,16 +124,16 @@
 
     @property
     def number(self) -> int:
-        """The grant held."""
+        """Number of the grant held."""
         return self._number
 
     def allowance(self, now: float) -> int:
-        """Connections that this node may hold to the back end now: one a slot."""
+        """Return how many connections this node may hold to the back end: one per slot."""
         held = self._held if now < self._until else 0
         return max(held, self.in_use)
 
     def take(self, now: float) -> bool:
-        """Use one slot, if one is held and free."""
+        """Use one slot and return True, or return False if none is held and free."""
         self._peak = max(self._peak, self.in_use + 1)
         if now >= self._until or self.in_use >= self._held:
             return False
@@ -137,12 +141,16 @@
         return True
 
     def give_back(self) -> int | None:
-        """Free one slot; give what to confirm if the loan had shrunk below use."""
+        """Free one slot.
+
+        Return the number of slots kept, to be confirmed, if more were in use than the loan
+        allows by now, else None.
+        """
         self.in_use -= 1
         return self.in_use if self.in_use >= self._held else None
 
     def ask(self, now: float) -> SlotsAsked | None:
-        """Give what to ask for now, or None to ask for nothing."""
+        """Return the request to send now, or None if there is nothing to request."""
         due = now - self._last_asked_at >= RENEW_SECONDS
         if not due and self._peak <= self._asked:
             return None
@@ -157,7 +165,7 @@
         return SlotsAsked(number, self._asked)
 
     def lent(self, grant: SlotsLent) -> SlotsReturned:
-        """Take what was granted; give the confirmation of what is kept."""
+        """Apply a grant and return the confirmation of the slots that are kept."""
         asked_at = self._asked_at.get(grant.number, 0.0)
         self._asked_at = {
             number: at for number, at in self._asked_at.items() if number > grant.number
@@ -169,7 +177,7 @@
         return SlotsReturned(grant.number, max(grant.slots, self.in_use))
 
     def lost(self) -> None:
-        """The link is gone: start nothing more under the loan."""
+        """Record that the link closed: no call may begin under the loan any more."""
         self._held = 0
         self._until = 0.0
         self._asked = 0
--- a/src/peppershore/request/tenants/__init__.py
+++ b/src/peppershore/request/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions by whom a call is made for: keys, fair shares."""
+"""Decisions by the tenant of a call: keys and fair shares."""
--- a/src/peppershore/request/tenants/callers.py
+++ b/src/peppershore/request/tenants/callers.py
@@ -1,7 +1,7 @@
-"""On whose behalf a call is made, and what its key is worth as time goes by.
+"""The tenant on whose behalf a call is made, and how long its key is trusted.
 
-A caller shows its tenant's key.  A back end shows none for the calls that it makes: they
-are made on behalf of the tenant whose call it runs.
+A caller presents its tenant's key. A back end presents none for the calls that it makes:
+they are made on behalf of the tenant whose call it runs.
 """
 
 from __future__ import annotations
@@ -25,28 +25,29 @@
 from peppershore.version.tenants import key_digest
 
 OWNER_WAIT_SHARE = 0.5
-"""Part of the time in which a change comes into force for which a call with a key may
-wait at a back end's own node, which holds no key.  The other part is for the change to
-come to the node that sent it on."""
+"""Share of the time in which a change comes into force for which a call with a key may wait
+at a back end's local node, which holds no keys. The rest of the time is for the change to
+reach the node that sent the call there."""
 
 NO_KEY = NotRun(STATUS_UNAUTHORIZED, "no-key")
 UNKNOWN_KEY = NotRun(STATUS_UNAUTHORIZED, "unknown-key")
 KEY_CHANGED = NotRun(STATUS_UNAVAILABLE, "key-changed-hands", RETRY_AFTER_MILLISECONDS)
-"""Another tenant holds the key by now, or none needs one: it is judged anew."""
+"""Another tenant holds the key by now, or none is required: the call must be checked
+again."""
 
 KEYS_NOT_CONFIRMED = NotRun(
     STATUS_UNAVAILABLE, "keys-not-confirmed", RETRY_AFTER_MILLISECONDS
 )
 PARENT_NOT_KNOWN = NotRun(STATUS_UNAVAILABLE, "parent-not-known")
-"""A back end calls on for a call that this node knows nothing of (any more).  That is no
-final refusal, for no key is missing; and nobody waits for what comes of it."""
+"""A back end makes a call for a request that this node does not know, or no longer. The
+refusal is not final, since no key is missing; and nobody waits for the call's result."""
 
 
 class OnBehalf(msgspec.Struct, frozen=True):
-    """On whose behalf a call is made; ``tenant`` "" where there is none.
+    """The tenant on whose behalf a call is made; ``tenant`` is "" if there is none.
 
-    ``priority`` None leaves it to the route.  ``digest`` is that of the key which the
-    caller showed, empty for a call that a back end makes.
+    ``priority`` None means the route's priority. ``digest`` is that of the key which the
+    caller presented, empty for a call that a back end makes.
     """
 
     tenant: str = ""
@@ -62,10 +63,10 @@
 
 
 class Parentage(msgspec.Struct, frozen=True):
-    """Whether a call is one of the own back end's, made for a call that it runs.
+    """Whether a call is made by the local back end for a request that it runs.
 
-    ``tenant`` is that of the running call; None where the call belongs to none.
-    ``may_be_child``: by its address and the form of its id it might.
+    ``tenant`` is that of the running request, or None if there is no such request.
+    ``may_be_child`` says that the call's address and the form of its id allow it.
     """
 
     tenant: str | None = None
@@ -76,10 +77,10 @@
 
 
 class KeyTerms(msgspec.Struct, frozen=True):
-    """For how long keys are of use to a node that hears of no confirmation.
+    """How long keys are trusted by a node that receives no confirmations.
 
-    A change is in force within ``apply_seconds``.  With ``fails_closed`` a configuration
-    confirmed longer than ``revocation_seconds`` ago admits nobody by a key.
+    A change is in force within ``apply_seconds``. With ``fails_closed``, a configuration
+    confirmed longer than ``revocation_seconds`` ago admits no caller by a key.
     """
 
     apply_seconds: float
@@ -87,11 +88,11 @@
     fails_closed: bool
 
     def allow(self, age_seconds: float) -> bool:
-        """Whether a configuration confirmed so long ago admits callers by keys."""
+        """Report whether a configuration confirmed this long ago admits callers by keys."""
         return not self.fails_closed or age_seconds <= self.revocation_seconds
 
     def longest_wait(self, age_seconds: float) -> float:
-        """Give the seconds for which a call with a key may wait out of sight."""
+        """Return for how many seconds a call with a key may wait at another node."""
         wait = self.apply_seconds * OWNER_WAIT_SHARE
         if not self.fails_closed:
             return wait
@@ -99,17 +100,17 @@
 
 
 class TenantCallers:
-    """Judges keys by the tenants of the configuration in use."""
+    """Checks keys against the tenants of the configuration in use."""
 
     def __init__(self, terms: KeyTerms) -> None:
-        """Start without tenants: nobody is asked for a key."""
+        """Start without tenants: no key is required."""
         self.keys = TenantKeys()
         self._terms = terms
 
     def requires_key(self, route: RouteSettings) -> bool:
-        """Whether a route's calls come with a key.
+        """Report whether the calls of a route need a tenant's key.
 
-        One that asks for a signed token can't ask for a key too: one field holds both.
+        A route that requires a signed token can't require a key, since both use one field.
         """
         return self.keys.in_force and not route.keyless and PUBLIC in route.audience
 
@@ -120,9 +121,9 @@
         parentage: Parentage,
         age_seconds: float,
     ) -> Result[OnBehalf, NotRun]:
-        """Give on whose behalf a call is made, or why it is not taken.
+        """Return on whose behalf a call is made, or why it is refused.
 
-        ``age_seconds``: how long ago the configuration was confirmed.
+        ``age_seconds`` is how long ago the configuration was confirmed.
         """
         if parentage.tenant is not None:
             return Success(self._of_running_call(parentage.tenant))
@@ -140,7 +141,7 @@
         return Success(OnBehalf(holder.name, holder.priority, digest))
 
     def refusal(self, whose: OnBehalf, age_seconds: float) -> NotRun | None:
-        """Give why a call that waited may not go on; None: its key is as it was."""
+        """Return why a call that waited may not go on, or None if its key is valid."""
         if not whose.digest:
             return None
         holder = self.keys.holder(whose.digest)
@@ -151,11 +152,11 @@
         return None if self._terms.allow(age_seconds) else KEYS_NOT_CONFIRMED
 
     def longest_wait(self, whose: OnBehalf, age_seconds: float) -> float:
-        """Give the seconds for which a call may wait where its key is not known."""
+        """Return for how many seconds a call may wait at a node that holds no keys."""
         return self._terms.longest_wait(age_seconds) if whose.digest else math.inf
 
     def without_keys(self, route: RouteSettings, headers: HeaderList) -> HeaderList:
-        """Give the fields that a back end may see: no key, known or not."""
+        """Return the header fields that a back end may see: without keys, known or not."""
         if not self.keys.in_force or PUBLIC not in route.audience:
             return headers
         return [
@@ -165,6 +166,10 @@
         ]
 
     def _of_running_call(self, tenant: str) -> OnBehalf:
-        """A tenant that was taken away keeps its name on what its calls still need."""
+        """Return the tenant of a running call.
+
+        A tenant that was removed keeps its name, but has no priority, for the calls that
+        its running calls still need.
+        """
         held = self.keys.tenant(tenant)
         return OnBehalf(tenant, None if held is None else held.priority)
--- a/src/peppershore/request/tenants/fair_shares.py
+++ b/src/peppershore/request/tenants/fair_shares.py
@@ -1,11 +1,11 @@
-"""Calls of one rank in line: start-time fair queueing over the tenants who wait.
-
-Each tenant has its own line, by deadline.  The one whose virtual time is least goes
-first, and a call moves its tenant's time on by one over the tenant's weight.  Only what
-is served costs: a call that is withdrawn or refused does not.  A tenant that had nothing
-in line begins at the time of whoever was served last, so it neither saves up for later
-nor pays for what it had while there was room.  Calls without a tenant are one line, so
-that among themselves they go by deadline.
+"""Start-time fair queueing of the waiting calls of one rank, over their tenants.
+
+Each tenant has its own queue, ordered by deadline. The tenant with the smallest virtual
+time goes first, and a call advances its tenant's time by one divided by the tenant's
+weight. Only served calls cost: one that is withdrawn or refused does not. A tenant whose
+queue was empty starts at the virtual time of the tenant served last, so it neither saves up
+credit nor pays for what it got while there was room. Calls without a tenant form one queue,
+so that among themselves they are ordered by deadline.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from typing import Generic, Protocol, TypeVar
 
 MAX_STALE_ENTRIES = 16
-"""Withdrawn tickets that a line keeps, however few wait in it."""
+"""Number of withdrawn tickets that a queue may retain, however few wait in it."""
 
 
 class QueuedTicket(Protocol):
-    """What a line must know of a ticket."""
+    """The attributes of a ticket that a queue needs."""
 
     number: int
     deadline: float
@@ -31,32 +31,35 @@
 Waiter = TypeVar("Waiter", bound=QueuedTicket)
 
 WeightOf = Callable[[str], float]
-"""Gives a tenant's share against those of others, above 0."""
+"""Returns a tenant's share relative to the others, above 0."""
 
 
 def equal_weight(tenant: str) -> float:
-    """Give all tenants the same share."""
+    """Return the same share for all tenants."""
     return 1.0
 
 
 class TenantQueue(Generic[Waiter]):
-    """The waiting tickets of one tenant, by deadline; ``time`` is virtual."""
+    """The waiting tickets of one tenant, by deadline; ``time`` is its virtual time."""
 
     __slots__ = ("_heap", "time", "waiting")
 
     def __init__(self, time: float) -> None:
-        """Begin without tickets."""
+        """Start without tickets."""
         self.time = time
         self.waiting = 0
         self._heap: list[tuple[float, int, Waiter]] = []
 
     def push(self, ticket: Waiter) -> None:
-        """Add a ticket that waits."""
+        """Add a waiting ticket."""
         heapq.heappush(self._heap, (ticket.deadline, ticket.number, ticket))
         self.waiting += 1
 
     def left(self) -> None:
-        """A ticket waits no more; drop such once they are the larger part."""
+        """Record that a ticket no longer waits.
+
+        Purge the entries of such tickets once they are the majority.
+        """
         self.waiting -= 1
         gone = len(self._heap) - self.waiting
         if gone > MAX_STALE_ENTRIES and gone * 2 > len(self._heap):
@@ -64,22 +67,22 @@
             heapq.heapify(self._heap)
 
     def first(self) -> Waiter | None:
-        """Give the ticket with the earliest deadline."""
+        """Return the ticket with the earliest deadline, or None."""
         heap = self._heap
         while heap and not heap[0][2].waiting:
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
     def last(self) -> Waiter:
-        """Give the waiting ticket with the latest deadline."""
+        """Return the waiting ticket with the latest deadline."""
         return max(entry for entry in self._heap if entry[2].waiting)[2]
 
     def due_by(self, deadline: float) -> int:
-        """Give how many tickets are due then or before."""
+        """Return the number of waiting tickets with this deadline or an earlier one."""
         return sum(1 for due, _, ticket in self._heap if due <= deadline and ticket.waiting)
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Give the waiting tickets."""
+        """Iterate over the waiting tickets."""
         return (ticket for _, _, ticket in self._heap if ticket.waiting)
 
 
@@ -89,7 +92,7 @@
     __slots__ = ("_idle_tenant_times", "_tenants", "_time", "_weight_of", "waiting")
 
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
-        """Begin without tickets."""
+        """Start without tickets."""
         self.waiting = 0
         self._weight_of = weight_of
         self._time = 0.0
@@ -97,7 +100,7 @@
         self._idle_tenant_times: dict[str, float] = {}
 
     def push(self, ticket: Waiter) -> None:
-        """Add a ticket that waits."""
+        """Add a waiting ticket."""
         line = self._tenants.get(ticket.tenant)
         if line is None:
             line = TenantQueue[Waiter](self._start_time(ticket.tenant))
@@ -107,7 +110,7 @@
         self.waiting += 1
 
     def left(self, ticket: Waiter) -> None:
-        """A ticket waits no more."""
+        """Record that a ticket no longer waits."""
         line = self._tenants[ticket.tenant]
         line.left()
         self.waiting -= 1
@@ -118,13 +121,13 @@
             self._time = 0.0
 
     def served(self, ticket: Waiter) -> None:
-        """A ticket that waits is about to get its slot: its tenant pays."""
+        """Advance the tenant's virtual time for a ticket that is about to get its slot."""
         line = self._tenants[ticket.tenant]
         self._time = max(self._time, line.time)
         line.time += 1.0 / self._weight_of(ticket.tenant)
 
     def first(self) -> Waiter | None:
-        """Give the ticket that goes next."""
+        """Return the ticket to serve next, or None."""
         if len(self._tenants) == 1:
             return next(iter(self._tenants.values())).first()
         if not self._tenants:
@@ -136,11 +139,11 @@
         return min(waiting, key=lambda ticket: (ticket.deadline, ticket.number))
 
     def last(self) -> Waiter:
-        """Give the ticket that gives way: the latest of the tenant that holds most."""
+        """Return the ticket to evict: the latest one of the tenant that holds most."""
         return self._tenants[max(self._tenants, key=self._held)].last()
 
     def would_hold_less(self, tenant: str, other: str) -> bool:
-        """Whether a tenant would hold less than another one, with one ticket more."""
+        """Report whether a tenant with one more ticket would hold less than another one."""
         line = self._tenants.get(tenant)
         waiting = line.waiting if line is not None else 0
         return tenant != other and (waiting + 1) / self._weight_of(tenant) < self._held(
@@ -148,7 +151,7 @@
         )
 
     def ahead_of(self, tenant: str, deadline: float) -> int:
-        """Give how many tickets go before one that a tenant would add now."""
+        """Return how many tickets go before one that a tenant would add now."""
         own = self._tenants.get(tenant)
         ahead = 0 if own is None else own.due_by(deadline)
         if len(self._tenants) == (own is not None):
@@ -162,11 +165,11 @@
         return ahead
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Give the waiting tickets."""
+        """Iterate over the waiting tickets."""
         for line in self._tenants.values():
             yield from line
 
-    # --- inside
+    # --- internal
 
     def _held(self, tenant: str) -> float:
         return self._tenants[tenant].waiting / self._weight_of(tenant)
@@ -175,7 +178,7 @@
         return max(self._time, self._idle_tenant_times.get(tenant, 0.0))
 
     def _remember_idle(self, tenant: str, line: TenantQueue[Waiter]) -> None:
-        """Remember what a tenant with nothing in line still has to pay."""
+        """Remove a tenant's empty queue; retain its virtual time if that is ahead."""
         del self._tenants[tenant]
         if line.time > self._time:
             self._idle_tenant_times[tenant] = line.time
--- a/src/peppershore/request/tenants/keys.py
+++ b/src/peppershore/request/tenants/keys.py
@@ -1,4 +1,4 @@
-"""The tenants of a configuration by the digests of their keys."""
+"""Look-up of tenants by the digests of their keys."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 KEY_SCHEME = b"bearer"
 MAX_KEY_BYTES = 1024
-"""A longer one is no key: nobody's digest is worked out over what a caller makes up."""
+"""A longer value is not a key; no digest is computed over arbitrarily long input."""
 
 
 def shows_key(value: bytes) -> bool:
-    """Whether an authorization field's value may hold a key, of whatever form."""
+    """Report whether an authorization field's value may hold a key, in whatever form."""
     return value[: len(KEY_SCHEME)].lower() == KEY_SCHEME
 
 
 def shown_key(headers: HeaderList) -> bytes:
-    """Give the key that a caller shows; empty without one that is well formed.
+    """Return the key that a caller presents; empty if there is no well-formed one.
 
-    Two fields are no key: the node and a back end might each take another one.
+    If the field occurs twice, there is no key: the node and a back end might each use a
+    different one.
     """
     values = [value for name, value in headers if name == AUTHORIZATION_HEADER]
     if len(values) != 1:
@@ -33,10 +34,10 @@
 
 
 class TenantKeys:
-    """Finds a tenant by the digest of a key.
+    """Finds a tenant by the digest of its key.
 
-    A digest of a guess says nothing of the digests near it, so how long the look-up
-    takes tells a caller nothing of the keys that there are.
+    The digest of a guessed key says nothing about digests close to it, so the duration of
+    the look-up reveals nothing about the existing keys.
     """
 
     def __init__(self) -> None:
@@ -50,7 +51,7 @@
         return bool(self._tenants)
 
     def use(self, tenants: Mapping[str, TenantResource]) -> None:
-        """Take the tenants of another configuration, by what differs."""
+        """Apply the tenants of another configuration, by their differences."""
         former = self._tenants
         if tenants is former:
             return
@@ -65,9 +66,9 @@
                 self._holders[digest] = tenant
 
     def holder(self, digest: bytes) -> TenantResource | None:
-        """Give the tenant that holds the key of this digest."""
+        """Return the tenant that holds the key with this digest, or None."""
         return self._holders.get(digest)
 
     def tenant(self, name: str) -> TenantResource | None:
-        """Give a tenant by its name."""
+        """Return a tenant by its name, or None."""
         return self._tenants.get(name)
--- a/src/peppershore/request/tenants/weights.py
+++ b/src/peppershore/request/tenants/weights.py
@@ -1,8 +1,8 @@
-"""How much of what is short each tenant should have, against the others.
+"""Weights by which tenants share a scarce resource.
 
-Half goes by what the tenants are configured to have, half by what they ask for.  The
-first half keeps what others have when one sends many times more.  The second sees to it
-that nobody is served less than about half as often as all, however large it is.
+One half is shared by configured weights, the other half by demand. The first half preserves
+the shares of others when one tenant sends many times more calls. The second ensures that no
+tenant, however large, is served less than about half as often as the average.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from peppershore.version.model import TenantResource
 
 DEMAND_PART = 0.5
-"""Part of the room that is shared by what tenants ask for: so many times as often as
-all is the least that any of them is served, whatever it asks for."""
+"""Part of the room that is shared by demand. It is also the minimum ratio of a tenant's
+service rate to the average one, whatever the tenant's demand."""
 
 DEMAND_SECONDS = 1.0
-"""What a tenant asked for counts less with time, by this decay: a share that is not used
-any more goes to the others within a second."""
+"""Time constant by which past demand decays: a share that is no longer used passes to the
+others within a second."""
 
 FORGET_BELOW = 0.05
-"""Calls, after decay, below which a tenant counts as one that asks for nothing."""
+"""Number of calls, after decay, below which a tenant counts as having no demand."""
 
 SCALE_SECONDS = 4.0
-"""Sums are scaled back after so long, which bounds them, and the idle are forgotten."""
+"""The sums are rescaled after this long, which bounds them and drops idle tenants."""
 
 MIN_WEIGHT = 0.01
-"""Of the mean: the smallest of tenants still has a turn."""
+"""Minimum weight relative to the mean, so that the smallest tenant still gets a turn."""
 
 
 class ConfiguredWeights:
-    """The tenants' weights by configuration: their limits as multiples of the mean.
+    """The tenants' configured weights: their limits as multiples of the mean limit.
 
-    A tenant without a limit counts as one of the mean.
+    A tenant without a limit gets the mean.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._mean = 0.0
 
     def use(self, tenants: Mapping[str, TenantResource]) -> None:
-        """Take the tenants of another configuration."""
+        """Apply the tenants of another configuration."""
         if tenants is self._tenants:
             return
         self._tenants = tenants
@@ -50,7 +50,7 @@
         self._mean = sum(rates) / len(rates) if rates else 0.0
 
     def weight(self, tenant: str) -> float:
-        """Give a tenant's weight; 1 is the mean."""
+        """Return a tenant's weight; 1 is the mean."""
         held = self._tenants.get(tenant)
         if held is None or not held.rate_per_second:
             return 1.0
@@ -58,16 +58,16 @@
 
 
 class ShareWeights:
-    """The weights of the tenants who ask for calls of one service.
+    """The weights of the tenants that currently make calls to one service.
 
-    What is asked for is summed with weights that grow by time, in place of a decay of
-    each sum: to read a weight costs two look-ups.
+    Demand is summed with weights that grow over time, in place of decaying each sum, so
+    that reading a weight costs only two look-ups.
     """
 
     __slots__ = ("_asked", "_configured", "_of_all", "_weights", "_weights_sum", "_zero_at")
 
     def __init__(self, configured: ConfiguredWeights) -> None:
-        """Begin without tenants that ask."""
+        """Start without demand."""
         self._configured = configured
         self._asked: dict[str, float] = {}
         self._of_all = 0.0
@@ -76,11 +76,11 @@
         self._zero_at = 0.0
 
     def __len__(self) -> int:
-        """Tenants that asked a moment ago."""
+        """Return the number of tenants with recent demand."""
         return len(self._asked)
 
     def asked(self, tenant: str, now: float) -> None:
-        """A call came on behalf of a tenant."""
+        """Record a call on behalf of a tenant."""
         if now - self._zero_at > SCALE_SECONDS:
             self._scale_back(now)
         value = math.exp((now - self._zero_at) / DEMAND_SECONDS)
@@ -92,7 +92,7 @@
         self._of_all += value
 
     def weight(self, tenant: str) -> float:
-        """Give the part of the room that a tenant should have; above 0."""
+        """Return the part of the room that a tenant should have; above 0."""
         asked = self._asked.get(tenant)
         if asked is None:
             weight = self._configured.weight(tenant)
@@ -102,7 +102,7 @@
         return DEMAND_PART * by_demand + (1.0 - DEMAND_PART) * by_weight
 
     def _scale_back(self, now: float) -> None:
-        """Let sums decay, forget who asks for nothing, take weights as they are now."""
+        """Decay the sums, drop idle tenants, and reload the configured weights."""
         decay = math.exp((self._zero_at - now) / DEMAND_SECONDS)
         self._zero_at = now
         scaled = {name: asked * decay for name, asked in self._asked.items()}
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -1,7 +1,8 @@
-"""What a node sees of its back end while its service is under roll-out.
+"""Statistics of the local back end while its service's software is rolled out.
 
-The node beside a back end sees every call there, also those of other nodes, and with
-which version of the software it ran: nothing is sampled, and no call counts twice.
+The node co-located with a back end sees every call there, including those of other nodes,
+and knows which version of the software ran it: nothing is sampled, and no call counts
+twice.
 """
 
 from __future__ import annotations
@@ -16,17 +17,19 @@
 MIN_SECONDS = 0.001
 GROWTH = 1.25
 BUCKETS = 64
-"""Buckets of times: the first up to a millisecond, each a quarter wider than the one
-before, the last from 20 minutes on.  Times twice as long lie three buckets apart."""
+"""Number of histogram buckets of durations: the first up to one millisecond, each a quarter
+wider than the one before, the last from 20 minutes on. Durations that differ by a factor of
+two lie three buckets apart."""
 
 MAX_ROUTES = 200
-"""Routes that are told apart; calls of further ones count as of one without a name."""
+"""Number of routes with separate counts; calls of further ones count under an empty
+name."""
 
 _LOG_GROWTH = math.log(GROWTH)
 
 
 def bucket_of(seconds: float) -> int:
-    """Give the bucket that a time falls into."""
+    """Return the index of the bucket that a duration falls into."""
     if seconds <= MIN_SECONDS:
         return 0
     number = math.ceil(math.log(seconds / MIN_SECONDS) / _LOG_GROWTH)
@@ -43,23 +46,23 @@
 
 
 class VersionEvidence:
-    """Counts since the roll-out began; nothing without one."""
+    """Counts of calls since the roll-out began; empty without a roll-out."""
 
     def __init__(self) -> None:
-        """Begin without a roll-out."""
+        """Start without a roll-out."""
         self.began_milliseconds = 0
         self._routes: dict[str, _RouteCounts] = {}
         self._has_changed = False
 
     def use_settings(self, settings: ServiceSettings) -> None:
-        """Take the settings of the own service: another roll-out begins at nothing."""
+        """Apply the settings of the local service; another roll-out resets the counts."""
         is_running = settings.rollout_state == RUNNING
         began = settings.rollout_began_milliseconds if is_running else 0
         if began != self.began_milliseconds:
             self.begin(began)
 
     def begin(self, began_milliseconds: int) -> None:
-        """Count from now on: of another roll-out, or of another life of the back end."""
+        """Reset the counts, for another roll-out or another incarnation of the back end."""
         self.began_milliseconds = began_milliseconds
         self._routes.clear()
         self._has_changed = began_milliseconds > 0
@@ -67,10 +70,10 @@
     def note(
         self, route: str, seconds: float, verdict: Verdict | None, is_warm: bool
     ) -> None:
-        """Take one call that the back end began.
+        """Count one call that the back end began.
 
-        What it refused for load says nothing of its version, nor does the time of one
-        that is still warming up.
+        A refusal for load says nothing about the version, nor does the duration of a call
+        at a back end that is still warming up.
         """
         if not self.began_milliseconds or verdict in (None, "shed"):
             return
@@ -85,7 +88,7 @@
         self._has_changed = True
 
     def take_news(self) -> tuple[RouteEvidence, ...] | None:
-        """Give all counts if they grew since the last time, else None."""
+        """Return all counts if they grew since the last call of this method, else None."""
         if not self._has_changed:
             return None
         self._has_changed = False
--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_lanes.py
@@ -1,9 +1,10 @@
-"""Which back ends a call may go to while its service's software is rolled out.
+"""Version routing: which back ends a call may go to during a roll-out.
 
-Each call is drawn once, whatever becomes of its attempts: the part of the roll-out goes
-to back ends of the new version, all others to the others.  A call of the old ones never
-goes over to a new one for want of room, so that what a bad version gets is bounded by
-the share; the other way it may, until all calls are the new version's.
+The version of each call is chosen once at random, whatever becomes of its attempts: the
+roll-out's share of calls goes to back ends of the new version, all others to the rest. A
+call of the old version never moves to the new version for lack of capacity, so that the
+calls that a faulty version gets are bounded by the share. A call of the new version may
+move to the old one, until all calls are the new version's.
 """
 
 from __future__ import annotations
@@ -22,19 +23,20 @@
 State = TypeVar("State")
 
 SUBSET_BELOW_SHARE = ALL_CALLS // 2
-"""Below this share the new version's calls go to few of its back ends: what is bad only
-under load shows there, and costs the fewest callers."""
+"""Below this share, the calls of the new version go to few of its back ends: a fault that
+shows only under load is found there, at the cost of the fewest callers."""
 
 MIN_SUBSET = 3
-"""With fewer, one slow or failing machine would speak for the version."""
+"""With fewer back ends, one slow or failing machine would decide how the version is
+rated."""
 
 SUBSET_HEADROOM = 2.0
-"""So many times the back ends that the share alone would need take it: the new version
-has a load like that of the old one, and room for what comes at the same time."""
+"""The subset has this many times the back ends that the share alone would need: the new
+version gets a load like that of the old one, and has room for concurrent calls."""
 
 
 def draw_lane(settings: ServiceSettings, random: RandomSource) -> Lane:
-    """Draw the version for one call."""
+    """Choose the version for one call at random."""
     if settings.rollout_state != RUNNING:
         return "any"
     if random.below(float(ALL_CALLS)) < settings.rollout_share:
@@ -45,9 +47,9 @@
 def group_by_version(
     states: dict[str, State], versions: dict[str, str], settings: ServiceSettings
 ) -> dict[Lane, tuple[dict[str, State], ...]]:
-    """Give for each lane the back ends to try, one group after the other.
+    """Return for each version group the back ends to try, one set after the other.
 
-    ``versions`` names the software of each.
+    ``versions`` is the software version of each node.
     """
     if not settings.rollout_state:
         return dict.fromkeys(LANES, (states,))
@@ -80,8 +82,8 @@
 
 
 def _place(node: str) -> int:
-    """Give a node's place among those of its service: by chance, the same everywhere.
+    """Return a node's rank among those of its service: random, and the same everywhere.
 
-    By their names, the first ones would be of one zone.
+    If they were sorted by name, the first ones would all be in one zone.
     """
     return xxhash.xxh3_64_intdigest(node.encode())
--- a/src/peppershore/request/vouching.py
+++ b/src/peppershore/request/vouching.py
@@ -1,7 +1,7 @@
-"""Tokens a node signs for the back end beside it, when that calls another service.
+"""Tokens that a node signs for its local back end's calls to other services.
 
-The signing generation is the configuration's: a rotation lets signers use a new
-key only once all verifiers hold it.
+The configuration determines the signing generation: a rotation lets signers use a new key
+only once all verifiers hold it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Voucher:
-    """Signs for one service; keeps a token while it is fresh and its key signs."""
+    """Signs tokens for one service; reuses a token while it is valid and its key signs."""
 
     def __init__(self, service: str) -> None:
         """Start without a token."""
@@ -25,7 +25,7 @@
         self._authorization = b""
 
     def authorization(self, configuration: ActiveConfiguration, now_unix: float) -> bytes:
-        """Give the header's value, or nothing if the service has no signing secret."""
+        """Return the header's value, or nothing if the service has no signing secret."""
         settings = configuration.services.get(self._service)
         name = settings.sign_secret if settings is not None else ""
         secret = configuration.secrets.get(name) if name else None
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -1,6 +1,7 @@
 """The bounded queue of calls that wait for a slot.
 
-By class, priority, whether they come for the first time, fair shares of tenants, deadline.
+They are ordered by class, priority, first sends before retries, fair shares of tenants, and
+deadline.
 """
 
 from __future__ import annotations
@@ -24,20 +25,24 @@
 BULK_RANK = RANKS["bulk"] * RANKS_OF_CLASS
 
 FAIRNESS_INTERVAL = 16
-"""Every so many calls the last waiting rank goes first, so that it moves."""
+"""Once in this many calls the last waiting rank goes first, so that it is not starved."""
 
 
 class Ticket(msgspec.Struct, eq=False):
-    """One call's place in the queue; ``excluded``: nodes that failed it before.
-
-    One that may not wait is refused where no slot is free; another one waits until
-    ``start_by`` (monotonic seconds).  ``is_client_retry``: it was refused before.
-    ``prefers_far``: back ends near by had no slot, so one of another zone is asked.
-    ``route`` tells how long it is likely to run.  A back end of another zone is worth the
-    way if it answers so much sooner than one nearby (``crossing_seconds``).  ``lane``
-    tells the version of the service's software that the call was drawn for, ``tenant`` on
-    whose behalf it is made ("" where there are none).  Where the ``answer_is_large`` it
-    takes room on a link, and should be through by ``due`` (monotonic seconds).
+    """One call's place in the queue.
+
+    - ``excluded``: nodes that failed the call before.
+    - ``may_wait``: if false, the call is refused at once when no slot is free; otherwise it
+      waits until ``start_by`` (monotonic seconds).
+    - ``is_client_retry``: it was refused before.
+    - ``prefers_far``: nearby back ends had no slot, so one of another zone is preferred.
+    - ``route``: determines how long it is likely to run.
+    - ``crossing_seconds``: how much sooner a back end of another zone must answer than a
+      nearby one to be chosen.
+    - ``lane``: the version of the service's software chosen for the call.
+    - ``tenant``: on whose behalf it is made, "" if there are no tenants.
+    - ``answer_is_large``: its answer takes room on a link and should arrive by ``due``
+      (monotonic seconds).
     """
 
     number: int
@@ -59,35 +64,35 @@
 
     @property
     def rank(self) -> int:
-        """What goes first, lowest first: class, the route's priority, first calls."""
+        """Rank in the queue, lowest first: by class, the route's priority, first sends."""
         return base_rank(self.call_class, self.priority) + self.is_client_retry
 
 
 def base_rank(call_class: CallClass, priority: int) -> int:
-    """Give the rank of the first sends of a class and priority, lowest first."""
+    """Return the rank of the first sends of a class and priority, lowest first."""
     return RANKS[call_class] * RANKS_OF_CLASS + 2 * min(priority, PRIORITIES - 1)
 
 
 class WaitingQueue:
-    """Tickets in order; the least important one gives way when it is full.
+    """Tickets in order; if the queue is full, the least important one is evicted.
 
-    Within a rank the tenants who wait have fair shares; calls without a tenant go by
-    deadline.
+    Within a rank, the waiting tenants have fair shares; calls without a tenant are ordered
+    by deadline.
     """
 
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
-        """Start empty; ``weight_of`` gives a tenant's share against those of others."""
+        """Start empty; ``weight_of`` returns a tenant's share relative to the others."""
         self._weight_of = weight_of
         self._lines: dict[int, FairQueue[Ticket]] = {}
         self._length = 0
         self._taken = 0
 
     def __len__(self) -> int:
-        """Tickets that wait."""
+        """Return the number of waiting tickets."""
         return self._length
 
     def ahead_of(self, ticket: Ticket) -> int:
-        """Give how many waiting tickets a new one would stand behind."""
+        """Return how many waiting tickets would go before a new one."""
         own_rank = ticket.rank
         ahead = 0
         for rank, line in self._lines.items():
@@ -107,14 +112,14 @@
         line.push(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        """Take a ticket out, wherever it stands."""
+        """Remove a ticket, whatever its position."""
         if ticket.waiting:
             ticket.waiting = False
             self._length -= 1
             self._lines[ticket.rank].left(ticket)
 
     def peek(self, with_bulk: bool = True) -> Ticket | None:
-        """Give the next ticket; without ``with_bulk`` those of that class stay."""
+        """Return the next ticket, or None; without ``with_bulk``, bulk ones are skipped."""
         for rank in sorted(self._lines, reverse=self._lowest_first()):
             if rank >= BULK_RANK and not with_bulk:
                 continue
@@ -124,7 +129,7 @@
         return None
 
     def remove_matching(self, matches: Callable[[Ticket], bool]) -> list[Ticket]:
-        """Take out the waiting tickets for which ``is_out`` holds."""
+        """Remove and return the waiting tickets for which ``matches`` is true."""
         out = [
             ticket for line in self._lines.values() for ticket in line if matches(ticket)
         ]
@@ -133,16 +138,16 @@
         return out
 
     def taken(self, ticket: Ticket) -> None:
-        """A ticket got its slot."""
+        """Record that a ticket got its slot, and remove it."""
         self._taken += 1
         if ticket.waiting:
             self._lines[ticket.rank].served(ticket)
         self.remove(ticket)
 
     def displaced_by(self, ticket: Ticket) -> Ticket | None:
-        """Give the ticket that leaves its place to a new one; None if none does.
+        """Return the ticket to evict in favour of a new one, or None if there is none.
 
-        That is one of the last rank, and there of the tenant that holds most.
+        It is one of the last rank, and there of the tenant that holds most.
         """
         for rank in sorted(self._lines, reverse=True):
             line = self._lines[rank]
--- a/src/peppershore/request/wire_names.py
+++ b/src/peppershore/request/wire_names.py
@@ -1,7 +1,7 @@
-"""The header fields that a data plane reads and writes, as a typed profile.
+"""Names of the header fields that the data plane reads and writes.
 
-The defaults are the product's own interface.  A deployment with names of its own
-gives others in the node's settings; an empty name means that the field is not used.
+The defaults are the product's own interface. A deployment that uses other names sets them
+in the node's settings; an empty name means that the field is not used.
 """
 
 from __future__ import annotations
@@ -10,16 +10,18 @@
 
 
 class WireNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Names in lower case.
-
-    ``request_id`` names one call of a caller; where ``answers_carry_id``, a back
-    end's answer repeats it, and an answer with another one belongs to another call.
-    ``signature`` stands on every success of a back end.  ``expected_instance``
-    says which back end a call is meant for.  ``not_run`` stands on a back end's
-    refusals of what it has not begun; ``load`` tells its running and waiting calls
-    and its slots; ``caller`` names the service that a call comes from, ``tenant`` on
-    whose behalf it is made.  With ``unframed_answers`` an answer without length, which
-    ends with its connection, counts as whole.
+    """Header field names, in lower case.
+
+    - ``request_id``: identifies one call of a caller. With ``answers_carry_id``, a back
+      end's answer repeats it, and an answer with another id belongs to another call.
+    - ``signature``: present on every successful answer of a back end.
+    - ``expected_instance``: the back end that a call is meant for.
+    - ``not_run``: present on a back end's refusals of calls that it has not begun.
+    - ``load``: the running and waiting calls of a back end, and its slots.
+    - ``caller``: the service that a call comes from; ``tenant``: on whose behalf it is
+      made.
+    - ``unframed_answers``: an answer without a length, which ends with its connection,
+      counts as complete.
     """
 
     request_id: bytes = b"x-request-id"
@@ -39,7 +41,7 @@
 
     @property
     def own_fields(self) -> frozenset[bytes]:
-        """Fields of answers that only a node sets, whatever a back end sends."""
+        """Answer fields that only a node sets, whatever a back end sends."""
         return frozenset({self.outcome, self.reason, self.request_id} - {b""})
 
 
@@ -48,7 +50,7 @@
 
 
 def retry_after_value(names: WireNames, milliseconds: int) -> bytes:
-    """Give the value of the field that says when to come back, in seconds."""
+    """Return the value of the retry-after field, in seconds."""
     if names.fractional_retry_after:
         return b"%.3f" % (milliseconds / 1_000)
     return b"%d" % -(-milliseconds // 1_000)
