--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -31,7 +31,7 @@
 
 FADE_SECONDS = 10.0
 """Time constant by which observations lose weight. Without it, a back end that is no longer
-chosen because of past failures would never be found to have recovered."""
+chosen because of past failures or slow answers would never be found to have recovered."""
 
 FIRST_SHED_PAUSE_SECONDS = 0.05
 MAX_SHED_PAUSE_SECONDS = 1.0
--- a/src/peppershore/request/tenants/callers.py
+++ b/src/peppershore/request/tenants/callers.py
@@ -168,8 +168,8 @@
     def _of_running_call(self, tenant: str) -> OnBehalf:
         """Return the tenant of a running call.
 
-        A tenant that was removed keeps its name, but has no priority, for the calls that
-        its running calls still need.
+        A tenant that was removed keeps its name for the calls that its running calls still
+        make; these get the route's priority.
         """
         held = self.keys.tenant(tenant)
         return OnBehalf(tenant, None if held is None else held.priority)
--- a/tests/back_ends/test_own_report.py
+++ b/tests/back_ends/test_own_report.py
@@ -1,4 +1,4 @@
-"""The figures of the own back end count for a while, and only so far."""
+"""Reports of the local back end count for a limited time, and with bounded effect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from peppershore.request.back_ends.told_load import ToldLoad
 
 
-def test_work_that_the_node_does_not_know_counts_once_two_figures_hold_it() -> None:
+def test_unknown_work_counts_once_two_reports_in_a_row_include_it() -> None:
     report = OwnReport()
     report.heard(ToldLoad(4, 2, 5), 1, 1.0)
     assert report.taken(5, 1.0) == 0
@@ -22,7 +22,7 @@
     assert report.taken(5, 1.1) == 3
 
 
-def test_answers_read_in_another_order_make_no_unknown_work() -> None:
+def test_reordered_answers_cause_no_unknown_work() -> None:
     report = OwnReport()
     report.heard(ToldLoad(3, 0, 5), 3, 1.0)
     report.heard(ToldLoad(4, 0, 5), 3, 1.0)
@@ -31,7 +31,7 @@
 
 
 def test_one_slot_is_left_until_the_queue_is_long_too() -> None:
-    """One that says too much is heard again; one that is full is given nothing."""
+    """A back end that reports too much still gets calls; one with a full queue does not."""
     report = OwnReport()
     for told, expected in (((5, 4, 5), 4), ((5, 5, 5), 5)):
         for _ in range(2):
@@ -46,7 +46,7 @@
     assert report.taken(5, 1.0) == 0
 
 
-def test_what_was_told_long_ago_counts_no_more() -> None:
+def test_old_reports_no_longer_count() -> None:
     report = OwnReport()
     for _ in range(2):
         report.heard(ToldLoad(5, 5, 5, 250), 0, 1.0)
@@ -64,24 +64,24 @@
     assert not report.is_slow(1.0)
 
 
-def test_a_figure_without_pace_leaves_the_one_before_with_its_age() -> None:
+def test_a_report_without_pace_leaves_the_previous_pace_and_its_age() -> None:
     report = OwnReport()
     report.heard(ToldLoad(1, 0, 5, 250), 1, 1.0)
     report.heard(ToldLoad(1, 0, 5), 1, 1.2)
     assert report.pace_age_milliseconds(1.2) == 200
 
 
-def _usual(report: OwnReport, percent: int = 100, now: float = 0.5) -> None:
-    """Tell the usual pace of a machine often enough to be known."""
+def _report_usual_pace(report: OwnReport, percent: int = 100, now: float = 0.5) -> None:
+    """Report the usual pace of a machine often enough to be learned."""
     for _ in range(PACE_SAMPLES):
         report.heard(ToldLoad(1, 0, 5, percent), 1, now)
 
 
 @pytest.mark.parametrize("usual", [50, 100, 150])
-def test_a_machine_is_slow_while_it_says_more_than_usual(usual: int) -> None:
-    """What a machine usually tells is its fixed speed, which its work shows."""
+def test_a_machine_is_slow_while_its_pace_is_above_its_usual_one(usual: int) -> None:
+    """What a machine usually reports is its fixed speed, which shows in its work times."""
     report = OwnReport()
-    _usual(report, usual)
+    _report_usual_pace(report, usual)
     assert not report.is_slow(0.5)
     report.heard(ToldLoad(1, 0, 5, usual * 5 // 2), 1, 1.0)
     assert report.pace_percent == 250
@@ -90,9 +90,9 @@
     assert not report.is_slow(1.2)
 
 
-def test_one_that_says_so_all_the_time_is_of_that_speed() -> None:
+def test_a_permanently_high_pace_becomes_the_usual_one() -> None:
     report = OwnReport()
-    _usual(report)
+    _report_usual_pace(report)
     slow = 0
     for _ in range(PACE_SAMPLES):
         report.heard(ToldLoad(1, 0, 5, 250), 1, 1.0)
@@ -101,9 +101,9 @@
     assert report.pace_percent == 100
 
 
-def test_work_is_told_without_the_pace_of_the_moment() -> None:
+def test_learned_work_excludes_the_current_pace() -> None:
     report = OwnReport()
-    _usual(report)
+    _report_usual_pace(report)
     for _ in range(3):
         report.heard(ToldLoad(1, 0, 5, 250), 1, 1.0)
         report.ended("read", 0.25, 1.0)
@@ -125,7 +125,7 @@
     assert pace_after(250, age) == expected
 
 
-def test_a_machine_is_taken_to_be_slow_while_its_pace_is_believed() -> None:
+def test_a_machine_is_slow_until_its_pace_has_faded() -> None:
     assert slow_seconds(149, 0.0) == 0.0
     remaining = slow_seconds(250, 0.0)
     assert 0.0 < remaining < PACE_SECONDS
--- a/tests/back_ends/test_told_load.py
+++ b/tests/back_ends/test_told_load.py
@@ -1,4 +1,4 @@
-"""What a back end tells of itself is read whole or not at all."""
+"""The load field of a back end's answers is parsed completely or ignored."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         (b"3,1,5,187.5", ToldLoad(3, 1, 5, 187)),
     ],
 )
-def test_three_or_four_figures_are_read(value: bytes, expected: ToldLoad) -> None:
+def test_three_or_four_values_are_parsed(value: bytes, expected: ToldLoad) -> None:
     assert read_load(value) == expected
 
 
@@ -41,12 +41,12 @@
         b"9" * 60 + b",1,5",
     ],
 )
-def test_what_cannot_be_read_whole_counts_as_missing(value: bytes) -> None:
+def test_a_malformed_field_counts_as_missing(value: bytes) -> None:
     assert read_load(value) is None
 
 
 @pytest.mark.parametrize(
     "pace", [b"0", b"9", b"-100", b"10001", b"fast", b"100.", b"", b"."]
 )
-def test_a_pace_that_cannot_be_is_left_out_and_the_rest_counts(pace: bytes) -> None:
+def test_an_implausible_pace_is_ignored_and_the_rest_counts(pace: bytes) -> None:
     assert read_load(b"3,1,5," + pace) == ToldLoad(3, 1, 5, 0)
--- a/tests/request/test_audience.py
+++ b/tests/request/test_audience.py
@@ -1,4 +1,4 @@
-"""Who may call: tokens, audiences, rotation."""
+"""Access control of callers: tokens, audiences, key rotation."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
     assert _check(token) == reason
 
 
-def test_remembered_token_expires_and_falls_with_its_key() -> None:
+def test_cached_token_expires_and_is_dropped_with_its_key() -> None:
     check = AudienceCheck()
     token = _signed(OLD)
     assert _check(token, check=check) == Caller("member", "till-7")
@@ -86,7 +86,7 @@
     assert checked.failure().reason == "token-invalid"
 
 
-def test_a_node_that_is_not_confirmed_leaves_an_unknown_key_to_others() -> None:
+def test_unconfirmed_node_refuses_an_unknown_key_only_temporarily() -> None:
     check = AudienceCheck()
     secrets = {"site": _secret()}
     unknown = f"Bearer {_signed(b'x' * 32)}".encode()
--- a/tests/request/test_bodies_ahead.py
+++ b/tests/request/test_bodies_ahead.py
@@ -1,4 +1,4 @@
-"""A body comes ahead of its slot only where the slot is likely to be free then."""
+"""A body is prefetched only if a slot is likely to be free when it has arrived."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from peppershore.request.body_transfers import LONG_TRANSFER_SECONDS, takes_long
 
 
-def test_one_more_body_than_slots_is_under_way() -> None:
+def test_one_more_body_than_slots_is_fetched() -> None:
     bodies = BodiesAhead()
     asked = [bodies.begin(held=2, waiting=0, slots=3) for _ in range(4)]
     assert asked == [True, True, False, False]
@@ -17,7 +17,7 @@
     assert bodies.begin(held=2, waiting=0, slots=3)
 
 
-def test_calls_in_line_count_as_much_as_those_that_run() -> None:
+def test_queued_calls_count_as_much_as_running_ones() -> None:
     assert not BodiesAhead().begin(held=3, waiting=1, slots=3)
     assert BodiesAhead().begin(held=3, waiting=0, slots=3)
 
@@ -29,13 +29,13 @@
         assert held + waiting + bodies.coming <= slots + PREFETCH_BEYOND_SLOTS
 
 
-def test_a_wide_link_takes_no_body_for_long() -> None:
+def test_no_body_takes_long_on_a_wide_link() -> None:
     assert not takes_long(10_000_000, 0.0)
     assert not takes_long(None, 0.0)
     assert not takes_long(4_000, 1_000.0)
 
 
-def test_a_narrow_link_takes_a_body_for_long_from_a_size_on() -> None:
+def test_body_above_a_size_takes_long_on_a_narrow_link() -> None:
     edge = int(1.0 * 125_000 * LONG_TRANSFER_SECONDS)
     assert not takes_long(0, 1.0)
     assert not takes_long(edge, 1.0)
--- a/tests/request/test_call_decisions.py
+++ b/tests/request/test_call_decisions.py
@@ -1,4 +1,4 @@
-"""Small decisions of a call: deadline, class, outcome, rate, budget, retry delay."""
+"""Decisions about a call: deadline, class, outcome, rate, budget, retry delay."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return RequestHead(b"POST", b"/pay/1?x=/other", fields, length)
 
 
-def test_call_takes_all_from_its_route() -> None:
+def test_plan_takes_its_settings_from_the_route() -> None:
     planned = classify(_configuration(call_class="critical"), _head(), 5.0, RANDOM).unwrap()
     assert (planned.target, planned.route, planned.call_class) == (
         "kassa",
@@ -68,13 +68,13 @@
     assert large.failure() == NotRun(413, "body-too-large")
 
 
-def test_key_counts_only_for_what_may_not_be_repeated() -> None:
+def test_idempotency_key_counts_only_for_calls_unsafe_to_retry() -> None:
     head = _head(idempotency_key="k-1")
     assert classify(_configuration(), head, 0.0, RANDOM).unwrap().key == "k-1"
     assert classify(_configuration(repeatable=True), head, 0.0, RANDOM).unwrap().key == ""
 
 
-def test_deadline_shrinks_at_each_of_seven_hops_and_ends_at_nothing() -> None:
+def test_deadline_shrinks_at_each_of_seven_hops_down_to_zero() -> None:
     remaining = 15
     seen = []
     for _ in range(7):
@@ -86,7 +86,7 @@
     assert remaining_milliseconds(10.0, 1.0) == 0
 
 
-def test_unknown_outlives_not_run() -> None:
+def test_unknown_overrides_not_run() -> None:
     not_run, unknown = NotRun(503, "x"), Unknown(502, "y")
     assert worse(unknown, not_run) is unknown
     assert worse(not_run, unknown) is unknown
@@ -132,7 +132,7 @@
     assert isinstance(classify(None, _head(), 0.0, RANDOM), Failure)
 
 
-def test_a_call_made_for_a_running_one_goes_first_and_waits_longer() -> None:
+def test_nested_call_goes_first_and_waits_longer() -> None:
     latency = _configuration(target_latency_milliseconds=100, timeout_milliseconds=600)
     outer = classify(latency, _head(), 5.0, RANDOM).unwrap()
     assert (outer.call_class, outer.start_by) == ("normal", pytest.approx(5.02))
--- a/tests/request/test_expected_time.py
+++ b/tests/request/test_expected_time.py
@@ -1,4 +1,4 @@
-"""A back end is chosen by the time until its answer, other zones against the way."""
+"""Back ends are chosen by expected answer time, other zones by the gain as well."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Generator:
-    """A seeded source of numbers."""
+    """A seeded random source."""
 
     def __init__(self) -> None:
         self._random = random.Random(5)
@@ -47,8 +47,8 @@
     )
 
 
-class Desk:
-    """An admission in zone ``a`` that was told the pace of its back ends."""
+class AdmissionHarness:
+    """An admission in zone ``a`` whose back ends report the duration of their work."""
 
     def __init__(self, **zones: str) -> None:
         self.admission = Admission("kuitti", SETTINGS, "a", Generator())
@@ -56,8 +56,8 @@
         self.admission.use_endpoints(endpoints, 0.0)
         self._numbers = itertools.count(1)
 
-    def told(self, **seconds: float) -> None:
-        """Their nodes tell the work of a call by turns, often enough to be believed."""
+    def report_work(self, **seconds: float) -> None:
+        """Report the work of a call for each node in turn, often enough to be learned."""
         for _ in range(40):
             for node, each in seconds.items():
                 load = OwnerLoad(0, 0, SLOTS, round(each * 1_000_000))
@@ -84,62 +84,65 @@
 
 
 def test_a_quicker_back_end_of_the_zone_takes_the_calls() -> None:
-    desk = Desk(slow="a", quick="a")
-    desk.told(quick=USUAL, slow=2 * USUAL)
-    assert desk.shares()["slow"] == 0
+    harness = AdmissionHarness(slow="a", quick="a")
+    harness.report_work(quick=USUAL, slow=2 * USUAL)
+    assert harness.shares()["slow"] == 0
 
 
-def test_a_quicker_back_end_that_is_crowded_leaves_calls_to_others() -> None:
-    desk = Desk(slow="a", quick="a")
-    desk.told(quick=USUAL, slow=1.2 * USUAL)
-    state = desk.admission.state("quick")
+def test_a_quicker_back_end_under_high_load_leaves_calls_to_others() -> None:
+    harness = AdmissionHarness(slow="a", quick="a")
+    harness.report_work(quick=USUAL, slow=1.2 * USUAL)
+    state = harness.admission.state("quick")
     assert state is not None
     state.in_flight = SLOTS
-    assert desk.shares()["quick"] == 0
+    assert harness.shares()["quick"] == 0
 
 
-def test_another_zone_answers_where_it_is_sooner_by_more_than_the_way_is_worth() -> None:
-    desk = Desk(near="a", far="b")
-    desk.told(far=USUAL, near=USUAL + 2 * CROSSING)
-    assert desk.shares()["near"] == 0
+def test_another_zone_is_used_if_faster_by_more_than_the_crossing_cost() -> None:
+    harness = AdmissionHarness(near="a", far="b")
+    harness.report_work(far=USUAL, near=USUAL + 2 * CROSSING)
+    assert harness.shares()["near"] == 0
 
 
 @pytest.mark.parametrize("slower", [0.0, 0.5])
-def test_calls_stay_in_the_zone_for_less_than_that(slower: float) -> None:
-    desk = Desk(near="a", far="b")
-    desk.told(far=USUAL, near=USUAL + slower * CROSSING)
-    assert desk.shares()["far"] == 0
+def test_calls_stay_in_the_zone_if_the_gain_is_smaller(slower: float) -> None:
+    harness = AdmissionHarness(near="a", far="b")
+    harness.report_work(far=USUAL, near=USUAL + slower * CROSSING)
+    assert harness.shares()["far"] == 0
 
 
 def test_without_a_target_latency_calls_stay_in_the_zone() -> None:
-    desk = Desk(near="a", far="b")
-    desk.told(far=USUAL, near=5 * USUAL)
-    assert desk.chosen(crossing=float("inf")) == "near"
+    harness = AdmissionHarness(near="a", far="b")
+    harness.report_work(far=USUAL, near=5 * USUAL)
+    assert harness.chosen(crossing=float("inf")) == "near"
 
 
-def test_a_back_end_that_was_slow_is_tried_again_in_time() -> None:
-    desk = Desk(near="a", far="b")
-    desk.told(far=USUAL, near=4 * USUAL)
-    assert desk.chosen(now=0.1) == "far"
-    assert desk.chosen(now=60.0) == "near"
+def test_a_back_end_that_was_slow_is_tried_again_later() -> None:
+    harness = AdmissionHarness(near="a", far="b")
+    harness.report_work(far=USUAL, near=4 * USUAL)
+    assert harness.chosen(now=0.1) == "far"
+    assert harness.chosen(now=60.0) == "near"
 
 
-def test_another_back_end_is_one_that_can_be_given_a_call() -> None:
-    """Else a call goes round between those that refused it."""
-    desk = Desk(asked="a", ejected="a")
-    state = desk.admission.state("ejected")
+def test_has_besides_counts_only_back_ends_that_can_accept_a_call() -> None:
+    """Otherwise a call would circulate among the back ends that refused it."""
+    harness = AdmissionHarness(asked="a", ejected="a")
+    state = harness.admission.state("ejected")
     assert state is not None
     asked = frozenset({"asked"})
-    assert desk.admission.has_besides(asked, 0.0)
+    assert harness.admission.has_besides(asked, 0.0)
     state.eject(0.0)
-    assert not desk.admission.has_besides(asked, 0.5)
-    assert desk.admission.has_besides(asked, 1.5)
+    assert not harness.admission.has_besides(asked, 0.5)
+    assert harness.admission.has_besides(asked, 1.5)
     state.in_flight = state.limit
-    assert not desk.admission.has_besides(asked, 1.5)
+    assert not harness.admission.has_besides(asked, 1.5)
 
 
-def test_a_call_that_found_its_zone_full_asks_another_zone() -> None:
-    desk = Desk(near="a", far="b")
-    assert desk.chosen() == "near"
-    assert desk.chosen(prefers_far=True) == "far"
-    assert Desk(near="a", other="a").chosen(prefers_far=True) in {"near", "other"}
+def test_a_call_that_found_its_zone_full_probes_another_zone() -> None:
+    harness = AdmissionHarness(near="a", far="b")
+    assert harness.chosen() == "near"
+    assert harness.chosen(prefers_far=True) == "far"
+    assert AdmissionHarness(near="a", other="a").chosen(prefers_far=True) in {
+        "near",
+        "other",
+    }
--- a/tests/request/test_fair_shares.py
+++ b/tests/request/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Tenants who wait for the slots of one back end: who is served, who gives way."""
+"""Fair shares of tenants that wait for slots: which calls are served or evicted."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Owner:
-    """One back end's own node in virtual time; each call runs for ``WORK_SECONDS``."""
+    """A back end's local node in virtual time; each call runs for ``WORK_SECONDS``."""
 
     def __init__(self, weights: ConfiguredWeights | None = None, queue: int = 100) -> None:
         settings = ServiceSettings(slow_start_milliseconds=0, queue_limit=queue)
@@ -72,12 +72,12 @@
         return decision
 
     def fill(self) -> None:
-        """Hold all slots, on behalf of nobody."""
+        """Occupy all slots with calls without a tenant."""
         for _ in range(SLOTS):
             assert isinstance(self.offer(""), Dispatch)
 
-    def play(self, rates: dict[str, float], seconds: float) -> Counter[str]:
-        """Let tenants call evenly at these rates; give what was served meanwhile."""
+    def run_load(self, rates: dict[str, float], seconds: float) -> Counter[str]:
+        """Let tenants call evenly at these rates; return the calls served meanwhile."""
         before = Counter(self.served)
         arrivals = sorted(
             (self.now + (index + (place + 0.5) / len(rates)) / rate, tenant)
@@ -92,7 +92,7 @@
         return self.served - before
 
     def run_until(self, until: float) -> None:
-        """End what ends by then, and start who waits."""
+        """Finish the calls that end by then, and start waiting ones."""
         while self._running and self._running[0][0] <= until:
             self.now, dispatch = self._running.pop(0)
             self.admission.finished(dispatch, WORK_SECONDS, "good", self.now)
@@ -107,11 +107,11 @@
         self._running.append((self.now + WORK_SECONDS, dispatch))
 
 
-def test_one_tenant_at_nine_times_its_usual_leaves_the_others_theirs() -> None:
+def test_a_tenant_at_nine_times_its_usual_rate_does_not_affect_others() -> None:
     owner = Owner()
     usual = {f"t{number}": 4.0 for number in range(8)}
-    owner.play(usual, 2.0)
-    served = owner.play({**usual, "t0": 36.0}, 5.0)
+    owner.run_load(usual, 2.0)
+    served = owner.run_load({**usual, "t0": 36.0}, 5.0)
     others = [served[name] / (4.0 * 5.0) for name in usual if name != "t0"]
     assert min(others) >= 0.95
     assert served["t0"] >= 0.9 * (ROOM_PER_SECOND - 28.0) * 5.0
@@ -119,7 +119,7 @@
 
 
 def test_by_deadline_alone_the_others_pay_for_one_at_nine_times() -> None:
-    """What happens without tenants: the reason for their shares."""
+    """Without tenants, calls are refused under overload: the reason for fair shares."""
     owner = Owner()
     served = Counter[str]()
     for _ in range(250):
@@ -130,19 +130,19 @@
     assert owner.admission.waiting > 0
 
 
-def test_two_tenants_of_different_weight_share_by_it() -> None:
+def test_two_tenants_share_by_weight_and_demand() -> None:
     owner = Owner(_limits(large=90.0, small=30.0))
-    served = owner.play({"large": 80.0, "small": 80.0}, 10.0)
+    served = owner.run_load({"large": 80.0, "small": 80.0}, 10.0)
     ratio = served["large"] / served["small"]
     by_weight, by_demand = 3.0, 1.0
     large = (1.0 - DEMAND_PART) * by_weight / 4 + DEMAND_PART * by_demand / 2
     assert abs(ratio - large / (1.0 - large)) < 0.3
 
 
-def test_a_large_tenant_is_served_half_as_often_as_all_where_all_weigh_the_same() -> None:
+def test_a_large_tenant_is_served_at_least_half_as_often_as_the_average() -> None:
     owner = Owner()
     rates = {"large": 60.0, **{f"t{number}": 4.0 for number in range(10)}}
-    served = owner.play(rates, 10.0)
+    served = owner.run_load(rates, 10.0)
     share_of_all = sum(served.values()) / (sum(rates.values()) * 10.0)
     assert served["large"] / (60.0 * 10.0) >= 0.5 * share_of_all
     assert min(served[name] for name in rates) > 0
@@ -150,39 +150,39 @@
 
 def test_an_unused_share_goes_to_the_others_within_a_second() -> None:
     owner = Owner()
-    owner.play({"one": 60.0, "other": 60.0}, 4.0)
+    owner.run_load({"one": 60.0, "other": 60.0}, 4.0)
     owner.run_until(owner.now + 0.2)
-    served = owner.play({"one": 60.0}, 1.0)
+    served = owner.run_load({"one": 60.0}, 1.0)
     assert served["one"] >= 0.9 * ROOM_PER_SECOND
 
 
-def test_nobody_pays_while_there_is_room() -> None:
+def test_no_tenant_is_refused_while_there_is_capacity() -> None:
     owner = Owner()
     rates = {"many": 27.0, "few": 1.0, "some": 4.0}
-    served = owner.play(rates, 10.0)
+    served = owner.run_load(rates, 10.0)
     assert not owner.refused
     assert served["many"] == 270
 
 
-def test_who_had_much_while_there_was_room_does_not_pay_for_it_later() -> None:
+def test_use_of_idle_capacity_is_not_charged_later() -> None:
     owner = Owner()
-    owner.play({"many": 36.0, "few": 1.0}, 5.0)
-    served = owner.play({"many": 60.0, "few": 60.0}, 5.0)
+    owner.run_load({"many": 36.0, "few": 1.0}, 5.0)
+    served = owner.run_load({"many": 60.0, "few": 60.0}, 5.0)
     assert 0.8 < served["many"] / served["few"] < 1.25
 
 
-def test_the_tenant_of_a_burst_is_served_in_full_once_it_is_back_to_its_usual() -> None:
+def test_a_tenant_is_served_in_full_once_its_burst_is_over() -> None:
     owner = Owner()
     usual = {"burst": 8.0, "one": 8.0, "other": 8.0}
-    owner.play({**usual, "burst": 90.0}, 5.0)
-    owner.play(usual, 0.5)
+    owner.run_load({**usual, "burst": 90.0}, 5.0)
+    owner.run_load(usual, 0.5)
     owner.refused.clear()
-    served = owner.play(usual, 3.0)
+    served = owner.run_load(usual, 3.0)
     assert not owner.refused
     assert served["burst"] >= 23
 
 
-def test_repeats_pay_before_first_sends_whosever_they_are() -> None:
+def test_retries_go_after_first_sends_of_any_tenant() -> None:
     owner = Owner()
     owner.fill()
     owner.offer("few", is_client_retry=True, wait=9.0)
@@ -196,7 +196,7 @@
     ]
 
 
-def test_more_urgent_kinds_of_one_tenant_go_before_less_urgent_ones_of_another() -> None:
+def test_more_urgent_calls_of_one_tenant_go_before_less_urgent_ones_of_another() -> None:
     queue = WaitingQueue()
     late = Ticket(1, "normal", 9.0, priority=2, tenant="few")
     urgent = [Ticket(2 + n, "normal", 9.0, priority=1, tenant="many") for n in range(3)]
@@ -210,7 +210,7 @@
     assert order == [nested, *urgent, late]
 
 
-def test_a_full_queue_gives_up_the_latest_call_of_the_tenant_that_holds_most() -> None:
+def test_a_full_queue_evicts_a_call_of_the_tenant_that_holds_most() -> None:
     owner = Owner(queue=4)
     owner.fill()
     for _ in range(4):
@@ -224,7 +224,7 @@
     assert refused.reason == QUEUE_FULL
 
 
-def test_tenants_who_hold_as_much_do_not_put_each_other_out() -> None:
+def test_tenants_that_hold_equal_shares_do_not_evict_each_other() -> None:
     owner = Owner(queue=4)
     owner.fill()
     for tenant in ("one", "other", "one", "other"):
@@ -233,7 +233,7 @@
     assert isinstance(owner.offer("other", wait=9.0), NotRun)
 
 
-def test_a_call_of_one_who_holds_little_is_told_a_short_wait() -> None:
+def test_a_tenant_with_few_queued_calls_has_few_calls_ahead() -> None:
     queue = WaitingQueue()
     for number in range(20):
         queue.push(Ticket(number, "normal", 9.0, tenant="many"))
@@ -243,7 +243,7 @@
     assert queue.ahead_of(Ticket(22, "normal", 9.5, tenant="few")) == 0
 
 
-def test_what_is_withdrawn_costs_a_tenant_nothing() -> None:
+def test_withdrawn_calls_cost_a_tenant_nothing() -> None:
     queue = WaitingQueue()
     gone = [Ticket(number, "normal", 1.0, tenant="one") for number in range(50)]
     for ticket in gone:
@@ -303,7 +303,7 @@
     assert (queue.peek() is None) == (not inside)
 
 
-def test_weights_follow_limits_and_what_is_asked_for_and_are_forgotten() -> None:
+def test_weights_follow_limits_and_demand_and_are_forgotten() -> None:
     shares = ShareWeights(_limits(large=30.0, small=10.0))
     for _ in range(30):
         shares.asked("large", 0.0)
@@ -316,7 +316,7 @@
     assert shares.weight("large") > 0.0
 
 
-def test_weights_stay_finite_over_days_of_silence() -> None:
+def test_weights_stay_finite_over_days_without_calls() -> None:
     shares = ShareWeights(ConfiguredWeights())
     for now in (0.0, 3.9, 8.0, 100_000.0, 200_000.0):
         shares.asked("one", now)
--- a/tests/request/test_fingerprint.py
+++ b/tests/request/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells one request from another, and what does not."""
+"""Which parts of a request its fingerprint depends on."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     )
 
 
-def test_id_deadline_and_spelling_of_the_host_do_not_count() -> None:
+def test_id_and_spelling_of_the_host_do_not_count() -> None:
     assert identity_of(head(), "till") == identity_of(HEAD, "till")
 
 
@@ -40,7 +40,7 @@
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=5))
-def test_the_pieces_of_a_body_do_not_count(body: bytes, cuts: list[int]) -> None:
+def test_how_a_body_is_split_does_not_count(body: bytes, cuts: list[int]) -> None:
     whole, pieces = Fingerprint(b"i"), Fingerprint(b"i")
     whole.add(body)
     places = [0, *sorted(min(cut, len(body)) for cut in cuts), len(body)]
@@ -51,7 +51,7 @@
     assert whole.key == pieces.key
 
 
-def test_a_large_body_is_known_before_its_end_by_what_counts_of_it() -> None:
+def test_a_large_body_is_known_before_its_end() -> None:
     large, larger = Fingerprint(b"i"), Fingerprint(b"i")
     large.add(b"x" * BODY_BYTES)
     assert large.is_known
--- a/tests/request/test_full_back_ends.py
+++ b/tests/request/test_full_back_ends.py
@@ -1,4 +1,4 @@
-"""Full back ends are passed over as long as those that wait there take."""
+"""Full back ends are avoided for the expected duration of their queue."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("waiting", [0, 9])
-def test_a_full_back_end_is_passed_over_until_a_slot_may_be_free(waiting: int) -> None:
+def test_a_full_back_end_is_avoided_until_a_slot_may_be_free(waiting: int) -> None:
     state = _state("k1", "pasila")
     state.note_load(OwnerLoad(SLOTS, waiting, SLOTS, WORK_MICROSECONDS), 0.0, False)
     free_after = (waiting + 1) * WORK / SLOTS
@@ -26,21 +26,21 @@
     assert not state.sheds(free_after * 1.1)
 
 
-def test_a_full_back_end_of_another_zone_is_passed_over_for_longer() -> None:
+def test_a_full_back_end_of_another_zone_is_avoided_for_longer() -> None:
     state = _state("k1", "vantaa")
     state.note_load(OwnerLoad(SLOTS, 0, SLOTS, WORK_MICROSECONDS), 0.0, True)
     assert state.sheds(FAR_FULL_PAUSE_SECONDS * 0.9)
     assert not state.sheds(FAR_FULL_PAUSE_SECONDS)
 
 
-def test_a_long_queue_is_believed_for_no_longer_than_any_load() -> None:
+def test_a_long_queue_counts_no_longer_than_any_reported_load() -> None:
     state = _state("k1", "pasila")
     state.note_load(OwnerLoad(SLOTS, 10_000, SLOTS, WORK_MICROSECONDS), 0.0, True)
     assert state.sheds(LOAD_MAX_AGE_SECONDS * 0.9)
     assert not state.sheds(LOAD_MAX_AGE_SECONDS)
 
 
-def test_without_a_known_pace_it_goes_by_the_zone() -> None:
+def test_without_known_work_the_time_depends_on_the_zone() -> None:
     for is_far, seconds in ((False, FULL_PAUSE_SECONDS), (True, FAR_FULL_PAUSE_SECONDS)):
         state = _state("k1", "pasila")
         state.note_load(OwnerLoad(SLOTS, 5, SLOTS), 0.0, is_far)
--- a/tests/request/test_home_first.py
+++ b/tests/request/test_home_first.py
@@ -1,4 +1,4 @@
-"""The back end beside the caller's node goes first while it has a slot free."""
+"""The local back end of the caller's node is preferred while it has a free slot."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _share_of_home(home_running: int, preference: Preference = PREFERENCE) -> float:
-    """Give the share of calls that go to the own back end; none of them runs on."""
+    """Return the share of calls that go to the local back end; all of them end at once."""
     random = Randomness(1)
     picked = [
         pick(_states(home_running), preference, random, 0.0, better_of_two)
@@ -32,7 +32,7 @@
     return names.count("home") / 100
 
 
-def test_it_takes_every_call_while_a_slot_is_free() -> None:
+def test_local_back_end_gets_every_call_while_a_slot_is_free() -> None:
     assert _share_of_home(SLOTS - 1) == 1.0
 
 
@@ -45,6 +45,6 @@
     assert _share_of_home(0, excluded) == 0.0
 
 
-def test_a_node_without_a_back_end_of_the_service_shares_calls_out() -> None:
+def test_a_node_without_a_local_back_end_distributes_its_calls() -> None:
     elsewhere = msgspec.structs.replace(PREFERENCE, home="another")
     assert _share_of_home(0, elsewhere) < 1.0
--- a/tests/request/test_link_room.py
+++ b/tests/request/test_link_room.py
@@ -1,4 +1,4 @@
-"""A link takes what it carries in time, one after the other, and small messages pass."""
+"""A link accepts what it can carry in time, one by one; small messages are not delayed."""
 
 from __future__ import annotations
 
@@ -20,37 +20,37 @@
 )
 
 MEGABITS = 6.0
-AIM = 1.0
+OBJECTIVE_SECONDS = 1.0
 RATES = (1.0, 3.9, 6.0)
 
 
-def _taken(room: LinkRoom, due: float, now: float = 0.0, work: float = 0.0) -> Transfer:
+def _accepted(room: LinkRoom, due: float, now: float = 0.0, work: float = 0.0) -> Transfer:
     offered = room.offer("frames", due, work, now)
     assert isinstance(offered, Transfer)
     return offered
 
 
-def _here(room: LinkRoom, octets: int, due: float) -> Transfer:
-    """Give a transfer that was taken and is here whole."""
-    transfer = _taken(room, due)
+def _arrived(room: LinkRoom, octets: int, due: float) -> Transfer:
+    """Return an accepted transfer whose bytes have all arrived."""
+    transfer = _accepted(room, due)
     room.sized(transfer, octets)
     room.came(transfer, octets, 0.0)
     return transfer
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_only_as_many_are_taken_as_are_through_in_time(megabits: float) -> None:
+def test_only_transfers_that_complete_in_time_are_accepted(megabits: float) -> None:
     room = LinkRoom(megabits)
-    aim = 8 * TYPICAL_BYTES / room.rate + MARGIN_SECONDS + 0.001
+    due = 8 * TYPICAL_BYTES / room.rate + MARGIN_SECONDS + 0.001
     for _ in range(8):
-        _taken(room, aim)
-    late = room.offer("frames", aim, 0.0, 0.0)
+        _accepted(room, due)
+    late = room.offer("frames", due, 0.0, 0.0)
     assert isinstance(late, float)
     assert late == pytest.approx(TYPICAL_BYTES / room.rate, abs=0.01)
     assert room.transfers == 8
 
 
-def test_a_refusal_says_how_much_too_late_it_would_be() -> None:
+def test_a_refusal_returns_the_expected_lateness() -> None:
     room = LinkRoom(MEGABITS)
     assert room.offer("frames", 0.0, 0.5, 0.0) == pytest.approx(
         0.5 + TYPICAL_BYTES / room.rate + MARGIN_SECONDS
@@ -58,48 +58,48 @@
     assert room.transfers == 0
 
 
-def test_one_that_leaves_makes_room_for_another() -> None:
+def test_a_removed_transfer_makes_room_for_another() -> None:
     room = LinkRoom(MEGABITS)
-    aim = 1.5 * TYPICAL_BYTES / room.rate
-    gone = _taken(room, aim)
-    assert isinstance(room.offer("frames", aim, 0.0, 0.0), float)
+    due = 1.5 * TYPICAL_BYTES / room.rate
+    gone = _accepted(room, due)
+    assert isinstance(room.offer("frames", due, 0.0, 0.0), float)
     room.over(gone, is_whole=False)
-    _taken(room, aim)
+    _accepted(room, due)
 
 
-def test_work_goes_on_while_the_link_carries_others() -> None:
-    """What is ahead and what is worked on overlap: the longer of both counts."""
+def test_work_overlaps_with_transfers_ahead() -> None:
+    """Transfers ahead and the call's own work overlap: the longer of the two counts."""
     room = LinkRoom(MEGABITS)
     one = TYPICAL_BYTES / room.rate
-    _taken(room, AIM)
-    _taken(room, 2.0 * one + MARGIN_SECONDS + 0.001, work=one)
+    _accepted(room, OBJECTIVE_SECONDS)
+    _accepted(room, 2.0 * one + MARGIN_SECONDS + 0.001, work=one)
 
 
-def test_what_began_is_ended_before_what_is_due_sooner() -> None:
+def test_a_begun_transfer_is_completed_before_one_due_sooner() -> None:
     room = LinkRoom(MEGABITS)
-    first = _here(room, 20_000, 5.0)
+    first = _arrived(room, 20_000, 5.0)
     assert room.next(0.0) is first
     room.went(first, 5_000)
-    sooner = _here(room, 20_000, 2.0)
+    sooner = _arrived(room, 20_000, 2.0)
     assert room.next(0.0) is first
     room.went(first, 15_000)
     room.over(first, is_whole=True)
     assert room.next(0.0) is sooner
 
 
-def test_what_can_still_be_in_time_goes_before_what_is_late_already() -> None:
+def test_transfers_that_can_be_in_time_go_before_late_ones() -> None:
     room = LinkRoom(MEGABITS)
-    late = _here(room, 100_000, 0.5)
-    in_time = _here(room, 100_000, 2.0)
+    late = _arrived(room, 100_000, 0.5)
+    in_time = _arrived(room, 100_000, 2.0)
     assert room.next(1.0) is in_time
     room.over(in_time, is_whole=True)
     assert room.next(1.0) is late
 
 
-def test_a_receiver_that_takes_no_more_keeps_nobody_back() -> None:
+def test_a_blocked_receiver_does_not_delay_others() -> None:
     room = LinkRoom(MEGABITS)
-    slow = _here(room, 20_000, 1.0)
-    other = _here(room, 20_000, 2.0)
+    slow = _arrived(room, 20_000, 1.0)
+    other = _arrived(room, 20_000, 2.0)
     room.went(slow, 1_000)
     slow.blocked = True
     assert room.next(0.0) is other
@@ -110,7 +110,7 @@
 def test_sizes_of_a_route_are_learned() -> None:
     room = LinkRoom(MEGABITS)
     for _ in range(20):
-        transfer = _here(room, 90_000, 9.0)
+        transfer = _arrived(room, 90_000, 9.0)
         room.went(transfer, 90_000)
         room.over(transfer, is_whole=True)
     assert room.size_of("frames") == pytest.approx(90_000)
@@ -120,13 +120,13 @@
 
 def test_a_length_that_becomes_known_counts_at_once() -> None:
     room = LinkRoom(MEGABITS)
-    transfer = _taken(room, 9.0)
+    transfer = _accepted(room, 9.0)
     before = room.wait(0.0)
     room.sized(transfer, 10 * TYPICAL_BYTES)
     assert room.wait(0.0) == pytest.approx(before + 9 * TYPICAL_BYTES / room.rate)
 
 
-def test_small_messages_take_their_part_of_the_link() -> None:
+def test_small_messages_reduce_the_rate_for_large_ones() -> None:
     room = LinkRoom(MEGABITS)
     room.small_sent(int(room.rate / 2), 1.0)
     assert room.left_rate == pytest.approx(room.rate / 2, rel=0.01)
@@ -135,7 +135,7 @@
 
 
 def _small_waits(megabits: float, large_bytes: int, small_every: float) -> list[float]:
-    """Give what each small message waited behind large answers in the link's queue."""
+    """Return how long each small message waited behind large answers on the link."""
     clock = Clock()
     link = Pipe(clock, megabits)
     pace = LinkPace(megabits * BYTES_PER_MEGABIT * USABLE_SHARE, 0.0)
@@ -167,14 +167,14 @@
 
 @pytest.mark.parametrize("megabits", RATES)
 def test_a_small_message_waits_no_longer_than_the_bound(megabits: float) -> None:
-    """What is in the system's buffers counts: they are the link's queue here."""
+    """The bytes in the system's buffers count too: they are the link's queue here."""
     waits = _small_waits(megabits, 1_000_000, 0.0071)
     assert len(waits) > 50
     assert max(waits) <= LINK_QUEUE_SECONDS + PIECE_SECONDS
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_the_link_is_used_while_there_is_more(megabits: float) -> None:
+def test_the_link_is_kept_busy(megabits: float) -> None:
     clock = Clock()
     pace = LinkPace(megabits * BYTES_PER_MEGABIT * USABLE_SHARE, 0.0)
     sent = 0
--- a/tests/request/test_next_attempt.py
+++ b/tests/request/test_next_attempt.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is followed by another, and what that costs."""
+"""Whether a failed attempt is followed by another one, and what that costs."""
 
 from __future__ import annotations
 
@@ -149,7 +149,7 @@
     assert next_step(progress, failed, given) == wanted
 
 
-def test_the_last_one_to_be_asked_for_a_slot_is_of_another_zone() -> None:
+def test_the_last_back_end_to_be_probed_is_of_another_zone() -> None:
     asked = [CallProgress(tries=tries).tries_another_zone for tries in range(MAX_SEEKS + 1)]
     assert asked == [tries == MAX_SEEKS - 1 for tries in range(MAX_SEEKS + 1)]
     assert not CallProgress(tries=MAX_SEEKS - 1, may_wait=True).tries_another_zone
--- a/tests/request/test_overload.py
+++ b/tests/request/test_overload.py
@@ -19,12 +19,12 @@
 SITES = {"1 s deadline": SMALL_SITE, "200 ms deadline": TIGHT_SITE}
 NO_EJECTION = ServiceSettings(slow_start_milliseconds=0, ejection_failures=0)
 RESERVED_RETRIES = 2 * 50
-"""Retries that two nodes may have saved up before a storm."""
+"""Retries that two nodes may have saved up before a retry storm."""
 
 
 @pytest.mark.parametrize("callers", CALLERS)
 @pytest.mark.parametrize("site", SITES)
-def test_three_times_the_capacity_keeps_goodput_and_leaves_no_trace(
+def test_three_times_the_capacity_keeps_goodput_and_has_no_lasting_effect(
     site: str, callers: str
 ) -> None:
     shown = run_overload(SITES[site], 1, CALLERS[callers])
@@ -33,7 +33,7 @@
     assert shown.good_by_class["critical"] > 4 * shown.good_by_class["bulk"] > 0
 
 
-def test_refusals_come_with_a_time_to_ask_again_and_back_ends_stay_in_use() -> None:
+def test_refusals_carry_retry_advice_and_back_ends_stay_in_use() -> None:
     model = Model(SMALL_SITE, 1)
     model.clock.run(0.0)
     model.arrive(OVERLOAD * SMALL_SITE.capacity, 3.0, ("normal",))
@@ -54,15 +54,15 @@
     assert shown.after >= 0.9 * shown.wanted_after
 
 
-def test_callers_that_do_not_wait_do_not_cost_the_others() -> None:
-    """Calls that are refused and sent again at once count as load, no more."""
+def test_callers_that_retry_at_once_do_not_affect_others() -> None:
+    """Calls that are retried at once after a refusal count as load, and no more."""
     site = Site(backends=SMALL_SITE.backends, nodes=2)
     quiet = run_overload(site, 2, Resends())
     storm = run_overload(site, 2, Resends(5, patient=False))
     assert storm.overloaded >= 0.9 * quiet.overloaded
 
 
-def test_back_end_that_fails_fast_draws_no_calls_even_if_it_is_never_ejected() -> None:
+def test_back_end_that_fails_fast_attracts_no_calls_even_if_never_ejected() -> None:
     failing = Traits(slots=10, failure_share=1.0)
     site = Site(backends=(failing, *(Traits(slots=10),) * 2), settings=NO_EJECTION)
     model = Model(site, 1)
--- a/tests/request/test_overloaded_links.py
+++ b/tests/request/test_overloaded_links.py
@@ -1,12 +1,12 @@
-"""Large answers beyond what links carry: what fits is in time, and small ones pass.
-
-Seen: five machines with links of 6 Mbit/s were asked for 54 Mbit/s of large answers.  All
-went into the links as they came: a small answer waited 266 to 473 ms behind them, callers
-held their slots meanwhile, and all large ones were late together.
-Cause: nobody counted what a link was asked for already; each sender sent as fast as its
-peers took it.  The pattern is overload without admission: equal shares of too little room.
-Proof: the model shows it for each way that takes all; only as many as can be through in
-time, one after the other, serves what the links carry.
+"""More large answers than links carry: what fits is in time, small ones are not delayed.
+
+Guards against overload without admission control, where all answers share too little
+capacity equally. Five machines with links of 6 Mbit/s were asked for 54 Mbit/s of large
+answers. Each sender sent as fast as its peers accepted, and nothing counted what a link
+already had to carry. Small answers waited 266 to 473 ms behind the large ones, callers held
+their slots meanwhile, and all large answers were late. The model shows this for each
+strategy that accepts all answers. Accepting only as many as can complete in time, and
+sending them one after the other, uses the links' capacity.
 """
 
 from __future__ import annotations
@@ -20,13 +20,17 @@
 
 SEEDS = (1, 2, 3)
 CARRIED = 0.5
-"""Part of the large answers that the links carry beside the small ones: 27 of 54 Mbit/s."""
+"""Share of the large answers that the links carry besides the small ones: 27 of 54
+Mbit/s."""
 
 CLOSE = 0.94
 
 
-def _around_a_burst(site: Site) -> tuple[float, float, float]:
-    """Give those in aim before a burst of twice the calls for 3 s, 2 s after it, late."""
+def _simulate_burst(site: Site) -> tuple[float, float, float]:
+    """Return the shares in time before and after a burst, and the share that was late.
+
+    The burst has twice the calls for 3 s; "after" begins 2 s after its end.
+    """
     before, after, late = [], [], []
     for seed in SEEDS:
         model = LargeAnswers(site, seed)
@@ -41,15 +45,15 @@
     return mean(before), mean(after), mean(late)
 
 
-def test_what_the_links_carry_is_in_time_and_a_burst_passes() -> None:
-    before, after, late = _around_a_burst(Site())
+def test_answers_within_link_capacity_are_in_time_and_a_burst_passes() -> None:
+    before, after, late = _simulate_burst(Site())
     assert before >= CLOSE * CARRIED
     assert after >= CLOSE * CARRIED
     assert late <= 0.02
 
 
 @pytest.mark.parametrize("way", ["at once", "shared", "earliest"])
-def test_ways_that_take_all_are_late_with_all(way: Way) -> None:
+def test_without_admission_all_answers_are_late(way: Way) -> None:
     model = LargeAnswers(Site(way=way), 1)
     model.load(1.0, 0.0, 15.0)
     model.clock.run(30.0)
@@ -57,7 +61,7 @@
 
 
 @pytest.mark.parametrize("megabits", [1.0, 3.9, 6.0])
-def test_small_answers_pass_on_any_link(megabits: float) -> None:
+def test_small_answers_are_not_delayed_on_any_link(megabits: float) -> None:
     site = Site(
         link_megabits=megabits,
         large_a_second=12.0 * megabits,
@@ -71,7 +75,7 @@
     assert model.small_wait(0.99) <= LINK_QUEUE_SECONDS + PIECE_SECONDS
 
 
-def test_where_there_is_room_nobody_is_refused() -> None:
+def test_no_answer_is_refused_while_links_have_capacity() -> None:
     model = LargeAnswers(Site(large_a_second=20.0), 1)
     model.load(1.0, 0.0, 15.0)
     model.clock.run(30.0)
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is suspected, who is held, for how long, and that all processes come to agree."""
+"""Which requests are suspected or held, for how long, and that all processes agree."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
     return table
 
 
-def test_one_end_says_nothing_two_run_alone_three_are_held() -> None:
+def test_one_crash_is_ignored_two_isolate_and_three_hold_a_request() -> None:
     standings = [after(ends).standing(KEY, 1.0) for ends in range(4)]
     assert standings == ["clear", "clear", "suspect", "held"]
 
 
-def test_one_life_counts_once_however_often_it_is_told() -> None:
+def test_one_incarnation_counts_once_however_often_it_is_reported() -> None:
     table = Quarantine()
     for _ in range(5):
         table.ended(REQUEST, "life-0", 1.0)
     assert table.ends(KEY) == 1
 
 
-def test_a_good_end_clears_and_what_was_told_before_it_does_not_come_back() -> None:
+def test_a_success_clears_a_request_and_outdates_earlier_records() -> None:
     table = after(3)
     late = table.record(KEY, 0.0)
     assert late is not None
@@ -54,7 +54,7 @@
     assert table.cleared(KEY, 3.0) is None
 
 
-def test_a_hold_ends_with_one_run_alone_and_doubles_with_the_next_end() -> None:
+def test_a_hold_ends_with_one_isolated_run_and_doubles_with_the_next_crash() -> None:
     table = after(3)
     assert table.hold_left_seconds(KEY, 1.0) == HOLD_SECONDS - 1.0
     assert table.standing(KEY, HOLD_SECONDS) == "suspect"
@@ -64,7 +64,7 @@
     assert hold_seconds(MAX_INCARNATIONS) == MAX_HOLD_SECONDS
 
 
-def test_what_nobody_comes_again_with_is_forgotten() -> None:
+def test_requests_not_sent_again_are_forgotten() -> None:
     table = after(2)
     table.forget_old(RETENTION_SECONDS - 1.0)
     assert len(table) == 1
@@ -73,7 +73,7 @@
     assert not table.concerns(REQUEST.identity)
 
 
-def test_a_held_request_is_not_pushed_out_by_suspects() -> None:
+def test_a_held_request_is_not_evicted_by_suspects() -> None:
     table = after(3)
     for number in range(2 * MAX_ENTRIES):
         table.ended(Suspect(b"h", b"k-%d" % number), "life-x", 1.0 + number)
@@ -81,7 +81,7 @@
     assert table.standing(KEY, 1.0) == "held"
 
 
-def test_only_a_head_of_a_suspect_concerns() -> None:
+def test_only_the_head_of_a_suspect_is_matched() -> None:
     assert not after(1).concerns(REQUEST.identity)
     table = after(2)
     assert table.concerns(REQUEST.identity)
@@ -90,7 +90,7 @@
     assert not table.concerns(REQUEST.identity)
 
 
-def test_an_old_record_is_not_taken() -> None:
+def test_an_old_record_is_not_merged() -> None:
     table = after(2)
     record = table.record(KEY, RETENTION_SECONDS + 1.0)
     assert record is not None
@@ -111,7 +111,7 @@
 
 
 @given(RECORDS)
-def test_whatever_the_order_and_however_often_all_agree(records: list[CrashRecord]) -> None:
+def test_merging_is_independent_of_order_and_repetition(records: list[CrashRecord]) -> None:
     digests = set()
     for order in permutations(records):
         table = Quarantine()
--- a/tests/request/test_retries_of_callers.py
+++ b/tests/request/test_retries_of_callers.py
@@ -1,4 +1,4 @@
-"""Retries of callers: told from first sends, served after them, spread over time."""
+"""Callers' retries: told apart from first sends, served after them, spread over time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 SETTINGS = ServiceSettings(slow_start_milliseconds=0)
 
 
-def test_a_call_with_less_time_than_usual_came_before() -> None:
+def test_a_call_with_less_time_than_usual_is_a_retry() -> None:
     usual = UsualDeadline()
     assert not any(usual.is_client_retry(time) for time in (4.0, 3.999, 4.0, 4.0))
     assert usual.is_client_retry(3.6)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("retries", [0, 1, 2])
-def test_neither_many_retries_nor_a_few_patient_callers_change_what_is_usual(
+def test_neither_many_retries_nor_a_few_long_time_outs_change_the_usual_one(
     retries: int,
 ) -> None:
     usual = UsualDeadline()
@@ -45,7 +45,7 @@
     assert usual.is_client_retry(3.5)
 
 
-def test_callers_that_change_their_time_are_learned_again() -> None:
+def test_a_changed_time_out_of_callers_is_learned() -> None:
     usual = UsualDeadline()
     for _ in range(100):
         usual.is_client_retry(4.0)
@@ -55,7 +55,7 @@
     assert not usual.is_client_retry(2.0)
 
 
-def test_each_route_has_its_own_and_a_route_that_is_gone_is_forgotten() -> None:
+def test_each_route_has_its_own_and_a_removed_route_is_forgotten() -> None:
     times = UsualDeadlines()
     assert not times.is_client_retry("kassa", "pay", 4.0)
     assert not times.is_client_retry("kassa", "ledger", 0.6)
@@ -65,7 +65,7 @@
     assert not times.is_client_retry("kassa", "pay", 0.6)
 
 
-def test_calls_refused_twice_are_told_moments_spread_by_the_rate_of_answers() -> None:
+def test_retry_advice_is_spread_by_the_rate_of_answers() -> None:
     pace = ClientRetryPace()
     for number in range(200):
         pace.answered(number / 20)
@@ -86,8 +86,8 @@
     assert pace.book(0.1, 1.0 + 2 * MAX_ADVICE_SECONDS) < MAX_ADVICE_SECONDS
 
 
-class Line:
-    """One back end whose slots are taken, and the calls that wait for it."""
+class QueueHarness:
+    """One back end whose slots are all in use, and the calls that wait for it."""
 
     def __init__(self) -> None:
         endpoint = Endpoint("n1", "k", "a", 1, 1, "ready", "10.0.0.1:1", "", SLOTS, 130)
@@ -95,46 +95,46 @@
         self.admission.use_endpoints((endpoint,), 0.0)
         self._numbers = itertools.count(1)
         for _ in range(3):
-            held = [self._taken() for _ in range(SLOTS)]
+            held = [self._dispatched() for _ in range(SLOTS)]
             for dispatch in held:
                 self.admission.finished(dispatch, WORK_SECONDS, "good", 0.0)
-        self.held = [self._taken() for _ in range(SLOTS)]
+        self.held = [self._dispatched() for _ in range(SLOTS)]
 
     def offer(
         self,
         *,
         is_client_retry: bool = False,
-        patience: float = 10.0,
+        wait_seconds: float = 10.0,
         deadline: float = 10.0,
     ) -> Dispatch | Waiting | NotRun:
         ticket = Ticket(
             next(self._numbers),
             "normal",
             deadline,
-            start_by=patience,
+            start_by=wait_seconds,
             is_client_retry=is_client_retry,
         )
         return self.admission.offer(ticket, 0.0)
 
-    def _taken(self) -> Dispatch:
+    def _dispatched(self) -> Dispatch:
         dispatch = self.offer()
         assert isinstance(dispatch, Dispatch)
         return dispatch
 
 
-def test_a_first_call_goes_before_one_that_came_back_with_less_time_left() -> None:
-    line = Line()
-    assert isinstance(line.offer(is_client_retry=True, deadline=3.0), Waiting)
-    assert isinstance(line.offer(deadline=4.0), Waiting)
-    line.admission.finished(line.held.pop(), WORK_SECONDS, "good", 0.0)
-    (started,) = line.admission.ready(0.0)
+def test_a_first_send_goes_before_a_retry_with_less_time_left() -> None:
+    harness = QueueHarness()
+    assert isinstance(harness.offer(is_client_retry=True, deadline=3.0), Waiting)
+    assert isinstance(harness.offer(deadline=4.0), Waiting)
+    harness.admission.finished(harness.held.pop(), WORK_SECONDS, "good", 0.0)
+    (started,) = harness.admission.ready(0.0)
     assert not started.ticket.is_client_retry
 
 
-def test_a_call_is_refused_at_once_if_no_slot_comes_free_while_it_may_wait() -> None:
-    line = Line()
+def test_a_call_is_refused_at_once_if_no_slot_is_expected_in_time() -> None:
+    harness = QueueHarness()
     waiting = 0
-    while isinstance(outcome := line.offer(patience=WORK_SECONDS), Waiting):
+    while isinstance(outcome := harness.offer(wait_seconds=WORK_SECONDS), Waiting):
         waiting += 1
     assert isinstance(outcome, NotRun)
     assert outcome.reason == NO_SLOT_IN_TIME
@@ -142,11 +142,11 @@
     assert outcome.retry_after_milliseconds >= 1_000 * WORK_SECONDS
 
 
-def test_a_waiting_call_is_given_up_when_it_may_wait_no_longer() -> None:
-    line = Line()
-    assert isinstance(line.offer(patience=0.05), Waiting)
-    assert isinstance(line.offer(), Waiting)
-    assert line.admission.impatient(0.04) == []
-    (given_up,) = line.admission.impatient(0.05)
+def test_a_waiting_call_is_given_up_after_its_wait_time_out() -> None:
+    harness = QueueHarness()
+    assert isinstance(harness.offer(wait_seconds=0.05), Waiting)
+    assert isinstance(harness.offer(), Waiting)
+    assert harness.admission.impatient(0.04) == []
+    (given_up,) = harness.admission.impatient(0.05)
     assert given_up.start_by == 0.05
-    assert line.admission.waiting == 1
+    assert harness.admission.waiting == 1
--- a/tests/request/test_running_calls.py
+++ b/tests/request/test_running_calls.py
@@ -1,4 +1,4 @@
-"""Whose call it is: made for a request that the own back end runs, or a caller's."""
+"""Whether a call is made by the local back end for a request it runs, or by a caller."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         (b".", MACHINE, "normal"),
     ],
 )
-def test_a_caller_beside_the_back_end_is_not_taken_for_it(
+def test_another_caller_on_the_machine_is_not_taken_for_the_back_end(
     request_id: bytes, peer: str, expected: str
 ) -> None:
     running = RunningCalls()
@@ -67,7 +67,7 @@
     assert not running.includes_parent_of(b"aa.1")
 
 
-def test_calls_of_calls_name_their_nearest_parent() -> None:
+def test_nested_calls_name_their_nearest_parent() -> None:
     running = RunningCalls()
     running.began(b"aa.bb")
     assert running.includes_parent_of(b"aa.bb.cc")
--- a/tests/request/test_seeking.py
+++ b/tests/request/test_seeking.py
@@ -1,32 +1,32 @@
-"""Asking for a free slot stops where it is in vain, and begins again by itself."""
+"""Probing for a free slot stops after refusals in a row, and resumes by itself."""
 
 from __future__ import annotations
 
 from peppershore.request.seeking import ASKS_IN_VAIN, PAUSE_SECONDS, FreeSlotProbing
 
 
-def in_vain(now: float) -> FreeSlotProbing:
-    seeking = FreeSlotProbing()
+def after_refusals(now: float) -> FreeSlotProbing:
+    probing = FreeSlotProbing()
     for _ in range(ASKS_IN_VAIN):
-        assert not seeking.is_in_vain(now)
-        seeking.refused(now)
-    return seeking
+        assert not probing.is_in_vain(now)
+        probing.refused(now)
+    return probing
 
 
-def test_a_few_refusals_in_a_row_stop_the_asking() -> None:
-    assert in_vain(5.0).is_in_vain(5.0)
+def test_a_few_refusals_in_a_row_stop_the_probing() -> None:
+    assert after_refusals(5.0).is_in_vain(5.0)
 
 
-def test_one_asks_again_after_a_while_and_stops_at_its_refusal() -> None:
-    seeking = in_vain(5.0)
+def test_one_call_probes_again_later_and_its_refusal_stops_probing() -> None:
+    probing = after_refusals(5.0)
     later = 5.0 + PAUSE_SECONDS
-    assert not seeking.is_in_vain(later)
-    seeking.refused(later)
-    assert seeking.is_in_vain(later)
+    assert not probing.is_in_vain(later)
+    probing.refused(later)
+    assert probing.is_in_vain(later)
 
 
-def test_a_slot_that_is_granted_begins_it_again() -> None:
-    seeking = in_vain(5.0)
-    seeking.granted()
-    seeking.refused(5.0)
-    assert not seeking.is_in_vain(5.0)
+def test_a_granted_slot_resumes_probing() -> None:
+    probing = after_refusals(5.0)
+    probing.granted()
+    probing.refused(5.0)
+    assert not probing.is_in_vain(5.0)
--- a/tests/request/test_shared_retries.py
+++ b/tests/request/test_shared_retries.py
@@ -1,4 +1,4 @@
-"""A budget of repeats that many nodes keep together without asking each other."""
+"""A retry budget that many nodes keep together without coordination."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     nodes = 12
     budgets = [SharedRetryBudget(BOUND) for _ in range(nodes)]
     calls: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     chosen = random.Random(5)
     for tick in range(3_000):
         now = tick * 0.01
@@ -21,15 +21,15 @@
         budget.called(now)
         calls.append(now)
         if budget.spend(nodes, now):
-            repeats.append(now)
+            retries.append(now)
     for end in range(10, 31):
-        within = [each for each in repeats if end - 10.0 < each <= end]
+        within = [each for each in retries if end - 10.0 < each <= end]
         asked = [each for each in calls if end - 10.0 < each <= end]
         assert len(within) <= 0.2 * len(asked) + 60.0
-    assert len(repeats) > 100
+    assert len(retries) > 100
 
 
-def test_what_was_spent_comes_back_after_the_window() -> None:
+def test_spent_retries_are_available_again_after_the_window() -> None:
     budget = SharedRetryBudget(BOUND)
     spent = sum(budget.spend(6, 0.0) for _ in range(100))
     assert spent == 7
@@ -37,6 +37,6 @@
     assert budget.spend(6, 10.1)
 
 
-def test_a_node_alone_may_use_all_of_the_slack_but_a_margin() -> None:
+def test_a_single_node_may_use_the_slack_except_a_margin() -> None:
     assert SharedRetryBudget(BOUND).allowed(1) == 42.0
     assert SharedRetryBudget(BOUND).allowed(0) == 42.0
--- a/tests/request/test_shedding_back_ends.py
+++ b/tests/request/test_shedding_back_ends.py
@@ -1,4 +1,4 @@
-"""A back end that refuses for load is passed over for a while, also in its own zone."""
+"""A back end that refuses for load is avoided for a while, even in the local zone."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Generator:
-    """A seeded source of numbers."""
+    """A seeded random source."""
 
     def __init__(self) -> None:
         self._random = random.Random(5)
@@ -67,14 +67,14 @@
     assert _picked([near, far], NEAR, 2.0 + FIRST_SHED_PAUSE_SECONDS) == "near"
 
 
-def test_back_ends_that_all_shed_are_still_used_the_near_one_first() -> None:
+def test_if_all_back_ends_shed_the_near_one_is_used_first() -> None:
     near, far = _state("near", "pasila"), _state("far", "vantaa")
     for state in (near, far):
         state.observe(SECONDS, "shed", 0.0)
     assert _picked([near, far], NEAR, 0.0) == "near"
 
 
-def test_service_that_stays_in_its_zone_keeps_to_the_back_end_that_sheds() -> None:
+def test_without_spill_over_a_shedding_back_end_is_still_used() -> None:
     near, far = _state("near", "pasila"), _state("far", "vantaa")
     near.observe(SECONDS, "shed", 0.0)
     assert _picked([near, far], ONLY_NEAR, 0.0) == "near"
--- a/tests/request/test_slot_loans.py
+++ b/tests/request/test_slot_loans.py
@@ -1,4 +1,4 @@
-"""Slots lent between nodes: the sum holds through crossing, loss and leases."""
+"""Slot loans: the total is never exceeded, despite reordering, lost links and leases."""
 
 from __future__ import annotations
 
@@ -35,12 +35,14 @@
     assert lender.lent(end) == 0
 
 
-def test_borrowers_share_alike() -> None:
+def test_borrowers_share_equally() -> None:
     lender = Lender(SLOTS, CALL_SECONDS)
     assert lender.asked(1, 1, 6, SLOTS, 0.0) == 6
     assert lender.asked(2, 1, 6, SLOTS - 6, 0.0) == 0
     assert lender.asked(1, 2, 6, 0, 0.0) == 3
-    assert lender.lent(0.0) == 6, "what was lent counts until it is confirmed back"
+    assert lender.lent(0.0) == 6, (
+        "lent slots count until the borrower confirms their return"
+    )
     lender.returned(1, 2, 3)
     assert lender.lent(0.0) == 3
     assert lender.asked(2, 2, 6, SLOTS - 3, 0.0) == 3
@@ -58,7 +60,7 @@
     assert [borrower.give_back() for _ in range(3)] == [2, 1, None]
 
 
-def test_confirmation_of_an_older_grant_is_not_taken() -> None:
+def test_confirmation_of_an_older_grant_is_ignored() -> None:
     lender = Lender(SLOTS, CALL_SECONDS)
     lender.asked(1, 1, 1, SLOTS, 0.0)
     lender.asked(1, 2, 5, SLOTS, 0.0)
@@ -67,7 +69,7 @@
 
 
 class LoanMachine(RuleBasedStateMachine):
-    """Two borrowers over links that delay; the back end must never see too many."""
+    """Two borrowers over links with delay; the back end must never get too many calls."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -115,7 +117,7 @@
 
     @rule(index=st.integers(0, 1), count=st.integers(1, 3))
     def exchange(self, index: int, count: int) -> None:
-        """Some messages arrive in turn; the rest stays under way."""
+        """Some messages arrive in order; the rest stays in flight."""
         for _ in range(count):
             self.lender_receives(index)
             self.borrower_receives(index)
@@ -143,7 +145,7 @@
 
     @rule(index=st.integers(0, 1))
     def link_lost_to_the_lender_only(self, index: int) -> None:
-        """A silent cut: the borrower notices nothing yet."""
+        """The link closes at the lender only; the borrower has not noticed yet."""
         self.lender.borrower_lost(self._name(index))
         self.generation[index] += 1
         self.to_lender[index].clear()
--- a/tests/request/test_tenant_callers.py
+++ b/tests/request/test_tenant_callers.py
@@ -1,7 +1,7 @@
-"""On whose behalf a call is made, by its key or by the call it is made for.
+"""On whose behalf a call is made: by its key, or by the running call it belongs to.
 
-Patterns: a key without its tenant; a key that goes, moves or comes while calls wait;
-a node that hears nothing; callers who share the back end's address.
+Cases: a key without a tenant; a key that is removed, moved or added while calls wait; a
+node that receives no confirmations; callers that share the back end's address.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 class Entry:
-    """The way in of one node, with a configuration confirmed so long ago."""
+    """The call entry of one node, with a configuration confirmed ``age_seconds`` ago."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
     assert shown_key([(b"authorization", value)]) == expected
 
 
-def test_two_fields_are_no_key() -> None:
+def test_two_authorization_fields_are_no_key() -> None:
     assert shown_key([*bearer(b"key-a1"), *bearer(b"key-b")]) == b""
     assert shown_key([]) == b""
 
@@ -169,7 +169,7 @@
     assert refused(entry.plan(entry.head(fields))) == (401, reason)
 
 
-def test_a_refusal_is_final_only_by_a_confirmed_configuration() -> None:
+def test_a_refusal_is_final_only_with_a_confirmed_configuration() -> None:
     entry = Entry(age_seconds=APPLY_SECONDS + 0.1)
     for fields in ([], bearer(b"key-c")):
         refusal = refused(entry.plan(entry.head(fields)))
@@ -186,7 +186,7 @@
         (True, REVOCATION_SECONDS + 0.1, False),
     ],
 )
-def test_known_keys_of_a_node_that_hears_nothing(
+def test_known_keys_at_a_node_without_confirmations(
     fail_closed: bool, age_seconds: float, admitted: bool
 ) -> None:
     entry = Entry(age_seconds=age_seconds, fail_closed=fail_closed)
@@ -198,7 +198,7 @@
     assert isinstance(entry.plan(entry.head([], b"/open")), Success)
 
 
-def test_without_tenants_nobody_is_asked_and_nothing_is_taken_off() -> None:
+def test_without_tenants_no_key_is_required_or_removed() -> None:
     entry = Entry({})
     head = entry.head([*bearer(b"key-a1"), (b"x-tenant", b"anna")])
     plan = entry.plan(head).unwrap().plan
@@ -208,7 +208,7 @@
     assert all(name != b"x-tenant" for name, _ in forwarded)
 
 
-def test_the_node_alone_names_the_tenant() -> None:
+def test_only_the_node_sets_the_tenant_field() -> None:
     entry = Entry()
     forged = [(b"x-tenant", b"anna"), (b"x-tenant", b"anna")]
     forwarded = entry.forwarded(entry.head([*forged, *bearer(b"key-b")]))
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize(
     "value", [b"Bearer key-a1", b"Bearer nobody", b"bearer  x y", b"BEARER"]
 )
-def test_a_keyless_route_ignores_a_key_and_takes_it_off(value: bytes) -> None:
+def test_a_keyless_route_ignores_and_removes_a_key(value: bytes) -> None:
     entry = Entry()
     fields = [(b"authorization", value), (b"x-tenant", b"anna")]
     head = entry.head(fields, b"/open")
@@ -231,13 +231,13 @@
     } == set()
 
 
-def test_a_keyless_route_passes_on_what_is_no_key() -> None:
+def test_a_keyless_route_forwards_other_credentials() -> None:
     entry = Entry()
     fields = [(b"authorization", b"Basic YTpi")]
     assert fields[0] in entry.forwarded(entry.head(fields, b"/open"))
 
 
-def test_trailers_say_nothing_that_a_head_may_not() -> None:
+def test_trailers_are_filtered_like_heads() -> None:
     trailers = [*bearer(b"key-a1"), (b"x-tenant", b"anna"), (b"x-sum", b"1")]
     assert Entry().entry.forwarded_trailers(trailers) == [(b"x-sum", b"1")]
     assert (b"x-sum", b"1") in Entry({}).entry.forwarded_trailers(trailers)
@@ -274,7 +274,7 @@
         (b"cc.1", MACHINE, (503, "parent-not-known")),
     ],
 )
-def test_a_caller_beside_the_back_end_needs_its_key(
+def test_another_caller_on_the_machine_needs_its_key(
     request_id: bytes, peer: str, refusal: tuple[int, str]
 ) -> None:
     entry = Entry()
@@ -283,7 +283,7 @@
     assert refused(entry.plan(entry.head(child(request_id), peer=peer))) == refusal
 
 
-def test_a_caller_beside_the_back_end_is_judged_by_its_key() -> None:
+def test_another_caller_on_the_machine_is_identified_by_its_key() -> None:
     entry = Entry()
     entry.running.began(b"aa", "anna")
     head = entry.head(child(b"aa.1", *bearer(b"key-b")), peer=MACHINE)
@@ -293,7 +293,7 @@
     assert refused(entry.plan(wrong)) == (401, "unknown-key")
 
 
-def test_what_runs_goes_on_calling_after_its_tenant_was_taken_away() -> None:
+def test_a_running_call_may_make_calls_after_its_tenant_is_removed() -> None:
     entry = Entry()
     entry.running.began(b"aa", "anna")
     entry.use(holding(BOB))
@@ -302,7 +302,7 @@
 
 
 def test_a_node_that_restarted_knows_no_running_call() -> None:
-    """Not for want of a key: nobody waits for it, and it did not run."""
+    """No key is missing, so the refusal is not final; the call did not run."""
     entry = Entry()
     refusal = refused(entry.plan(entry.head(child(), peer=MACHINE)))
     assert refusal == (503, "parent-not-known")
@@ -323,7 +323,7 @@
         ({}, (503, "key-changed-hands")),
     ],
 )
-def test_a_key_that_goes_while_its_call_waits(
+def test_a_key_that_changes_while_its_call_waits(
     later: dict[str, TenantResource], expected: tuple[int, str] | None
 ) -> None:
     entry = Entry()
@@ -334,7 +334,7 @@
     assert seen == expected
 
 
-def test_a_call_that_waits_is_not_run_by_a_configuration_that_became_too_old() -> None:
+def test_a_waiting_call_is_refused_if_the_configuration_becomes_too_old() -> None:
     entry = Entry(fail_closed=True)
     whose = waiting(entry, b"key-b")
     later = NOW + REVOCATION_SECONDS + 1.0
@@ -343,24 +343,24 @@
     assert (refusal.status, refusal.reason) == (503, "keys-not-confirmed")
 
 
-def test_where_no_key_is_known_a_call_waits_half_the_time_of_a_change() -> None:
+def test_at_an_owner_a_call_waits_half_the_time_of_a_change() -> None:
     entry = Entry()
     planned = entry.plan(entry.head(bearer(b"key-b"))).unwrap()
     assert planned.plan.start_by == math.inf
     start_by = entry.entry.start_by(planned.plan, planned.whose, NOW)
     assert start_by == pytest.approx(NOW + APPLY_SECONDS / 2)
-    impatient = msgspec.structs.replace(planned.plan, start_by=NOW + 0.1)
-    assert entry.entry.start_by(impatient, planned.whose, NOW) == NOW + 0.1
+    short_wait = msgspec.structs.replace(planned.plan, start_by=NOW + 0.1)
+    assert entry.entry.start_by(short_wait, planned.whose, NOW) == NOW + 0.1
 
 
-def test_where_no_key_is_known_a_call_waits_no_longer_than_keys_count() -> None:
+def test_at_an_owner_a_call_waits_no_longer_than_keys_are_trusted() -> None:
     entry = Entry(age_seconds=REVOCATION_SECONDS - 0.4, fail_closed=True)
     planned = entry.plan(entry.head(bearer(b"key-b"))).unwrap()
     start_by = entry.entry.start_by(planned.plan, planned.whose, NOW)
     assert start_by == pytest.approx(NOW + 0.4)
 
 
-def test_a_call_of_a_back_end_waits_as_long_as_ever() -> None:
+def test_a_call_of_a_back_end_has_its_usual_wait_time_out() -> None:
     entry = Entry()
     entry.running.began(b"aa", "anna")
     planned = entry.plan(entry.head(child(), peer=MACHINE)).unwrap()
@@ -368,7 +368,7 @@
     assert start_by == planned.plan.start_by
 
 
-def test_keys_change_by_what_differs() -> None:
+def test_only_changed_keys_are_updated() -> None:
     keys = TenantKeys()
     keys.use(BOTH)
     kept = keys.holder(key_digest(b"key-b"))
--- a/tests/request/test_unconfirmed_refusals.py
+++ b/tests/request/test_unconfirmed_refusals.py
@@ -1,8 +1,8 @@
-"""What a caller takes as final is said only by a confirmed configuration.
+"""A final refusal requires a recently confirmed configuration.
 
-Seen: a call on a route that had been added was refused with 404 by a node that had not
-heard of it for longer than operators' bound.  A refusal that another version may take
-back is no answer: past the bound the caller is told to come again.
+Guards against a 404 for a route that had been added: a node that had received no
+confirmation for longer than the operators' bound refused the call. Beyond the bound, the
+refusal must be a temporary one, since another version may accept the call.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from peppershore.version.model import RouteResource, RouteSettings, Scope
 
 BOUND_SECONDS = 5.0
-"""A change is in force everywhere within this time, where no settings say otherwise."""
+"""Time within which a change is in force everywhere, unless the settings say otherwise."""
 NOW = 1_000.0
 ROUTES = (
     ("open", RouteSettings(path_prefix="/open", audience=("public",), max_body_bytes=10)),
@@ -35,7 +35,7 @@
 
 
 def planned(head: RequestHead, age_seconds: float) -> Result[EntryPlan, NotRun]:
-    """Judge a call by a configuration that was confirmed so long ago."""
+    """Plan a call with a configuration that was confirmed ``age_seconds`` ago."""
     settings = NodeSettings(
         cluster="mesh",
         node="n1",
@@ -60,13 +60,13 @@
 
 
 @pytest.mark.parametrize("reason", FINAL)
-def test_past_the_bound_the_caller_is_told_to_come_again(reason: str) -> None:
+def test_past_the_bound_the_refusal_is_temporary(reason: str) -> None:
     head, _ = FINAL[reason]
     refusal = planned(head, BOUND_SECONDS + 0.1).failure()
     assert (refusal.status, refusal.reason) == (503, "configuration-not-confirmed")
     assert refusal.retry_after_milliseconds > 0
 
 
-def test_what_an_old_configuration_allows_is_served_all_the_same() -> None:
+def test_calls_allowed_by_an_old_configuration_are_served() -> None:
     head = RequestHead(b"GET", b"/open", [], 5)
     assert planned(head, 60.0).unwrap().plan.route == "open"
--- a/tests/request/test_work_times.py
+++ b/tests/request/test_work_times.py
@@ -1,4 +1,4 @@
-"""Quick and slow routes of one service; back ends that leave when nobody is ready."""
+"""Quick and slow routes of one service; calls to leaving back ends if none is ready."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SETTINGS = ServiceSettings(slow_start_milliseconds=0)
 
 
-def test_each_route_has_its_mean_and_an_unknown_one_that_of_all() -> None:
+def test_each_route_has_its_mean_and_an_unknown_one_the_overall_mean() -> None:
     times = WorkTimes()
     for _ in range(50):
         times.observe("extract", SLOW_SECONDS)
@@ -43,7 +43,7 @@
 
 
 class Owner:
-    """The own node of a back end that runs quick and slow calls."""
+    """The local node of a back end that runs quick and slow calls."""
 
     def __init__(self) -> None:
         endpoint = Endpoint("n1", "k", "a", 1, 1, "ready", "10.0.0.1:1", "", SLOTS, 130)
@@ -62,7 +62,7 @@
         return self.admission.offer(ticket, 0.0)
 
 
-def test_a_quick_call_is_not_refused_for_the_time_of_slow_ones() -> None:
+def test_a_quick_call_is_not_refused_because_of_slow_ones() -> None:
     owner = Owner()
     assert isinstance(owner.offer("check", deadline=0.25), Waiting)
     refused = owner.offer("extract", deadline=0.25)
@@ -76,7 +76,7 @@
     return Endpoint(node, "k", "a", 1, 1, state, "10.0.0.1:1", owner_address, SLOTS, 130)
 
 
-def test_those_that_leave_are_asked_only_where_nobody_is_ready() -> None:
+def test_leaving_back_ends_get_calls_only_if_none_is_ready() -> None:
     admission = Admission("k", SETTINGS, "a", Randomness(1))
     leaving = _endpoint("n1", "leaving", "10.0.0.1:2")
     admission.use_endpoints((leaving, _endpoint("n2", "ready", "10.0.0.2:2")), 0.0)
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     ("state", "owner_address"), [("leaving", ""), ("warming", "10.0.0.1:2"), ("gone", "")]
 )
-def test_no_back_end_is_asked_that_nobody_can_answer_for(
+def test_back_ends_that_cannot_refuse_late_calls_get_none(
     state: str, owner_address: str
 ) -> None:
     admission = Admission("k", SETTINGS, "a", Randomness(1))
--- a/tests/rollouts/test_version_lanes.py
+++ b/tests/rollouts/test_version_lanes.py
@@ -43,8 +43,8 @@
     return admission
 
 
-def _drawn(admission: Admission, draws: int = DRAWS) -> Counter[str]:
-    """Give how often each back end takes a call that ends at once."""
+def _calls_by_node(admission: Admission, draws: int = DRAWS) -> Counter[str]:
+    """Return how many calls each back end gets if every call ends at once."""
     found: Counter[str] = Counter()
     for number in range(draws):
         ticket = Ticket(number, "normal", 9.0, lane=admission.draw_lane())
@@ -56,14 +56,14 @@
 
 
 def test_the_share_goes_to_few_of_the_new_ones() -> None:
-    found = _drawn(_admission("running"))
+    found = _calls_by_node(_admission("running"))
     new = {node: count for node, count in found.items() if node in NEW}
     assert sum(new.values()) / DRAWS == pytest.approx(SHARE / ALL_CALLS, abs=0.02)
     assert len(new) == 3
 
 
-def test_half_goes_to_all_of_them() -> None:
-    found = _drawn(_admission("running", ALL_CALLS // 2))
+def test_half_of_the_calls_go_to_all_back_ends_of_the_new_version() -> None:
+    found = _calls_by_node(_admission("running", ALL_CALLS // 2))
     assert sum(found[node] for node in NEW) / DRAWS == pytest.approx(0.5, abs=0.03)
     assert set(found) == {*OLD, *NEW}
 
@@ -77,13 +77,15 @@
         ("", 0, {*OLD, *NEW}),
     ],
 )
-def test_an_end_leaves_one_version(state: str, share: int, nodes: set[str]) -> None:
-    assert set(_drawn(_admission(state, share))) == nodes
+def test_a_finished_roll_out_leaves_one_version(
+    state: str, share: int, nodes: set[str]
+) -> None:
+    assert set(_calls_by_node(_admission(state, share))) == nodes
 
 
 @pytest.mark.parametrize("state", ["running", "rolled_back"])
 def test_no_call_of_the_old_version_goes_over_for_want_of_it(state: str) -> None:
-    """Refused, it costs a caller; sent on, a bad version would get more than it may."""
+    """A refusal costs one caller; a moved call gives a bad version more than its share."""
     admission = _admission(state, old=())
     refused = admission.offer(Ticket(1, "normal", 9.0, lane="old"), 0.0)
     assert isinstance(refused, NotRun)
@@ -91,7 +93,7 @@
     assert not admission.has_besides(frozenset(), 0.0, lane="old")
 
 
-def test_a_call_of_the_new_version_goes_over_while_others_do_too() -> None:
+def test_calls_of_the_new_version_may_move_to_the_old_one() -> None:
     admission = _admission("running", slots=1)
     lane: Lane = "new"
     taken = [admission.offer(Ticket(n, "normal", 9.0, lane=lane), 0.0) for n in range(4)]
@@ -99,10 +101,10 @@
     assert [node in NEW for node in nodes] == [True, True, True, False]
 
 
-def test_a_completed_version_that_is_not_there_leaves_the_others() -> None:
+def test_without_back_ends_of_a_completed_version_the_others_are_used() -> None:
     settings = msgspec.convert(
         {"rollout_version": "v9", "rollout_state": "completed"}, ServiceSettings
     )
     admission = _admission("completed")
     admission.use_settings(settings)
-    assert set(_drawn(admission)) == {*OLD, *NEW}
+    assert set(_calls_by_node(admission)) == {*OLD, *NEW}
