--- a/src/peppershore/request/back_ends/own_report.py
+++ b/src/peppershore/request/back_ends/own_report.py
@@ -45,18 +45,18 @@
         self._reported_paces: deque[int] = deque(maxlen=PACE_SAMPLES)
         self._work = WorkTimes()
 
-    def heard(self, told: ToldLoad, known: int, now: float) -> None:
+    def heard(self, reported: ToldLoad, known: int, now: float) -> None:
         """Record the load in an answer, read while the node knew of ``known`` calls there.
 
         Answers that end at about the same time may be read in another order than they were
         written, so work counts as unknown only if two reports in a row include it.
         """
-        excess = max(0, told.running + told.waiting - known)
+        excess = max(0, reported.running + reported.waiting - known)
         self._unknown_calls = min(self._excess, excess)
         self._excess = excess
         self._reported_at = now
-        if told.pace_percent != PACE_NOT_REPORTED:
-            self._add_pace(told.pace_percent, now)
+        if reported.pace_percent != PACE_NOT_REPORTED:
+            self._add_pace(reported.pace_percent, now)
 
     def taken(self, slots: int, now: float) -> int:
         """Return how many slots are taken by work that the node doesn't know of.
@@ -110,8 +110,8 @@
 
     def _mean_pace(self, since: float) -> float:
         """Return the mean of the paces reported since then, else the last one reported."""
-        told = [percent for at, percent in self._paces if at >= since]
-        return sum(told) / len(told) if told else self.pace_percent
+        reported = [percent for at, percent in self._paces if at >= since]
+        return sum(reported) / len(reported) if reported else self.pace_percent
 
     def _add_pace(self, percent: int, now: float) -> None:
         self._reported_paces.append(percent)
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/told_load.py
@@ -22,8 +22,8 @@
 MAX_PERCENT = 10_000
 """No machine is ten times as fast as usual, or a hundred times as slow."""
 
-FIELDS_WITHOUT_PACE = 3
-FIELDS_WITH_PACE = 4
+VALUES_WITHOUT_PACE = 3
+VALUES_WITH_PACE = 4
 
 
 class ToldLoad(msgspec.Struct, frozen=True):
@@ -42,27 +42,27 @@
     """Parse the field's value; return None if it is missing or malformed."""
     if not value or len(value) > MAX_FIELD_BYTES:
         return None
-    figures = [figure.strip(b" ") for figure in value.split(b",")]
-    if len(figures) not in {FIELDS_WITHOUT_PACE, FIELDS_WITH_PACE}:
+    parts = [part.strip(b" ") for part in value.split(b",")]
+    if len(parts) not in {VALUES_WITHOUT_PACE, VALUES_WITH_PACE}:
         return None
-    running, waiting, slots = (_count(figure) for figure in figures[:3])
+    running, waiting, slots = (_count(part) for part in parts[:3])
     if running is None or waiting is None or not slots:
         return None
-    pace = figures[3] if len(figures) == FIELDS_WITH_PACE else b""
+    pace = parts[3] if len(parts) == VALUES_WITH_PACE else b""
     return ToldLoad(running, waiting, slots, _percent(pace))
 
 
-def _count(figure: bytes) -> int | None:
+def _count(part: bytes) -> int | None:
     """Return the integer if it is plausible, else None; a sign is not allowed."""
-    if not figure.isdigit():
+    if not part.isdigit():
         return None
-    count = int(figure)
+    count = int(part)
     return count if count <= MAX_CALLS else None
 
 
-def _percent(figure: bytes) -> int:
+def _percent(part: bytes) -> int:
     """Return the pace without its fraction, or ``PACE_NOT_REPORTED`` if implausible."""
-    whole, point, fraction = figure.partition(b".")
+    whole, point, fraction = part.partition(b".")
     if point and not fraction.isdigit():
         return PACE_NOT_REPORTED
     percent = _count(whole)
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -171,11 +171,11 @@
     if not settings.splits:
         return settings.target or route.service
     targets = parse_splits(settings.splits)
-    drawn = random.below(float(sum(target.weight for target in targets)))
+    sample = random.below(float(sum(target.weight for target in targets)))
     for target in targets:
-        if drawn < target.weight:
+        if sample < target.weight:
             return target.service
-        drawn -= target.weight
+        sample -= target.weight
     return targets[-1].service
 
 
--- a/src/peppershore/request/fingerprint.py
+++ b/src/peppershore/request/fingerprint.py
@@ -65,8 +65,8 @@
         """The digest that identifies the request; that of its head if it has no body."""
         if self._body is None:
             return self.identity
-        whole = blake2b(self.identity + self._body.digest(), digest_size=DIGEST_BYTES)
-        return whole.digest()
+        combined = blake2b(self.identity + self._body.digest(), digest_size=DIGEST_BYTES)
+        return combined.digest()
 
     @property
     def name(self) -> str:
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -146,21 +146,21 @@
     def merge(self, record: CrashRecord, now: float) -> bool:
         """Merge the record of another process; return whether it changed anything."""
         changed_at = now - record.age_milliseconds / MILLISECONDS
-        told = _Entry(
+        received = _Entry(
             record.identity,
             record.generation,
             _bounded(frozenset(record.lives)),
             changed_at,
         )
         known = self._entries.get(record.key)
-        if told.is_old(now):
+        if received.is_old(now):
             return False
-        if known is None or told.generation > known.generation:
-            self._put(record.key, told)
+        if known is None or received.generation > known.generation:
+            self._put(record.key, received)
             return True
-        if told.generation < known.generation or told.lives <= known.lives:
+        if received.generation < known.generation or received.lives <= known.lives:
             return False
-        lives = _bounded(known.lives | told.lives)
+        lives = _bounded(known.lives | received.lives)
         newest = max(known.changed_at, changed_at)
         self._put(record.key, _Entry(known.identity, known.generation, lives, newest))
         return lives != known.lives
--- a/src/peppershore/request/slot_loans.py
+++ b/src/peppershore/request/slot_loans.py
@@ -49,8 +49,8 @@
         self.longest_call_seconds = longest_call_seconds
         self._slots = slots
         self._loans: dict[int, _Loan] = {}
-        self._wanted: dict[int, int] = {}
-        self._lost: list[_Loan] = []
+        self._wanted_slots: dict[int, int] = {}
+        self._orphaned_loans: list[_Loan] = []
 
     @property
     def lendable(self) -> int:
@@ -59,9 +59,11 @@
 
     def lent(self, now: float) -> int:
         """Return the number of slots that borrowers may be using now."""
-        self._lost = [loan for loan in self._lost if self._counts(loan, now)]
+        self._orphaned_loans = [
+            loan for loan in self._orphaned_loans if self._counts(loan, now)
+        ]
         held = sum(loan.slots for loan in self._loans.values() if self._counts(loan, now))
-        return held + sum(loan.slots for loan in self._lost)
+        return held + sum(loan.slots for loan in self._orphaned_loans)
 
     def asked(self, borrower: int, number: int, wanted: int, free: int, now: float) -> int:
         """Return how many slots ``borrower`` may hold now, under grant ``number``.
@@ -69,7 +71,7 @@
         ``free`` is the number of slots used neither by the lender nor by a loan; a loan
         grows only into those.
         """
-        self._wanted[borrower] = wanted
+        self._wanted_slots[borrower] = wanted
         loan = self._loans.setdefault(borrower, _Loan(0, 0, now))
         room = max(0, min(self.lendable - self.lent(now), free))
         granted = min(wanted, self._fair_share(), loan.slots + room)
@@ -94,17 +96,17 @@
 
     def borrower_lost(self, borrower: int) -> None:
         """Record that the link to a borrower closed; its calls may run on for a while."""
-        self._wanted.pop(borrower, None)
+        self._wanted_slots.pop(borrower, None)
         loan = self._loans.pop(borrower, None)
         if loan is not None and loan.slots > 0:
-            self._lost.append(loan)
+            self._orphaned_loans.append(loan)
 
     def _counts(self, loan: _Loan, now: float) -> bool:
         return now < loan.lease_ends + self.longest_call_seconds
 
     def _fair_share(self) -> int:
         """Return the equal share of each borrower that wants slots, at least one."""
-        asking = sum(1 for wanted in self._wanted.values() if wanted > 0)
+        asking = sum(1 for wanted in self._wanted_slots.values() if wanted > 0)
         return max(1, self.lendable // max(1, asking))
 
 
--- a/src/peppershore/request/tenants/fair_shares.py
+++ b/src/peppershore/request/tenants/fair_shares.py
@@ -61,8 +61,8 @@
         Purge the entries of such tickets once they are the majority.
         """
         self.waiting -= 1
-        gone = len(self._heap) - self.waiting
-        if gone > MAX_STALE_ENTRIES and gone * 2 > len(self._heap):
+        stale = len(self._heap) - self.waiting
+        if stale > MAX_STALE_ENTRIES and stale * 2 > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].waiting]
             heapq.heapify(self._heap)
 
--- a/src/peppershore/request/tenants/keys.py
+++ b/src/peppershore/request/tenants/keys.py
@@ -56,12 +56,12 @@
         if tenants is former:
             return
         self._tenants = tenants
-        gone = [held for name, held in former.items() if tenants.get(name) != held]
-        came = [held for name, held in tenants.items() if former.get(name) != held]
-        for tenant in gone:
+        removed = [held for name, held in former.items() if tenants.get(name) != held]
+        added = [held for name, held in tenants.items() if former.get(name) != held]
+        for tenant in removed:
             for digest in tenant.key_digests:
                 self._holders.pop(digest, None)
-        for tenant in came:
+        for tenant in added:
             for digest in tenant.key_digests:
                 self._holders[digest] = tenant
 
--- a/src/peppershore/request/tenants/weights.py
+++ b/src/peppershore/request/tenants/weights.py
@@ -64,40 +64,47 @@
     that reading a weight costs only two look-ups.
     """
 
-    __slots__ = ("_asked", "_configured", "_of_all", "_weights", "_weights_sum", "_zero_at")
+    __slots__ = (
+        "_demand",
+        "_configured",
+        "_total_demand",
+        "_weights",
+        "_weights_sum",
+        "_zero_at",
+    )
 
     def __init__(self, configured: ConfiguredWeights) -> None:
         """Start without demand."""
         self._configured = configured
-        self._asked: dict[str, float] = {}
-        self._of_all = 0.0
+        self._demand: dict[str, float] = {}
+        self._total_demand = 0.0
         self._weights: dict[str, float] = {}
         self._weights_sum = 0.0
         self._zero_at = 0.0
 
     def __len__(self) -> int:
         """Return the number of tenants with recent demand."""
-        return len(self._asked)
+        return len(self._demand)
 
     def asked(self, tenant: str, now: float) -> None:
         """Record a call on behalf of a tenant."""
         if now - self._zero_at > SCALE_SECONDS:
             self._scale_back(now)
         value = math.exp((now - self._zero_at) / DEMAND_SECONDS)
-        if tenant not in self._asked:
+        if tenant not in self._demand:
             weight = self._configured.weight(tenant)
             self._weights[tenant] = weight
             self._weights_sum += weight
-        self._asked[tenant] = self._asked.get(tenant, 0.0) + value
-        self._of_all += value
+        self._demand[tenant] = self._demand.get(tenant, 0.0) + value
+        self._total_demand += value
 
     def weight(self, tenant: str) -> float:
         """Return the part of the room that a tenant should have; above 0."""
-        asked = self._asked.get(tenant)
+        asked = self._demand.get(tenant)
         if asked is None:
             weight = self._configured.weight(tenant)
             return (1.0 - DEMAND_PART) * weight / (self._weights_sum + weight)
-        by_demand = asked / self._of_all
+        by_demand = asked / self._total_demand
         by_weight = self._weights[tenant] / self._weights_sum
         return DEMAND_PART * by_demand + (1.0 - DEMAND_PART) * by_weight
 
@@ -105,10 +112,10 @@
         """Decay the sums, drop idle tenants, and reload the configured weights."""
         decay = math.exp((self._zero_at - now) / DEMAND_SECONDS)
         self._zero_at = now
-        scaled = {name: asked * decay for name, asked in self._asked.items()}
-        self._asked = {
+        scaled = {name: asked * decay for name, asked in self._demand.items()}
+        self._demand = {
             name: asked for name, asked in scaled.items() if asked >= FORGET_BELOW
         }
-        self._of_all = sum(self._asked.values())
-        self._weights = {name: self._configured.weight(name) for name in self._asked}
+        self._total_demand = sum(self._demand.values())
+        self._weights = {name: self._configured.weight(name) for name in self._demand}
         self._weights_sum = sum(self._weights.values())
