--- a/src/peppershore/request/admission.py
+++ b/src/peppershore/request/admission.py
@@ -396,7 +396,7 @@
         return self._refusal(DISPLACED, self._expected_wait(ticket, now))
 
     def _expected_wait(self, ticket: Ticket, now: float) -> float:
-        """Estimate the seconds until a slot is free for this call, by observed means."""
+        """Estimate the seconds until a slot is free for this call, by mean durations."""
         states = [state for state in self._offered.values() if not state.ejected(now)]
         slots = sum(state.slots(now) for state in states)
         if not slots:
--- a/src/peppershore/request/back_ends/link_room.py
+++ b/src/peppershore/request/back_ends/link_room.py
@@ -30,7 +30,8 @@
 """Averaging time of the rate of small messages."""
 
 LINK_QUEUE_SECONDS = 0.03
-"""Maximum time for which a small message waits behind large ones, as work of the link."""
+"""Bound on the bytes of large transfers that a small message waits for, as the time that
+the link needs to send them."""
 
 PIECE_SECONDS = 0.01
 """A large transfer is handed over in pieces that take the link this long."""
@@ -119,7 +120,7 @@
         return transfer
 
     def wait(self, now: float) -> float:
-        """Return in how many seconds one more transfer would complete, without its work."""
+        """Return the seconds until one more transfer, ready now, would complete."""
         return self._completion_time(self._all.octets, now, now) - now
 
     def sized(self, transfer: Transfer, length: int) -> None:
@@ -171,7 +172,10 @@
         return (not transfer.begun, is_late, transfer.due, transfer.number)
 
     def _completion_time(self, size: float, ready_at: float, now: float) -> float:
-        """Return when one more would be complete, after all that are accepted."""
+        """Return when one more would be complete if sent after all accepted ones.
+
+        These go one after the other, in the order in which their first bytes are expected.
+        """
         rate = self.left_rate
         free_at = now
         ahead = sorted(self._transfers.values(), key=lambda each: each.ready_at)
--- a/src/peppershore/request/back_ends/own_report.py
+++ b/src/peppershore/request/back_ends/own_report.py
@@ -61,9 +61,9 @@
     def taken(self, slots: int, now: float) -> int:
         """Return how many slots are taken by work that the node doesn't know of.
 
-        One slot is always left, since a back end that reports too much would otherwise get
-        no calls. None is left if its queue is long too: it might never answer what it can't
-        queue.
+        One slot is left free, since a back end that reports too much would otherwise get no
+        calls. None is left if its queue is long as well, since it might never answer calls
+        that it can't queue.
         """
         if now - self._reported_at >= COUNT_SECONDS:
             return 0
@@ -73,7 +73,7 @@
 
     @property
     def pace_percent(self) -> int:
-        """How long work takes by the last report; 100 is usual for this machine.
+        """Pace by the last report, in percent of the usual one of this machine.
 
         Some back ends report a value that includes the machine's fixed speed. The value
         that a machine usually reports counts as 100 here, since its fixed speed shows in
@@ -91,8 +91,8 @@
         """Report whether the machine is slow for now, so that calls should go elsewhere."""
         if not self._paces:
             return False
-        told_at, percent = self._paces[-1]
-        return slow_seconds(percent, now - told_at) > 0.0
+        reported_at, percent = self._paces[-1]
+        return slow_seconds(percent, now - reported_at) > 0.0
 
     def ended(self, route: str, seconds: float, now: float) -> None:
         """Learn from a call that was answered now how long its work usually takes."""
@@ -101,7 +101,7 @@
             self._work.observe(route, seconds * USUAL_PERCENT / pace)
 
     def mean_pace_percent(self, since: float) -> int:
-        """Return the mean pace since that time; 0 if none was ever reported."""
+        """Return the mean pace in percent since that time; 0 if none was ever reported."""
         return round(self._mean_pace(since)) if self._paces else PACE_NOT_REPORTED
 
     def usual_work(self, route: str) -> float:
--- a/src/peppershore/request/back_ends/pace.py
+++ b/src/peppershore/request/back_ends/pace.py
@@ -15,9 +15,9 @@
 and goes many times a second, and an answer reports the pace as it was at its end."""
 
 SLOW_PERCENT = 150
-"""A machine is slow from this pace on, relative to its own usual one. Smaller differences
-in speed are permanent among the back ends of one service, and redirecting a call costs a
-network round trip."""
+"""A machine is slow from this pace on, relative to its own usual one. Back ends of one
+service differ in speed by as much all the time, and redirecting a call costs a network
+round trip."""
 
 PACE_SAMPLES = 64
 """Number of reported values whose median is a machine's usual pace: a few seconds of
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -26,15 +26,14 @@
 MILLISECONDS = 1_000
 WAIT_SHARE = 0.2
 """Share of a route's target latency for which a call may wait for a slot. A caller that is
-refused within a quarter of the target can still retry in time; the rest is for the network
-round trip."""
+refused within a quarter of the target can still retry in time; the rest of that quarter is
+for the network round trip."""
 
 CROSS_ZONE_GAIN_SHARE = 0.4
 """Share of a route's target latency by which an answer from another zone must be faster to
-justify the traffic between zones. If durations have a standard deviation of half their
-mean, an answer is then late about 15 in 100 times less often, while crossing costs up to 18
-in 100 of an answer. With 0.2, on two of three sites the traffic cost more than the answers
-gained."""
+justify the traffic between zones. If durations spread by half their mean, an answer is then
+late about 15 in 100 times less often, while crossing costs up to 18 in 100 of an answer.
+With 0.2, on two of three sites the traffic cost more than the answers gained."""
 
 NESTED_WAIT_SHARE = 0.4
 """Share of its remaining time for which a call made by a back end may wait for a slot."""
@@ -140,9 +139,10 @@
 
 
 def _crossing_seconds(settings: RouteSettings) -> float:
-    """Return the seconds that another zone must save; infinite for streamed bodies.
+    """Return the seconds that another zone must save, or infinity if it is never worth it.
 
-    Calls with streamed bodies still go to another zone if the local one has no room.
+    That is so without a target latency, and for streamed bodies, because they are large.
+    Such calls still go to another zone if the local one has no room.
     """
     latency = settings.target_latency_milliseconds
     if not latency or settings.streamed_bodies:
@@ -180,7 +180,7 @@
 
 
 def _idempotency_key(settings: RouteSettings, head: RequestHead) -> str:
-    """Return the caller's key if it matters; a call that is safe to retry needs none."""
+    """Return the caller's idempotency key, "" if the call is safe to retry without one."""
     if settings.repeatable:
         return ""
     return head.header(IDEMPOTENCY_KEY_HEADER).decode("latin-1")
--- a/src/peppershore/request/client_retries.py
+++ b/src/peppershore/request/client_retries.py
@@ -1,8 +1,8 @@
 """Detection of retries by callers, and the pacing of those retries.
 
 Under load, a call sent for the first time takes precedence over one that was refused
-before, because the first can still be answered within its target latency. If served oldest
-first, an overloaded service answers every call late and none in time.
+before, because the first can still be answered within its target latency. If calls were
+served oldest first, a service at its limit would answer every call late and none in time.
 """
 
 from __future__ import annotations
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -206,9 +206,9 @@
         """Return the time until an answer, wait included, in multiples of the usual one."""
         pace = self.speed.expected(now, fade)
         slots = self._reported_slots or max(1, self.limit)
-        utilization = UTILIZATION_COST * min(1.0, calls / slots) ** 2
+        utilization_cost = UTILIZATION_COST * min(1.0, calls / slots) ** 2
         wait = max(0, calls + 1 - slots) / slots
-        return pace * (1.0 + utilization + wait)
+        return pace * (1.0 + utilization_cost + wait)
 
     def _expected_latency(self, fade: float) -> float:
         latency = self._latency
--- a/src/peppershore/request/next_attempt.py
+++ b/src/peppershore/request/next_attempt.py
@@ -40,8 +40,8 @@
 
 MAX_CRASHES = 2
 """Number of back ends that may crash under one request, including crashes reported by
-others, before its node stops retrying it. The third attempt is left to a run in
-isolation."""
+others, before its node stops retrying it. A third back end is put at risk only by a run in
+isolation from other suspects."""
 
 
 class CallProgress(msgspec.Struct, frozen=True):
@@ -135,7 +135,10 @@
 
 
 def _after_refusal(progress: CallProgress, failed: NotRun, terms: AttemptTerms) -> NextStep:
-    """Decide after a refusal by a local node: probe for a free slot, then wait for one."""
+    """Decide after a refusal by a local node, so that no back end has seen the call.
+
+    The call first probes for a free slot, then waits where the wait should be shortest.
+    """
     if _may_wait_elsewhere(progress, failed, terms):
         return TryAgain(elsewhere=True, may_wait=True)
     if not failed.retryable or _waits_are_used_up(progress, failed):
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -26,11 +26,12 @@
 HELD_LIVES = 3
 """Number of crashes after which a request is held. Of 70 calls that broke off in one
 recorded series of crashes, 12 had two crashes, 10 of these at the same two back ends within
-0.1 s: nearly all of them only ran next to the cause."""
+0.1 s: nearly all of them only ran at the same time as the request that was the cause."""
 
 HOLD_SECONDS = 600.0
-"""How long a request is held first. A new release of the back end may have fixed the fault,
-so one more run is allowed afterwards; if it crashes again, the hold doubles."""
+"""Duration of a request's first hold. A new release of the back end may have fixed the
+fault, so one more run is allowed afterwards. If the back end crashes again, the request is
+held twice as long as before."""
 
 MAX_HOLD_SECONDS = 86_400.0
 
@@ -69,7 +70,7 @@
 
     @property
     def is_notable(self) -> bool:
-        """Whether all nodes must know of it: it is restricted, or was cleared."""
+        """Whether all nodes must know of it: it is isolated or held, or was cleared."""
         return len(self.lives) >= SUSPECT_LIVES or self.generation > 0
 
     def is_held(self, now: float) -> bool:
@@ -98,11 +99,11 @@
     # --- queries
 
     def concerns(self, identity: bytes) -> bool:
-        """Report whether a request with this head may be a suspect, by its body."""
+        """Report whether a request with this head may be a suspect; the body decides."""
         return identity in self._suspects
 
     def standing(self, key: bytes, now: float) -> Standing:
-        """Return whether a request may run freely, isolated or not at all."""
+        """Return whether a request may run: freely, with no other suspect, or not."""
         entry = self._entries.get(key)
         if entry is None or len(entry.lives) < SUSPECT_LIVES:
             return "clear"
@@ -242,7 +243,7 @@
 
 
 def _bounded(lives: frozenset[str]) -> frozenset[str]:
-    """Truncate the set so that every process retains the same ones, in whatever order."""
+    """Truncate to the same incarnations in all processes, whatever the reports' order."""
     return (
         lives
         if len(lives) <= MAX_INCARNATIONS
--- a/src/peppershore/request/retry_budget.py
+++ b/src/peppershore/request/retry_budget.py
@@ -1,4 +1,7 @@
-"""Retry budget as a share of calls, and retry delays with full jitter."""
+"""Retry budget as a share of calls, and retry delays with full jitter.
+
+Retries are made only while time remains, which the user of this module checks.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 FIRST_DELAY_SECONDS = 0.005
 MAX_DELAY_SECONDS = 0.25
 RESERVE_TOKENS = 3.0
-"""Retries that a service may make before its calls have earned any."""
+"""Retries that a service with few calls may make before its calls have earned any."""
 
 MAX_TOKENS = 50.0
 """Maximum number of retries saved up, so that a long time without failures does not enable
@@ -18,7 +21,7 @@
     """Retry budget of one service: each call earns a share, each retry costs one token."""
 
     def __init__(self) -> None:
-        """Start with the reserve."""
+        """Start with ``RESERVE_TOKENS`` retries."""
         self._tokens = RESERVE_TOKENS
 
     @property
--- a/src/peppershore/request/slot_loans.py
+++ b/src/peppershore/request/slot_loans.py
@@ -81,7 +81,7 @@
         return granted
 
     def recall(self) -> None:
-        """Recall all loans because the back end is leaving."""
+        """Recall all loans, since the back end is leaving: each is to shrink to zero."""
         for loan in self._loans.values():
             loan.number = RECALL_NUMBER
 
--- a/src/peppershore/request/tenants/callers.py
+++ b/src/peppershore/request/tenants/callers.py
@@ -32,8 +32,8 @@
 NO_KEY = NotRun(STATUS_UNAUTHORIZED, "no-key")
 UNKNOWN_KEY = NotRun(STATUS_UNAUTHORIZED, "unknown-key")
 KEY_CHANGED = NotRun(STATUS_UNAVAILABLE, "key-changed-hands", RETRY_AFTER_MILLISECONDS)
-"""Another tenant holds the key by now, or none is required: the call must be checked
-again."""
+"""Another tenant holds the call's key by now, or no call needs a key any more: the call
+must be checked again."""
 
 KEYS_NOT_CONFIRMED = NotRun(
     STATUS_UNAVAILABLE, "keys-not-confirmed", RETRY_AFTER_MILLISECONDS
@@ -55,7 +55,7 @@
     digest: bytes = b""
 
     def __repr__(self) -> str:
-        """Keep the digest out of logs and tracebacks."""
+        """Return a text without the digest, to keep it out of logs and tracebacks."""
         return f"OnBehalf(tenant={self.tenant!r}, priority={self.priority})"
 
 
@@ -92,7 +92,7 @@
         return not self.fails_closed or age_seconds <= self.revocation_seconds
 
     def longest_wait(self, age_seconds: float) -> float:
-        """Return for how many seconds a call with a key may wait at another node."""
+        """Return the seconds that a call with a key may wait at a node without keys."""
         wait = self.apply_seconds * OWNER_WAIT_SHARE
         if not self.fails_closed:
             return wait
@@ -141,7 +141,7 @@
         return Success(OnBehalf(holder.name, holder.priority, digest))
 
     def refusal(self, whose: OnBehalf, age_seconds: float) -> NotRun | None:
-        """Return why a call that waited may not go on, or None if its key is valid."""
+        """Return why a call that waited may not go on, or None if its key still counts."""
         if not whose.digest:
             return None
         holder = self.keys.holder(whose.digest)
--- a/src/peppershore/request/tenants/fair_shares.py
+++ b/src/peppershore/request/tenants/fair_shares.py
@@ -4,8 +4,8 @@
 time goes first, and a call advances its tenant's time by one divided by the tenant's
 weight. Only served calls cost: one that is withdrawn or refused does not. A tenant whose
 queue was empty starts at the virtual time of the tenant served last, so it neither saves up
-credit nor pays for what it got while there was room. Calls without a tenant form one queue,
-so that among themselves they are ordered by deadline.
+credit nor pays for what it got while slots were free. Calls without a tenant form one
+queue, so that among themselves they are ordered by deadline.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 
 class FairQueue(Generic[Waiter]):
-    """The waiting tickets of one rank."""
+    """The waiting tickets of one rank, with a queue per tenant."""
 
     __slots__ = ("_idle_tenant_times", "_tenants", "_time", "_weight_of", "waiting")
 
@@ -101,30 +101,30 @@
 
     def push(self, ticket: Waiter) -> None:
         """Add a waiting ticket."""
-        line = self._tenants.get(ticket.tenant)
-        if line is None:
-            line = TenantQueue[Waiter](self._start_time(ticket.tenant))
+        queue = self._tenants.get(ticket.tenant)
+        if queue is None:
+            queue = TenantQueue[Waiter](self._start_time(ticket.tenant))
             self._idle_tenant_times.pop(ticket.tenant, None)
-            self._tenants[ticket.tenant] = line
-        line.push(ticket)
+            self._tenants[ticket.tenant] = queue
+        queue.push(ticket)
         self.waiting += 1
 
     def left(self, ticket: Waiter) -> None:
         """Record that a ticket no longer waits."""
-        line = self._tenants[ticket.tenant]
-        line.left()
+        queue = self._tenants[ticket.tenant]
+        queue.left()
         self.waiting -= 1
-        if not line.waiting:
-            self._remember_idle(ticket.tenant, line)
+        if not queue.waiting:
+            self._remember_idle(ticket.tenant, queue)
         if not self.waiting:
             self._idle_tenant_times.clear()
             self._time = 0.0
 
     def served(self, ticket: Waiter) -> None:
         """Advance the tenant's virtual time for a ticket that is about to get its slot."""
-        line = self._tenants[ticket.tenant]
-        self._time = max(self._time, line.time)
-        line.time += 1.0 / self._weight_of(ticket.tenant)
+        queue = self._tenants[ticket.tenant]
+        self._time = max(self._time, queue.time)
+        queue.time += 1.0 / self._weight_of(ticket.tenant)
 
     def first(self) -> Waiter | None:
         """Return the ticket to serve next, or None."""
@@ -132,9 +132,9 @@
             return next(iter(self._tenants.values())).first()
         if not self._tenants:
             return None
-        lines = self._tenants.values()
-        least = min(line.time for line in lines)
-        firsts = [line.first() for line in lines if line.time == least]
+        queues = self._tenants.values()
+        least = min(queue.time for queue in queues)
+        firsts = [queue.first() for queue in queues if queue.time == least]
         waiting = [ticket for ticket in firsts if ticket is not None]
         return min(waiting, key=lambda ticket: (ticket.deadline, ticket.number))
 
@@ -144,8 +144,8 @@
 
     def would_hold_less(self, tenant: str, other: str) -> bool:
         """Report whether a tenant with one more ticket would hold less than another one."""
-        line = self._tenants.get(tenant)
-        waiting = line.waiting if line is not None else 0
+        queue = self._tenants.get(tenant)
+        waiting = queue.waiting if queue is not None else 0
         return tenant != other and (waiting + 1) / self._weight_of(tenant) < self._held(
             other
         )
@@ -158,16 +158,16 @@
             return ahead
         begins = self._start_time(tenant) if own is None else own.time
         turn = begins + ahead / self._weight_of(tenant)
-        for name, line in self._tenants.items():
-            if name != tenant and line.time < turn:
-                before = math.ceil((turn - line.time) * self._weight_of(name))
-                ahead += min(line.waiting, before)
+        for name, queue in self._tenants.items():
+            if name != tenant and queue.time < turn:
+                before = math.ceil((turn - queue.time) * self._weight_of(name))
+                ahead += min(queue.waiting, before)
         return ahead
 
     def __iter__(self) -> Iterator[Waiter]:
         """Iterate over the waiting tickets."""
-        for line in self._tenants.values():
-            yield from line
+        for queue in self._tenants.values():
+            yield from queue
 
     # --- internal
 
@@ -177,8 +177,11 @@
     def _start_time(self, tenant: str) -> float:
         return max(self._time, self._idle_tenant_times.get(tenant, 0.0))
 
-    def _remember_idle(self, tenant: str, line: TenantQueue[Waiter]) -> None:
-        """Remove a tenant's empty queue; retain its virtual time if that is ahead."""
+    def _remember_idle(self, tenant: str, queue: TenantQueue[Waiter]) -> None:
+        """Remove a tenant's empty queue.
+
+        Retain its virtual time if it is ahead, since the tenant still has to pay for it.
+        """
         del self._tenants[tenant]
-        if line.time > self._time:
-            self._idle_tenant_times[tenant] = line.time
+        if queue.time > self._time:
+            self._idle_tenant_times[tenant] = queue.time
--- a/src/peppershore/request/tenants/weights.py
+++ b/src/peppershore/request/tenants/weights.py
@@ -13,7 +13,7 @@
 from peppershore.version.model import TenantResource
 
 DEMAND_PART = 0.5
-"""Part of the room that is shared by demand. It is also the minimum ratio of a tenant's
+"""Part of the capacity that is shared by demand. It is also the minimum ratio of a tenant's
 service rate to the average one, whatever the tenant's demand."""
 
 DEMAND_SECONDS = 1.0
@@ -99,12 +99,12 @@
         self._total_demand += value
 
     def weight(self, tenant: str) -> float:
-        """Return the part of the room that a tenant should have; above 0."""
-        asked = self._demand.get(tenant)
-        if asked is None:
+        """Return the share of the capacity that a tenant should have; above 0."""
+        demand = self._demand.get(tenant)
+        if demand is None:
             weight = self._configured.weight(tenant)
             return (1.0 - DEMAND_PART) * weight / (self._weights_sum + weight)
-        by_demand = asked / self._total_demand
+        by_demand = demand / self._total_demand
         by_weight = self._weights[tenant] / self._weights_sum
         return DEMAND_PART * by_demand + (1.0 - DEMAND_PART) * by_weight
 
@@ -112,9 +112,9 @@
         """Decay the sums, drop idle tenants, and reload the configured weights."""
         decay = math.exp((self._zero_at - now) / DEMAND_SECONDS)
         self._zero_at = now
-        scaled = {name: asked * decay for name, asked in self._demand.items()}
+        scaled = {name: demand * decay for name, demand in self._demand.items()}
         self._demand = {
-            name: asked for name, asked in scaled.items() if asked >= FORGET_BELOW
+            name: demand for name, demand in scaled.items() if demand >= FORGET_BELOW
         }
         self._total_demand = sum(self._demand.values())
         self._weights = {name: self._configured.weight(name) for name in self._demand}
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -88,7 +88,7 @@
         self._has_changed = True
 
     def take_news(self) -> tuple[RouteEvidence, ...] | None:
-        """Return all counts if they grew since the last call of this method, else None."""
+        """Return all counts if they changed since this was last called, else None."""
         if not self._has_changed:
             return None
         self._has_changed = False
--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_lanes.py
@@ -82,7 +82,7 @@
 
 
 def _place(node: str) -> int:
-    """Return a node's rank among those of its service: random, and the same everywhere.
+    """Return a node's sort key within its service: random, and the same everywhere.
 
     If they were sorted by name, the first ones would all be in one zone.
     """
--- a/src/peppershore/request/vouching.py
+++ b/src/peppershore/request/vouching.py
@@ -15,7 +15,10 @@
 
 
 class Voucher:
-    """Signs tokens for one service; reuses a token while it is valid and its key signs."""
+    """Signs tokens for one service.
+
+    A token is reused until shortly before it expires, while its key is the signing one.
+    """
 
     def __init__(self, service: str) -> None:
         """Start without a token."""
@@ -25,7 +28,7 @@
         self._authorization = b""
 
     def authorization(self, configuration: ActiveConfiguration, now_unix: float) -> bytes:
-        """Return the header's value, or nothing if the service has no signing secret."""
+        """Return the header's value, empty if the service has no signing secret."""
         settings = configuration.services.get(self._service)
         name = settings.sign_secret if settings is not None else ""
         secret = configuration.secrets.get(name) if name else None
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -17,10 +17,10 @@
 
 RANKS: dict[CallClass, int] = {"critical": 0, "normal": 1, "bulk": 2}
 PRIORITIES = 101
-"""Priorities 0 to 100 within each class."""
+"""Number of priorities within each class: 0 to 100."""
 
 RANKS_OF_CLASS = 2 * PRIORITIES
-"""First sends and retries of each priority."""
+"""Number of ranks of a class: for each priority, one for first sends, one for retries."""
 
 BULK_RANK = RANKS["bulk"] * RANKS_OF_CLASS
 
@@ -83,7 +83,7 @@
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
         """Start empty; ``weight_of`` returns a tenant's share relative to the others."""
         self._weight_of = weight_of
-        self._lines: dict[int, FairQueue[Ticket]] = {}
+        self._queues: dict[int, FairQueue[Ticket]] = {}
         self._length = 0
         self._taken = 0
 
@@ -95,35 +95,35 @@
         """Return how many waiting tickets would go before a new one."""
         own_rank = ticket.rank
         ahead = 0
-        for rank, line in self._lines.items():
+        for rank, queue in self._queues.items():
             if rank < own_rank:
-                ahead += line.waiting
+                ahead += queue.waiting
             elif rank == own_rank:
-                ahead += line.ahead_of(ticket.tenant, ticket.deadline)
+                ahead += queue.ahead_of(ticket.tenant, ticket.deadline)
         return ahead
 
     def push(self, ticket: Ticket) -> None:
         """Add a ticket."""
         ticket.waiting = True
         self._length += 1
-        line = self._lines.get(ticket.rank)
-        if line is None:
-            line = self._lines[ticket.rank] = FairQueue[Ticket](self._weight_of)
-        line.push(ticket)
+        queue = self._queues.get(ticket.rank)
+        if queue is None:
+            queue = self._queues[ticket.rank] = FairQueue[Ticket](self._weight_of)
+        queue.push(ticket)
 
     def remove(self, ticket: Ticket) -> None:
         """Remove a ticket, whatever its position."""
         if ticket.waiting:
             ticket.waiting = False
             self._length -= 1
-            self._lines[ticket.rank].left(ticket)
+            self._queues[ticket.rank].left(ticket)
 
     def peek(self, with_bulk: bool = True) -> Ticket | None:
         """Return the next ticket, or None; without ``with_bulk``, bulk ones are skipped."""
-        for rank in sorted(self._lines, reverse=self._lowest_first()):
+        for rank in sorted(self._queues, reverse=self._lowest_first()):
             if rank >= BULK_RANK and not with_bulk:
                 continue
-            first = self._lines[rank].first()
+            first = self._queues[rank].first()
             if first is not None:
                 return first
         return None
@@ -131,7 +131,7 @@
     def remove_matching(self, matches: Callable[[Ticket], bool]) -> list[Ticket]:
         """Remove and return the waiting tickets for which ``matches`` is true."""
         out = [
-            ticket for line in self._lines.values() for ticket in line if matches(ticket)
+            ticket for queue in self._queues.values() for ticket in queue if matches(ticket)
         ]
         for ticket in out:
             self.remove(ticket)
@@ -141,7 +141,7 @@
         """Record that a ticket got its slot, and remove it."""
         self._taken += 1
         if ticket.waiting:
-            self._lines[ticket.rank].served(ticket)
+            self._queues[ticket.rank].served(ticket)
         self.remove(ticket)
 
     def displaced_by(self, ticket: Ticket) -> Ticket | None:
@@ -149,14 +149,14 @@
 
         It is one of the last rank, and there of the tenant that holds most.
         """
-        for rank in sorted(self._lines, reverse=True):
-            line = self._lines[rank]
-            if not line.waiting:
+        for rank in sorted(self._queues, reverse=True):
+            queue = self._queues[rank]
+            if not queue.waiting:
                 continue
-            last = line.last()
+            last = queue.last()
             if ticket.rank < rank:
                 return last
-            is_less = ticket.rank == rank and line.would_hold_less(
+            is_less = ticket.rank == rank and queue.would_hold_less(
                 ticket.tenant, last.tenant
             )
             return last if is_less else None
--- a/src/peppershore/request/wire_names.py
+++ b/src/peppershore/request/wire_names.py
@@ -46,7 +46,7 @@
 
 
 OWN_NAMES = WireNames()
-"""The product's own interface."""
+"""The default names, which are the product's own interface."""
 
 
 def retry_after_value(names: WireNames, milliseconds: int) -> bytes:
--- a/tests/back_ends/test_own_report.py
+++ b/tests/back_ends/test_own_report.py
@@ -33,9 +33,9 @@
 def test_one_slot_is_left_until_the_queue_is_long_too() -> None:
     """A back end that reports too much still gets calls; one with a full queue does not."""
     report = OwnReport()
-    for told, expected in (((5, 4, 5), 4), ((5, 5, 5), 5)):
+    for reported, expected in (((5, 4, 5), 4), ((5, 5, 5), 5)):
         for _ in range(2):
-            report.heard(ToldLoad(*told), 0, 1.0)
+            report.heard(ToldLoad(*reported), 0, 1.0)
         assert report.taken(5, 1.0) == expected
 
 
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -336,7 +336,7 @@
 
 @pytest.mark.parametrize(("told", "slots"), [(WARMING_NOT_TOLD, 1), (0, 10), (4_000, 1)])
 def test_reported_warm_up_time_overrides_the_setting(told: int, slots: int) -> None:
-    """A back end that is warm is not ramped only because its node has just started."""
+    """A back end that has long been warm is not ramped when its node has just started."""
     settings = ServiceSettings(slow_start_milliseconds=1_000)
     admission = Admission("kassa", settings, "pasila", Randomness(1))
     started = msgspec.structs.replace(_endpoint("k1", slots=10), warming_milliseconds=told)
--- a/tests/request/test_fair_shares.py
+++ b/tests/request/test_fair_shares.py
@@ -119,7 +119,7 @@
 
 
 def test_by_deadline_alone_the_others_pay_for_one_at_nine_times() -> None:
-    """Without tenants, calls are refused under overload: the reason for fair shares."""
+    """By deadline alone, calls without a tenant are refused: the reason for fair shares."""
     owner = Owner()
     served = Counter[str]()
     for _ in range(250):
--- a/tests/request/test_link_jam.py
+++ b/tests/request/test_link_jam.py
@@ -1,8 +1,9 @@
 """Bodies over narrow links: a burst must not leave the links saturated.
 
-Guards against a metastable failure seen on 74 machines with links of 1 Mbit/s and calls
-with bodies of 4 KB, without any fault: the share of calls within their latency objective
-fell from 0.79 to 0.42 within 9 s, which did not happen with links of twenty times the rate.
+Guards against a metastable failure, which outlives its trigger. It was seen on 74 machines
+with links of 1 Mbit/s and calls with bodies of 4 KB, without any fault: the share of calls
+within their latency objective fell from 0.79 to 0.42 within 9 s, which did not happen with
+links of twenty times the rate.
 Each probe for a free slot carried the body, including probes that were refused, so a
 useless send cost the link as much as a useful one. The links into the back ends' machines
 were asked for 138% of their rate; refusals arrived after up to 1.5 s, which caused more
--- a/tests/request/test_retries_of_callers.py
+++ b/tests/request/test_retries_of_callers.py
@@ -80,9 +80,9 @@
     pace = ClientRetryPace()
     assert [pace.book(1.3, 1.0) for _ in range(3)] == pytest.approx([1.3] * 3)
     pace.answered(1.0)
-    told = [pace.book(1.3, 1.0) for _ in range(100)]
-    assert all(1.3 - 1e-9 <= each <= MAX_ADVICE_SECONDS for each in told)
-    assert told[-1] == MAX_ADVICE_SECONDS
+    advised = [pace.book(1.3, 1.0) for _ in range(100)]
+    assert all(1.3 - 1e-9 <= each <= MAX_ADVICE_SECONDS for each in advised)
+    assert advised[-1] == MAX_ADVICE_SECONDS
     assert pace.book(0.1, 1.0 + 2 * MAX_ADVICE_SECONDS) < MAX_ADVICE_SECONDS
 
 
