--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -1,8 +1,8 @@
-"""Gives a back end's answer to the caller: whole, or visibly broken off.
+"""Forwards a back end's answer to the caller: complete, or visibly cut off.
 
-A short answer is held until it is whole, so that a broken one can still be told as
-such, or tried again.  A long one, or one that comes slowly and does not say how long
-it is, is passed on as it comes; if it breaks off, the caller's connection is cut.
+A short answer is buffered until it is complete, so that the call of a broken one can still
+be retried or reported as failed. A long answer, or a slow one without a content length, is
+forwarded as it arrives; if it breaks off, the caller's connection is cut.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 HOLD_ANSWER_BYTES = 64 * 1024
 HOLD_SECONDS = 0.05
-"""An answer that does not say how long it is, is held for so long after it began."""
+"""An answer without a content length is buffered for so long after it began."""
 
-KEY_WANTED = (b"www-authenticate", b"Bearer")
-"""Tells a caller that is refused with 401 how to show its key (RFC 9110, 11.6.1)."""
+BEARER_CHALLENGE = (b"www-authenticate", b"Bearer")
+"""Header that tells a caller refused with 401 how to send its key (RFC 9110, 11.6.1)."""
 
 
 class AnswerRelay:
-    """One answer on its way to one caller."""
+    """The answer to one call, on its way to the caller."""
 
     __slots__ = (
         "_exchange",
@@ -47,7 +47,7 @@
         "_kept",
         "_kept_bytes",
         "_pieces",
-        "_release",
+        "_release_timer",
         "_request_id",
     )
 
@@ -58,9 +58,9 @@
         keep: bool,
         names: WireNames = OWN_NAMES,
     ) -> None:
-        """``keep``: also gather the answer, to be given again to a resend."""
+        """With ``keep`` the answer is also stored, to be returned again to a resend."""
         self._names = names
-        self._release: asyncio.TimerHandle | None = None
+        self._release_timer: asyncio.TimerHandle | None = None
         self._held_bytes = 0
         self._exchange = exchange
         self._request_id = request_id
@@ -72,20 +72,20 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has seen any of it."""
+        """Whether any of the answer was sent to the caller."""
         return self._exchange.head_sent
 
     @property
     def status(self) -> int:
-        """Status of the answer, 0 before its head."""
+        """HTTP status of the answer; 0 before its head was received."""
         return self._head.status if self._head is not None else 0
 
     @property
     def is_shed(self) -> bool:
-        """Whether the back end itself refuses for load.
+        """Whether the back end itself refused the call because of its load.
 
-        A refusal that names an outcome was passed on from a node further on, which
-        has tried what may be tried.
+        A refusal with an outcome header was forwarded from a node further along the path,
+        which has already made all the attempts that are allowed.
         """
         head = self._head
         if head is None or head.status != STATUS_UNAVAILABLE:
@@ -94,21 +94,21 @@
 
     @property
     def is_error(self) -> bool:
-        """Whether the back end itself failed, and the caller has seen nothing of it."""
+        """Whether the back end itself failed, and the caller was sent nothing of it."""
         head = self._head
         if head is None or self.begun or head.status < FIRST_SERVER_ERROR:
             return False
         return all(name != self._names.outcome for name, _ in head.headers)
 
     def head(self, head: AnswerHead) -> None:
-        """Take the head."""
+        """Process the head of the answer; that of a long answer is sent at once."""
         self._head = head
         if head.has_body and (head.content_length or 0) > HOLD_ANSWER_BYTES:
             self._send_head(head)
 
     def data(self, data: bytes) -> None:
-        """Take a piece of the body."""
-        self._keep_piece(data)
+        """Process a piece of the answer's body."""
+        self._store_piece(data)
         if self.begun:
             self._exchange.send_data(data)
             return
@@ -119,20 +119,20 @@
             self._send_held()
 
     def flush(self) -> None:
-        """Write what may be passed on so far."""
+        """Write the part of the answer that may be forwarded so far."""
         if self.begun:
             self._exchange.flush()
             return
         head = self._head
         is_open_ended = head is not None and head.has_body and head.content_length is None
-        if is_open_ended and self._release is None:
+        if is_open_ended and self._release_timer is None:
             loop = asyncio.get_running_loop()
-            self._release = loop.call_later(HOLD_SECONDS, self._pass_on)
+            self._release_timer = loop.call_later(HOLD_SECONDS, self._release_held)
 
     def end(self, trailers: HeaderList) -> None:
-        """The answer is whole."""
+        """Send what is left of the answer, which is complete."""
         head = self._head
-        self._hold_no_more()
+        self._stop_release_timer()
         if not self.begun and head is not None:
             if head.has_body and head.content_length is None and not trailers:
                 head = msgspec.structs.replace(head, content_length=self._held_bytes)
@@ -141,7 +141,7 @@
         self._exchange.send_end(_safe_trailers(trailers, self._names))
 
     def kept(self) -> KeptAnswer | None:
-        """Give the whole answer to keep, or None if it is too long."""
+        """Return the complete answer for storage; None if it is too long or has no head."""
         if self._head is None or self._kept_bytes > MAX_KEPT_BODY_BYTES:
             return None
         headers = tuple(
@@ -152,8 +152,8 @@
         return KeptAnswer(self._head.status, headers, b"".join(self._kept))
 
     def forget(self) -> None:
-        """Drop what came of an attempt that failed before the caller saw any."""
-        self._hold_no_more()
+        """Discard the answer of an attempt that failed before the caller was sent any."""
+        self._stop_release_timer()
         self._head = None
         self._held_bytes = 0
         self._pieces.clear()
@@ -161,7 +161,7 @@
         self._kept_bytes = 0
 
     def give_kept(self, answer: KeptAnswer, head_request: bool) -> None:
-        """Give the first answer again."""
+        """Send the stored answer of the first attempt to a resend."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
@@ -175,8 +175,8 @@
         self._exchange.send_end([])
 
     def fail(self, failed: Failed) -> None:
-        """Tell the caller how the call failed, or cut a begun answer."""
-        self._hold_no_more()
+        """Report to the caller how the call failed; cut an answer that has begun."""
+        self._stop_release_timer()
         if self.begun:
             self._exchange.abort()
             return
@@ -193,7 +193,7 @@
             advice = retry_after_value(names, failed.retry_after_milliseconds)
             headers.append((names.retry_after, advice))
         if failed.status == STATUS_UNAUTHORIZED:
-            headers.append(KEY_WANTED)
+            headers.append(BEARER_CHALLENGE)
         body = outcome + b": " + reason + b"\n"
         self._exchange.send_head(AnswerHead(failed.status, b"", headers, len(body)))
         self._exchange.send_data(body)
@@ -211,28 +211,28 @@
         )
 
     def give_up(self) -> None:
-        """Nobody waits for the answer any more."""
-        self._hold_no_more()
+        """Stop the timer, as the caller no longer waits for the answer."""
+        self._stop_release_timer()
 
-    def _pass_on(self) -> None:
-        """An answer of unknown length comes slowly: the caller waits for what is there."""
-        self._release = None
+    def _release_held(self) -> None:
+        """Send what was received of a slow answer of unknown length."""
+        self._release_timer = None
         if not self.begun and self._head is not None:
             self._send_head(self._head)
             self._send_held()
             self._exchange.flush()
 
-    def _hold_no_more(self) -> None:
-        if self._release is not None:
-            self._release.cancel()
-            self._release = None
+    def _stop_release_timer(self) -> None:
+        if self._release_timer is not None:
+            self._release_timer.cancel()
+            self._release_timer = None
 
     def _send_held(self) -> None:
         for piece in self._pieces:
             self._exchange.send_data(piece)
         self._pieces.clear()
 
-    def _keep_piece(self, data: bytes) -> None:
+    def _store_piece(self, data: bytes) -> None:
         if not self._keep or self._kept_bytes > MAX_KEPT_BODY_BYTES:
             return
         self._kept_bytes += len(data)
--- a/src/peppershore/process/node/data/back_end_pools.py
+++ b/src/peppershore/process/node/data/back_end_pools.py
@@ -1,4 +1,4 @@
-"""Connections of this node to back ends, by address."""
+"""Connection pools of this node to back ends, by address."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BackEndPools:
-    """A pool for each back end; those of lent slots follow the loan."""
+    """A connection pool for each back end; on lent slots the loan sets its limit."""
 
     def __init__(self) -> None:
         """Start without pools."""
@@ -15,7 +15,7 @@
         self._borrowed: dict[str, ConnectionPool] = {}
 
     def pool(self, endpoint: Endpoint) -> ConnectionPool:
-        """Give the pool of a back end that has no authority over its connections."""
+        """Return the pool of a back end, limited only by the endpoint's own setting."""
         pool = self._pools.get(endpoint.address)
         if pool is None:
             pool = ConnectionPool(endpoint.address, endpoint.connections)
@@ -23,9 +23,9 @@
         return pool
 
     def borrowed(self, endpoint: Endpoint, allowance: int) -> ConnectionPool:
-        """Give connections to another node's back end, one a slot that it lends.
+        """Return the pool to another node's back end: one connection for each lent slot.
 
-        So the back end's connections are bounded over all nodes together.
+        This bounds the back end's connections from all nodes together.
         """
         pool = self.pool(endpoint)
         self._borrowed[endpoint.owner_address] = pool
@@ -33,13 +33,13 @@
         return pool
 
     def limit_borrowed(self, owner_address: str, allowance: int) -> None:
-        """A loan changed: close what is above it."""
+        """Limit a pool to a changed loan, and close the connections above it."""
         pool = self._borrowed.get(owner_address)
         if pool is not None:
             pool.limit(allowance)
 
     def keep_only(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Close the pools of back ends that are gone."""
+        """Close the pools of back ends that are not among ``endpoints``."""
         addresses = {endpoint.address for endpoint in endpoints}
         for address in [known for known in self._pools if known not in addresses]:
             self._pools.pop(address).close()
@@ -48,11 +48,11 @@
             del self._borrowed[owner]
 
     def trim(self, now: float) -> None:
-        """Close connections that were idle for long."""
+        """Close connections that were idle for too long."""
         for pool in self._pools.values():
             pool.trim(now)
 
     def close(self) -> None:
-        """Close idle connections now, used ones once their exchange is over."""
+        """Close idle connections now, and those in use once their exchange is over."""
         for pool in self._pools.values():
             pool.close()
--- a/src/peppershore/process/node/data/backend_probe.py
+++ b/src/peppershore/process/node/data/backend_probe.py
@@ -1,4 +1,4 @@
-"""Tells whether the node's own back end takes connections, by trying."""
+"""Checks by connecting whether the node's local back end accepts connections."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class BackendProbe:
-    """Connects every so often; a back end is ready while that works.
+    """Connects at intervals; a back end counts as ready while that succeeds.
 
-    Reports of the back end itself are not asked: they lag or mislead.
+    The back end's own reports are not used here, because they lag or mislead.
     """
 
     def __init__(self, address: str, on_state: Callable[[str], None]) -> None:
-        """``address`` is "IP:port"; ``on_state`` hears of every change."""
+        """``address`` is "IP:port"; ``on_state`` is called with each changed state."""
         self._address = address
         self._on_state = on_state
         self._state = STATE_WARMING
@@ -28,18 +28,18 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin probing."""
+        """Start probing."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """Probe no more."""
+        """Stop probing."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def _run(self) -> None:
         while True:
-            self._take(await self._connects())
+            self._record_result(await self._connects())
             await asyncio.sleep(PROBE_SECONDS)
 
     async def _connects(self) -> bool:
@@ -55,7 +55,7 @@
         transport.close()
         return True
 
-    def _take(self, connects: bool) -> None:
+    def _record_result(self, connects: bool) -> None:
         if connects:
             self._failures = 0
             self._change(STATE_READY)
--- a/src/peppershore/process/node/data/checked_claims.py
+++ b/src/peppershore/process/node/data/checked_claims.py
@@ -1,8 +1,9 @@
-"""Claims whose keys are looked at too: their bounds, and their age.
+"""Claims whose keys are checked as well: their form and their age.
 
-A key that carries its time is refused before the group is asked if no group
-could know it any more, and after the grant if this group keeps records for a
-shorter time: only the group knows its own horizon.
+A key that carries a time is refused before the claims group is asked if it is so old that
+no group could still have a record of it. It is refused after the grant if this group
+retains records for a shorter time: only the group knows its own horizon, the time for which
+it retains records.
 """
 
 from __future__ import annotations
@@ -25,17 +26,17 @@
 
 
 class CheckedClaims:
-    """A ``ClaimsClient`` that refuses keys under which no claim can be trusted."""
+    """A ``ClaimsClient`` that refuses keys with which a claim would not be reliable."""
 
     def __init__(self, claims: ClaimsClient) -> None:
-        """Ask ``claims`` for all else."""
+        """Delegate to ``claims`` what is not refused."""
         self._claims = claims
         self._longest_horizon = DEFAULT_HORIZON_SECONDS
 
     async def claim(
         self, key: str, attempt: str, seconds: float
     ) -> Result[ClaimGranted, ClaimDenied]:
-        """Claim ``key`` for ``attempt``."""
+        """Claim ``key`` for ``attempt``, unless the key is refused."""
         refused = _refusal(key, self._longest_horizon)
         if refused is not None:
             return Failure(refused)
@@ -51,11 +52,11 @@
         return claimed
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer for resends."""
+        """Store the answer for resends."""
         self._claims.complete(key, attempt, answer)
 
     def release(self, key: str, attempt: str) -> None:
-        """Give the claim back."""
+        """Release the claim."""
         self._claims.release(key, attempt)
 
 
--- a/src/peppershore/process/node/data/claim_desk.py
+++ b/src/peppershore/process/node/data/claim_desk.py
@@ -1,4 +1,4 @@
-"""The claims of one node's calls: asked for in the background, kept or given back."""
+"""The claims of one node's calls: requested in the background, completed or released."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ClaimDesk:
-    """Speaks with the claims group, where the node has one."""
+    """Passes claims to the claims group, if the node has one."""
 
     def __init__(self) -> None:
-        """Begin without a claims group."""
+        """Start without a client of a claims group."""
         self.client: ClaimsClient | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def claim(self, key: str, attempt: str, seconds: float, sink: ClaimSink) -> None:
-        """Claim a key; the sink hears of it later."""
+        """Claim a key; ``sink`` receives the result later."""
         assert self.client is not None
         work = self._claim(self.client, key, attempt, seconds, sink)
         task = asyncio.get_running_loop().create_task(work)
@@ -30,17 +30,17 @@
         task.add_done_callback(self._tasks.discard)
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer of a claimed call."""
+        """Store the answer of a claimed call; None if there is none to store."""
         if self.client is not None:
             self.client.complete(key, attempt, answer)
 
     def release(self, key: str, attempt: str) -> None:
-        """Give back the claim of a call that has not run."""
+        """Release the claim of a call that has not run."""
         if self.client is not None:
             self.client.release(key, attempt)
 
     def close(self) -> None:
-        """Ask for no claim any more."""
+        """Cancel the claims that are being requested."""
         for task in self._tasks:
             task.cancel()
 
--- a/src/peppershore/process/node/data/crash_watch.py
+++ b/src/peppershore/process/node/data/crash_watch.py
@@ -1,7 +1,8 @@
-"""Whether the back end's process ended, or only a connection to it.
+"""Finds out whether the back end's process exited, or only a connection to it.
 
-Where a call breaks off, its back end is asked for a connection: a process that is there
-takes one, one that has ended refuses.  Until that is known the call waits for its outcome.
+When a call breaks off, its back end is probed with a new connection: a running process
+accepts it, and the address of one that has exited refuses it. The outcome of the call is
+reported once that is known.
 """
 
 from __future__ import annotations
@@ -16,90 +17,97 @@
 from peppershore.request.recent_keys import RecentKeys
 
 PROBE_SECONDS = 0.25
-"""An address of this machine answers within a millisecond; one that does not says nothing.
-The calls that broke off wait for no longer, a small part of their target latency."""
+"""Time-out of the probe. An address of this machine answers within a millisecond; a missing
+answer proves nothing. The calls that broke off wait no longer than this, a small part of
+their latency objective."""
 
-Tell = Callable[[bool], None]
-"""Hears whether the process has ended."""
+ExitSink = Callable[[bool], None]
+"""Receives whether the process has ended."""
 
 
 class CrashWatch:
-    """Looks after calls that break off at one back end."""
+    """Watches one back end for crashes by the calls that break off there."""
 
     def __init__(self, node: str, address: str) -> None:
-        """Watch the process at ``address`` ("IP:port"), beside this node."""
+        """Watch the process at ``address`` ("IP:port"), co-located with this node."""
         self.on_ended: Callable[[str, tuple[Suspect, ...]], None] = lambda life, under: None
-        """Told of a life that ended without a word, and of what ran there."""
+        """Called with the name of an incarnation that ended without notice, and with the
+        requests that may have caused it."""
         self.life = ""
         self._address = address
-        self._unnamed_lives = (f"{node}-{token_hex(4)}-{n}" for n in itertools.count(1))
+        self._generated_names = (f"{node}-{token_hex(4)}-{n}" for n in itertools.count(1))
         self._is_leaving = False
         self._has_ended = False
-        self._well = RecentKeys()
-        self._broken: list[tuple[Fingerprint, Tell]] = []
-        self._probe: asyncio.Task[None] | None = None
+        self._answered_keys = RecentKeys()
+        self._pending: list[tuple[Fingerprint, ExitSink]] = []
+        self._probe_task: asyncio.Task[None] | None = None
 
-    def begin_life(self, life: str) -> None:
-        """Another life of the back end is there; it may have no name."""
+    def begin_incarnation(self, life: str) -> None:
+        """Watch a new incarnation of the back end; ``life``, its name, may be empty."""
         self.life = life
         self._is_leaving = False
         self._has_ended = False
-        self._well = RecentKeys()
+        self._answered_keys = RecentKeys()
 
-    def says_it_leaves(self) -> None:
-        """Its end is planned from now on, and says nothing of what runs there."""
+    def mark_leaving(self) -> None:
+        """Treat an end from now on as planned: no request is suspected of it."""
         self._is_leaving = True
 
-    def broke_off(self, life: str, fingerprint: Fingerprint, tell: Tell) -> None:
-        """A call of that life broke off; ``tell`` hears whether the process ended."""
+    def broke_off(self, life: str, fingerprint: Fingerprint, sink: ExitSink) -> None:
+        """Report to ``sink`` whether the process exited, since a call to it broke off.
+
+        False is reported at once if ``life`` is not the current incarnation.
+        """
         if life != self.life:
-            tell(False)
+            sink(False)
             return
-        self._broken.append((fingerprint, tell))
-        if self._probe is None:
+        self._pending.append((fingerprint, sink))
+        if self._probe_task is None:
             loop = asyncio.get_running_loop()
-            self._probe = loop.create_task(self._ask(life))
+            self._probe_task = loop.create_task(self._run_probe(life))
 
     def ended_well(self, fingerprint: Fingerprint) -> None:
-        """A call was answered: the present life does not end under its like."""
+        """Record that this incarnation answered such a request: it is no suspect here."""
         if fingerprint.is_known:
-            self._well.add(fingerprint.key)
+            self._answered_keys.add(fingerprint.key)
 
     def close(self) -> None:
-        """Ask no more."""
-        if self._probe is not None:
-            self._probe.cancel()
-            self._probe = None
-
-    async def _ask(self, life: str) -> None:
-        """Ask, or go by the answer of before; what breaks off together is told together."""
-        has_ended = self._has_ended or await _refuses(self._address)
-        self._probe = None
+        """Stop probing."""
+        if self._probe_task is not None:
+            self._probe_task.cancel()
+            self._probe_task = None
+
+    async def _run_probe(self, life: str) -> None:
+        """Probe unless the end is known already; answer all calls that broke off so far."""
+        has_ended = self._has_ended or await _refuses_connections(self._address)
+        self._probe_task = None
         self._has_ended = has_ended and life == self.life
-        self._conclude(self._has_ended)
+        self._report_result(self._has_ended)
 
-    def _conclude(self, has_ended: bool) -> None:
-        broken, self._broken = self._broken, []
+    def _report_result(self, has_ended: bool) -> None:
+        pending, self._pending = self._pending, []
         if has_ended and not self._is_leaving:
-            life = self.life or next(self._unnamed_lives)
-            self.on_ended(life, self._suspects(broken))
-        for _, tell in broken:
-            tell(has_ended)
+            life = self.life or next(self._generated_names)
+            self.on_ended(life, self._suspects(pending))
+        for _, sink in pending:
+            sink(has_ended)
 
-    def _suspects(self, broken: list[tuple[Fingerprint, Tell]]) -> tuple[Suspect, ...]:
-        """Give the requests that may be the cause.
+    def _suspects(self, pending: list[tuple[Fingerprint, ExitSink]]) -> tuple[Suspect, ...]:
+        """Return the requests that may be the cause.
 
-        Not those whose like this life answered before, nor one whose body was not in yet:
-        it can't be known again.
+        Left out are those that this incarnation answered before, and those whose body was
+        not complete: such a request could not be recognized again.
         """
-        known = [each for each, _ in broken if each.is_known and each.identity]
+        known = [each for each, _ in pending if each.is_known and each.identity]
         return tuple(
-            Suspect(each.identity, each.key) for each in known if each.key not in self._well
+            Suspect(each.identity, each.key)
+            for each in known
+            if each.key not in self._answered_keys
         )
 
 
-async def _refuses(address: str) -> bool:
-    """Whether nobody listens there; no answer says nothing."""
+async def _refuses_connections(address: str) -> bool:
+    """Return whether connections are refused there; False if there is no answer."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(PROBE_SECONDS):
--- a/src/peppershore/process/node/data/gauges.py
+++ b/src/peppershore/process/node/data/gauges.py
@@ -7,7 +7,7 @@
 
 
 def add_call_gauges(metrics: ProcessMetrics, plane: DataPlane) -> None:
-    """Show the ends of calls and what is in flight."""
+    """Register the metrics of finished calls, calls in progress and the back end."""
     counts = plane.calls.counts
     metrics.add_source(plane.calls.figures)
     metrics.add_source(plane.calls.quotas.figures)
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -1,8 +1,8 @@
-"""Hands large answers to the machine's link no faster than it carries them.
+"""Sends large answers to the machine's network link no faster than the link carries them.
 
-The shell of ``LinkRoom`` and ``LinkPace``: it runs the timer and counts what this node
-sends beside.  All large answers that leave by this node's link go through here, to
-callers and to other nodes.
+Runs the timer for ``LinkRoom`` and ``LinkPace``, which decide, and counts the other traffic
+that this node sends. All large answers that leave over this node's link pass through here,
+whether to callers or to other nodes.
 """
 
 from __future__ import annotations
@@ -22,179 +22,183 @@
 from peppershore.request.outcome import LINK_FULL, STATUS_UNAVAILABLE, NotRun
 
 MILLISECONDS = 1_000
-HELD_SECONDS = 1.0
-"""Answers are held here for as much as the link carries in this time; beyond it back ends
-are read no further."""
+BUFFER_SECONDS = 1.0
+"""Large answers are buffered up to as many bytes as the link carries in this time; beyond
+that, reading from the back ends pauses."""
 
-LEAST_HELD_BYTES = 32 * 1024
-"""Each answer may hold so much here, whatever the others hold."""
+MIN_BUFFERED_BYTES = 32 * 1024
+"""Each answer may have so many bytes buffered, however much the others have."""
 
-LEAST_WINDOW_BYTES = 4 * 1024
-LEAST_RETRY_AFTER_MILLISECONDS = 100
-LOOK_SECONDS = 0.1
-"""The rate of small messages is looked at so often at most."""
+MIN_WINDOW_BYTES = 4 * 1024
+MIN_RETRY_AFTER_MILLISECONDS = 100
+MEASURE_INTERVAL_SECONDS = 0.1
+"""Minimum time between two measurements of the rate of small messages."""
 
 
 class Timer(Protocol):
-    """What is due later."""
+    """A callback that is due later."""
 
     def cancel(self) -> None:
-        """Let it not happen."""
+        """Cancel the callback."""
 
 
-class Timers(Protocol):
-    """The part of a loop that is used here."""
+class EventLoop(Protocol):
+    """The part of an event loop that is used here."""
 
     def time(self) -> float:
-        """Give monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
-        """Call back after so many seconds."""
+        """Run ``callback`` after ``delay`` seconds."""
 
 
 class LargeSender(Protocol):
-    """One large answer that waits for its turn."""
+    """One large answer that waits for its turn on the link."""
 
-    def send_some(self, octets: int) -> None:
-        """Put up to so many bytes of it on the link."""
+    def send_up_to(self, octets: int) -> None:
+        """Send up to ``octets`` bytes of the answer on the link."""
 
-    def read_on(self) -> None:
-        """There is room to hold more of it."""
+    def resume_reading(self) -> None:
+        """Resume reading the answer, since there is room to buffer more of it."""
 
 
 class LargeAnswers:
-    """All large answers that leave by this node's link."""
+    """Schedules all large answers that leave over this node's link."""
 
     def __init__(
         self,
         link_megabits: float,
         octets_sent: Callable[[], int] | None = None,
-        timers: Timers | None = None,
+        event_loop: EventLoop | None = None,
     ) -> None:
-        """``octets_sent`` gives all bytes that this node ever sent."""
-        self._loop = timers or asyncio.get_running_loop()
+        """``octets_sent`` returns the total of bytes that this process has sent."""
+        self._loop = event_loop or asyncio.get_running_loop()
         self._octets_sent = octets_sent or _all_octets_sent
         now = self._loop.time()
         self._room = LinkRoom(link_megabits)
         self._pace = LinkPace(self._room.rate, now)
-        self._most_held = int(self._room.rate * HELD_SECONDS)
+        self._max_buffered = int(self._room.rate * BUFFER_SECONDS)
         self._senders: dict[int, LargeSender] = {}
-        self._held_back: set[LargeSender] = set()
+        self._paused_senders: set[LargeSender] = set()
         self._timer: Timer | None = None
         self._is_sending = False
-        self._seen = self._octets_sent()
-        self._large = 0
-        self._small = 0
-        self._looked_at = now
+        self._octets_seen = self._octets_sent()
+        self._large_octets = 0
+        self._small_octets = 0
+        self._measured_at = now
 
     @property
     def room(self) -> LinkRoom:
-        """What is promised to the link."""
+        """The transfers that were accepted for the link."""
         return self._room
 
     @property
     def wait_milliseconds(self) -> int:
-        """For how long one more would wait for the link; 0 while none is promised."""
+        """Time until one more answer would be through the link; 0 if there is no other."""
         if not self._room.transfers:
             return 0
         now = self._loop.time()
-        self._look(now)
+        self._measure_traffic(now)
         return math.ceil(self._room.wait(now) * MILLISECONDS)
 
     @property
     def window_bytes(self) -> int:
-        """Bytes of one more answer that may be on their way to this node."""
+        """Number of bytes of one more answer that may be in transit to this node."""
         window = self._room.rate * LINK_QUEUE_SECONDS / (self._room.transfers + 1)
-        return max(LEAST_WINDOW_BYTES, int(window))
+        return max(MIN_WINDOW_BYTES, int(window))
 
     def offer(
         self, route: str, due: float, work: float, sender: LargeSender
     ) -> Transfer | NotRun:
-        """Take one more, or refuse it: it would not be through in time."""
+        """Accept one more answer, or refuse it if it would not be through in time.
+
+        ``due``: when it should be through (monotonic seconds); ``work``: seconds until its
+        first bytes are expected.
+        """
         now = self._loop.time()
-        self._look(now)
+        self._measure_traffic(now)
         offered = self._room.offer(route, due, work, now)
         if not isinstance(offered, Transfer):
             return link_full(offered)
         self._senders[offered.number] = sender
         return offered
 
-    def came(self, transfer: Transfer, octets: int) -> None:
-        """More of an answer is here."""
+    def received(self, transfer: Transfer, octets: int) -> None:
+        """Record that ``octets`` more bytes of an answer were received and buffered."""
         self._room.came(transfer, octets, self._loop.time())
 
-    def went(self, transfer: Transfer, octets: int) -> None:
-        """So many bytes of an answer go to the link now."""
+    def forwarded(self, transfer: Transfer, octets: int) -> None:
+        """Record that ``octets`` bytes of an answer are sent on the link now."""
         self._room.went(transfer, octets)
-        self._large += octets
+        self._large_octets += octets
 
-    def may_hold_more(self, transfer: Transfer) -> bool:
-        """Whether more of an answer may be read from its back end."""
-        return self._room.held <= self._most_held or transfer.held <= LEAST_HELD_BYTES
+    def may_buffer_more(self, transfer: Transfer) -> bool:
+        """Return whether more of an answer may be read from its back end."""
+        return self._room.held <= self._max_buffered or transfer.held <= MIN_BUFFERED_BYTES
 
-    def hold_back(self, sender: LargeSender) -> None:
-        """Tell ``sender`` when more may be read."""
-        self._held_back.add(sender)
+    def pause_until_room(self, sender: LargeSender) -> None:
+        """Call ``sender.resume_reading`` once more may be read."""
+        self._paused_senders.add(sender)
 
-    def kick(self) -> None:
-        """Some answer has bytes to go, or its receiver takes more."""
+    def send_due(self) -> None:
+        """Send what is due: an answer got bytes to send, or its receiver accepts more."""
         if self._timer is None and not self._is_sending:
             self._send()
 
-    def over(self, transfer: Transfer, is_whole: bool) -> None:
-        """An answer is through, or given up."""
+    def finished(self, transfer: Transfer, is_whole: bool) -> None:
+        """Remove an answer that is complete (``is_whole``) or was given up."""
         sender = self._senders.pop(transfer.number, None)
         if sender is not None:
-            self._held_back.discard(sender)
+            self._paused_senders.discard(sender)
         self._room.over(transfer, is_whole)
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Stop sending."""
         if self._timer is not None:
             self._timer.cancel()
 
-    # --- inside
+    # --- internal
 
     def _send(self) -> None:
-        """Hand over what the link takes now; look again while there is more."""
+        """Send what the link accepts now; run again later while there is more."""
         self._timer = None
         self._is_sending = True
         now = self._loop.time()
-        self._look(now)
+        self._measure_traffic(now)
         transfer = self._room.next(now)
         while transfer is not None and self._pace.may_send(now):
-            self._senders[transfer.number].send_some(self._pace.piece)
-            self._look(now)
+            self._senders[transfer.number].send_up_to(self._pace.piece)
+            self._measure_traffic(now)
             transfer = self._room.next(now)
-        self._read_on()
+        self._resume_paused()
         self._is_sending = False
         if self._room.next(now) is not None:
             self._timer = self._loop.call_later(self._pace.pause, self._send)
 
-    def _read_on(self) -> None:
-        for sender in list(self._held_back):
-            if self._room.held <= self._most_held:
-                self._held_back.discard(sender)
-                sender.read_on()
+    def _resume_paused(self) -> None:
+        for sender in list(self._paused_senders):
+            if self._room.held <= self._max_buffered:
+                self._paused_senders.discard(sender)
+                sender.resume_reading()
 
-    def _look(self, now: float) -> None:
-        """Count what was sent since the last look."""
+    def _measure_traffic(self, now: float) -> None:
+        """Count the bytes sent since the last call; update the rate of small messages."""
         octets = self._octets_sent()
-        sent = octets - self._seen
-        self._seen = octets
+        sent = octets - self._octets_seen
+        self._octets_seen = octets
         self._pace.sent(sent)
-        self._small += sent
-        elapsed = now - self._looked_at
-        if elapsed >= LOOK_SECONDS:
-            self._room.small_sent(max(0, self._small - self._large), elapsed)
-            self._looked_at = now
-            self._small = 0
-            self._large = 0
+        self._small_octets += sent
+        elapsed = now - self._measured_at
+        if elapsed >= MEASURE_INTERVAL_SECONDS:
+            self._room.small_sent(max(0, self._small_octets - self._large_octets), elapsed)
+            self._measured_at = now
+            self._small_octets = 0
+            self._large_octets = 0
 
 
 def link_full(seconds_late: float) -> NotRun:
-    """Give the refusal of a call whose answer would be through so much too late."""
-    advice = max(LEAST_RETRY_AFTER_MILLISECONDS, math.ceil(seconds_late * MILLISECONDS))
+    """Return the refusal of a call whose answer would be through ``seconds_late`` late."""
+    advice = max(MIN_RETRY_AFTER_MILLISECONDS, math.ceil(seconds_late * MILLISECONDS))
     return NotRun(STATUS_UNAVAILABLE, LINK_FULL, advice, retryable=True)
 
 
--- a/src/peppershore/process/node/data/link_guard.py
+++ b/src/peppershore/process/node/data/link_guard.py
@@ -1,4 +1,4 @@
-"""Which messages are taken on call links, by the peer's certificate."""
+"""Authorizes the messages on call links by the peer's certificate."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from peppershore.process.commands import Notice
 from peppershore.process.shell import MessageRefused
 
-MAX_REMEMBERED = 20_000
+MAX_CACHED_PAIRS = 20_000
 
 
 class LinkGuard:
-    """Asks once for each peer and kind of message; what was allowed is remembered."""
+    """Authorizes messages; caches what is allowed for each peer and type of message."""
 
     def __init__(self, authorize: Authorize, notice_sink: Callable[[Notice], None]) -> None:
-        """``notice_sink`` hears of refused messages."""
+        """``notice_sink`` receives a notice of each refused message."""
         self._authorize = authorize
         self._notice_sink = notice_sink
         self._allowed: set[tuple[str, type[Message]]] = set()
 
     def allows(self, link: Link, message: Message) -> bool:
-        """Whether the peer may send this; a refused message ends its link."""
+        """Return whether the peer may send this; if not, the caller closes the link."""
         kind = (link.peer_identity, type(message))
         if kind in self._allowed:
             return True
@@ -33,6 +33,6 @@
             notice = MessageRefused(link.peer_address, link.peer_identity, refusal)
             self._notice_sink(notice)
             return False
-        if not isinstance(message, CallLinkHello) and len(self._allowed) < MAX_REMEMBERED:
+        if not isinstance(message, CallLinkHello) and len(self._allowed) < MAX_CACHED_PAIRS:
             self._allowed.add(kind)
         return True
--- a/src/peppershore/process/node/data/notices.py
+++ b/src/peppershore/process/node/data/notices.py
@@ -1,4 +1,4 @@
-"""What the data plane reports to logs and metrics."""
+"""Notices of the data plane for logs and metrics."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class MalformedRequest(Notice, frozen=True):
-    """A request that no two parsers surely read alike was refused."""
+    """A request was refused because two parsers might read it differently."""
 
     reason: str
     status: int
 
 
 class BackendEjected(Notice, frozen=True):
-    """A back end kept failing and gets no calls of this node for a while."""
+    """A back end kept failing and gets no calls from this node for ``seconds``."""
 
     level: ClassVar[str] = "warning"
     service: str
@@ -24,7 +24,7 @@
 
 
 class RetryBudgetSpent(Notice, frozen=True):
-    """Calls of a service fail without a retry, as its budget is used up."""
+    """Calls of a service fail without a retry, because its retry budget is used up."""
 
     level: ClassVar[str] = "warning"
     is_call: ClassVar[bool] = True
@@ -32,13 +32,16 @@
 
 
 class BackendStateSeen(Notice, frozen=True):
-    """This node's own back end changed as seen by probing and draining."""
+    """The state of this node's local back end changed, by its probe or a drain."""
 
     state: str
 
 
 class BackEndEnded(Notice, frozen=True):
-    """This node's own back end ended without a word; ``under`` names what ran there."""
+    """This node's local back end ended without notice.
+
+    ``under`` names the requests that ran there and may be the cause.
+    """
 
     level: ClassVar[str] = "warning"
     service: str
@@ -47,7 +50,7 @@
 
 
 class DrainEnded(Notice, frozen=True):
-    """The planned stop of calls is over; what was waited for, and what was left."""
+    """A planned stop is over: the calls waited for at its start, and those cut off."""
 
     seconds: float
     calls_at_start: int
@@ -56,12 +59,13 @@
 
 
 class OverLimit(Notice, frozen=True):
-    """A call was refused by its tenant's limit, or as nobody knew what is left of it.
+    """A call was refused by its tenant's limit, or because the rest of it is not known.
 
-    ``rate_per_second`` and ``burst`` are the limit as this node holds it, ``knowledge``
-    what decided: "used-up" or "nobody-answered".  ``knowledge_age_milliseconds``: since
-    the last answer for this tenant came here, -1 for never.  ``left_out``: refusals of
-    this tenant since its last line here.
+    ``rate_per_second`` and ``burst`` are the limit as this node has it. ``knowledge`` is
+    the cause: "used-up" or "nobody-answered". ``knowledge_age_milliseconds`` is the time
+    since this node last received an answer for this tenant, -1 for never. ``left_out``
+    is the number of this tenant's refusals that were not logged here since its last log
+    line.
     """
 
     tenant: str
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -1,7 +1,8 @@
-"""This node's own back end: the one authority over its slots and its drain.
+"""This node's local back end: the one authority over its slots and its drain.
 
-Every call to it passes here, so what was acknowledged to the back end binds here: one
-that leaves gets no new call after a bound, and a call is meant for one life of it.
+Every call to the back end passes through here, so what was acknowledged to the back end is
+enforced here. A back end that is leaving gets no new call after a bounded time, and a call
+runs only at the incarnation (one run of the back end's process) that it was meant for.
 """
 
 from __future__ import annotations
@@ -49,12 +50,12 @@
 
 LEAVING_RETRY_AFTER_MILLISECONDS = 100
 SLOW_RETRY_AFTER_MILLISECONDS = 100
-KICK_SECONDS = 0.02
+RECHECK_SECONDS = 0.02
 MILLISECONDS = 1_000
 
 
 class OwnBackend:
-    """Admits every call to the back end beside this node."""
+    """Admits every call to the back end that is co-located with this node."""
 
     def __init__(
         self,
@@ -68,10 +69,11 @@
         large_answers: LargeAnswers | None = None,
         weights: ConfiguredWeights | None = None,
     ) -> None:
-        """Start with all slots free; ``transfers`` bounds large bodies on their way.
+        """Start with all slots free.
 
-        ``large_answers`` go out by this node's link; None: it is wide enough.
-        ``weights`` are those of the tenants of the configuration in use.
+        ``transfers`` bounds the large request bodies in transit. ``large_answers``
+        schedules the large answers on this node's link; None if the link is wide enough.
+        ``weights`` holds the tenants' weights of the configuration in use.
         """
         self.large_answers = large_answers
         self.leaving = False
@@ -84,15 +86,15 @@
         self.evidence = VersionEvidence()
         self.report = OwnReport()
         self.sent_on = 0
-        """Calls refused since the machine was slow, so that they go elsewhere."""
+        """Number of calls refused because the machine was slow, to be sent elsewhere."""
         self._warm_at = 0.0
-        self._ahead = BodiesAhead()
+        self._prefetches = BodiesAhead()
         self._awaiting_transfer: dict[WaitingAttempt, None] = {}
         self._endpoint = endpoint
         self.service = endpoint.service
         self._names = names
         self._life = NO_LIFE
-        self._refuse: asyncio.TimerHandle | None = None
+        self._refuse_timer: asyncio.TimerHandle | None = None
         self._offered_slots = endpoint.slots
         self._lent = 0
         self.pool = ConnectionPool(endpoint.address, endpoint.connections)
@@ -102,32 +104,37 @@
             endpoint.service, settings, endpoint.zone, random, weights=weights
         )
         self.admission.use_endpoints((endpoint,), now)
-        self._numbers = itertools.count(1)
+        self._ticket_numbers = itertools.count(1)
         self._waiting: dict[int, WaitingAttempt] = {}
-        self._kick: asyncio.TimerHandle | None = None
+        self._recheck_timer: asyncio.TimerHandle | None = None
 
     @property
     def life(self) -> Life:
-        """The life that calls are meant for now."""
+        """The current incarnation, to which new calls are sent."""
         return self._life
 
     @property
     def in_flight(self) -> int:
-        """Calls that hold a slot or wait for one here."""
+        """Number of calls here that hold a slot, wait, or have their body prefetched.
+
+        Those that wait are queued for a slot or, with a large body, for room on the link.
+        """
         waiting = self.admission.waiting + len(self._awaiting_transfer)
-        return self.admission.in_flight + self._ahead.coming + waiting
+        return self.admission.in_flight + self._prefetches.coming + waiting
 
     def load(self, route: str) -> OwnerLoad:
-        """Give what other nodes are told of it with a call of this route.
+        """Return the load that is reported to other nodes with a call of this route.
 
-        A call whose body is on its way counts as running: its slot is spoken for.  So
-        does what the back end says it has and this node knows nothing of.
+        A call whose body is being prefetched counts as running, because a slot is planned
+        for it. So does work that the back end reports and this node does not know of.
         """
         admission, report = self.admission, self.report
         now = asyncio.get_running_loop().time()
         work = report.usual_work(route) or admission.known_work(route)
-        running = admission.in_flight + self._ahead.coming + report.taken(self.slots, now)
-        desk = self.large_answers
+        running = (
+            admission.in_flight + self._prefetches.coming + report.taken(self.slots, now)
+        )
+        scheduler = self.large_answers
         return OwnerLoad(
             running,
             admission.waiting,
@@ -135,28 +142,31 @@
             round(work * MICROSECONDS),
             pace_percent=report.pace_percent,
             pace_age_milliseconds=report.pace_age_milliseconds(now),
-            link_wait_milliseconds=0 if desk is None else desk.wait_milliseconds,
+            link_wait_milliseconds=0 if scheduler is None else scheduler.wait_milliseconds,
         )
 
     def heard(self, told: bytes, life: str) -> None:
-        """Take what the back end said of its load with an answer."""
+        """Process the load that the back end reported in an answer.
+
+        A report of another incarnation or one that cannot be parsed is ignored.
+        """
         load = read_load(told)
         if load is not None and life == self._life.name:
             now = asyncio.get_running_loop().time()
             self.report.heard(load, self.admission.in_flight + self._lent, now)
 
     def request_id(self, request: AttemptRequest) -> bytes:
-        """Give the id under which the back end is given a request."""
+        """Return the request id that is sent to the back end; empty if there is none."""
         return first_value(request.headers, self._names.request_id)
 
     @property
     def terms(self) -> BackEndTerms:
-        """How to speak with the present life of the back end."""
+        """Header names, instance and name of the incarnation to which calls are sent."""
         life = self._life
         return BackEndTerms(self._names, life.instance.encode("latin-1"), life.name)
 
     def record(self, headers: HeaderFields, fingerprint: Fingerprint) -> ServedRecord:
-        """Give what is known now that a peer's call comes."""
+        """Return the record of a peer's call that arrives now, with the load it finds."""
         return ServedRecord(
             request_id=first_value(headers, self._names.request_id),
             service=self.service,
@@ -169,15 +179,16 @@
         )
 
     def use_view(self, view: BackEndView, leaving_bound_seconds: float) -> None:
-        """Take what the back end says of itself by heartbeats.
+        """Apply the state that the back end reports in its heartbeats.
 
-        One that leaves takes what is on its way for the bound, and nothing after it.
+        A back end that is leaving still gets the calls that arrive within
+        ``leaving_bound_seconds``, since they may already be on their way, and none after.
         """
         if view.life != self._life:
             self._life = view.life
-            self.crashes.begin_life(view.life.name)
-            self._begin_life()
-            self._stop_refusing_later()
+            self.crashes.begin_incarnation(view.life.name)
+            self._begin_incarnation()
+            self._cancel_refuse_timer()
             self.leaving = False
             now = asyncio.get_running_loop().time()
             self._warm_at = now + max(0, view.warming_milliseconds) / MILLISECONDS
@@ -187,21 +198,22 @@
             self.slots = view.slots
         self._apply_limit()
         if view.state == STATE_LEAVING:
-            self.crashes.says_it_leaves()
+            self.crashes.mark_leaving()
         if view.state == STATE_READY:
-            self._stop_refusing_later()
+            self._cancel_refuse_timer()
             self.leaving = False
         elif view.state == STATE_GONE:
             self.leave()
-        elif not self.leaving and self._refuse is None:
+        elif not self.leaving and self._refuse_timer is None:
             loop = asyncio.get_running_loop()
-            self._refuse = loop.call_later(leaving_bound_seconds, self.leave)
+            self._refuse_timer = loop.call_later(leaving_bound_seconds, self.leave)
 
-    def _begin_life(self) -> None:
-        """Offer all slots of another life; calls under way keep theirs.
+    def _begin_incarnation(self) -> None:
+        """Offer all slots of a new incarnation; calls in progress keep theirs.
 
-        It may still be slow, and callers' nodes send it less for that.  Here a slot that
-        is free is given: a call comes where it could not go to a warmer one.
+        It may not be warmed up yet, and callers' nodes send it fewer calls for that reason.
+        Here every free slot is granted: a call is sent here only if it could not go to a
+        back end that is warmer.
         """
         self._endpoint = msgspec.structs.replace(
             self._endpoint,
@@ -214,23 +226,26 @@
         self.pool.close_idle()
 
     def leave(self) -> None:
-        """Give the back end no new call from now on; what it runs goes on."""
-        self._stop_refusing_later()
+        """Refuse new and waiting calls from now on; running calls continue."""
+        self._cancel_refuse_timer()
         self.leaving = True
         self.refuse_waiting()
 
     def ended_well(self, fingerprint: Fingerprint) -> None:
-        """The back end answered a call: it is not its like that ends back ends."""
+        """Record that the back end answered such a request, so it does not crash by it."""
         self.crashes.ended_well(fingerprint)
         self.quarantine.ended_well(fingerprint)
 
     def refuse_not_there(self, life: str) -> None:
-        """Nobody answers at its address, or another life of it does."""
+        """Report that ``life`` cannot be reached: nothing or another incarnation answers.
+
+        Ignored unless ``life`` is the current incarnation.
+        """
         if life == self._life.name:
             self.on_not_there(life)
 
     def use_settings(self, settings: ServiceSettings) -> None:
-        """Take new settings; the tree may lower the slots, not raise them."""
+        """Apply new settings, which may lower the number of slots but not raise it."""
         self.evidence.use_settings(settings)
         if not self._life.instance:
             self.slots = min(self._offered_slots, settings.slots)
@@ -238,13 +253,13 @@
         self._apply_limit()
 
     def lend(self, slots: int) -> None:
-        """Keep ``slots`` back for nodes that call the back end themselves."""
+        """Reserve ``slots`` for other nodes, which call the back end directly."""
         self._lent = slots
         self._apply_limit()
 
     def start_ramp(self) -> None:
-        """The back end has come up: give it its calls little by little."""
-        self.crashes.begin_life(self._life.name)
+        """Start the slow start of a back end that has come up: its calls rise gradually."""
+        self.crashes.begin_incarnation(self._life.name)
         state = self.admission.state(self._node)
         if state is not None:
             state.ramp_started = asyncio.get_running_loop().time()
@@ -252,14 +267,14 @@
     def admit(
         self, attempt: WaitingAttempt, request: AttemptRequest
     ) -> Dispatch | NotRun | Ticket:
-        """Give the slot, the refusal, or the place in the queue."""
+        """Return the granted slot, the refusal, or the ticket of the queued attempt."""
         refusal = self._refusal(request)
         if refusal is not None:
             return refusal
         now = asyncio.get_running_loop().time()
         self._set_limit(now)
         ticket = Ticket(
-            next(self._numbers),
+            next(self._ticket_numbers),
             request.call_class,
             request.deadline,
             may_wait=request.may_wait,
@@ -276,19 +291,22 @@
             return decision
         self._waiting[ticket.number] = attempt
         self._refuse_evicted(decision, now)
-        self._kick_later()
+        self._schedule_recheck()
         return ticket
 
     def begin_body(self, request: AttemptRequest) -> bool:
-        """Take in the body of a call that holds no slot yet, if it will have one soon."""
+        """Report whether the body of a call without a slot is to be prefetched now.
+
+        It is if the call will probably get a slot soon; ``body_ended`` must follow then.
+        """
         if self._refusal(request) is not None:
             return False
         admission = self.admission
-        return self._ahead.begin(admission.in_flight, admission.waiting, self.slots)
+        return self._prefetches.begin(admission.in_flight, admission.waiting, self.slots)
 
     def body_ended(self) -> None:
-        """A body that came ahead of its slot is in or given up."""
-        self._ahead.end()
+        """Record that a prefetched body is complete or was given up."""
+        self._prefetches.end()
 
     def _refusal(self, request: AttemptRequest) -> NotRun | None:
         advice = LEAVING_RETRY_AFTER_MILLISECONDS
@@ -303,20 +321,20 @@
         return None
 
     def await_transfer(self, attempt: WaitingAttempt) -> None:
-        """Let an attempt with a large body wait until there is room on the link."""
+        """Queue an attempt with a large body until there is room on the link."""
         self._awaiting_transfer[attempt] = None
 
     def give_up_transfer(self, attempt: WaitingAttempt) -> None:
-        """An attempt waits for room no more."""
+        """Remove an attempt from the queue for room on the link."""
         self._awaiting_transfer.pop(attempt, None)
 
     @property
     def awaiting_transfer(self) -> tuple[WaitingAttempt, ...]:
-        """The attempts that wait for room on the link, the oldest first."""
+        """Attempts that wait for room on the link, oldest first."""
         return tuple(self._awaiting_transfer)
 
     def transfer_ended(self) -> None:
-        """A large body is in or given up: the next one may come."""
+        """Release the room of a body that is complete or given up; start the next one."""
         self.transfers.end()
         while self._awaiting_transfer and self.transfers.begin():
             attempt = self._next_transfer()
@@ -324,22 +342,23 @@
             attempt.transfer_begun()
 
     def _next_transfer(self) -> WaitingAttempt:
-        """Give the newest first call; one that was refused before if there is no other.
+        """Return the newest first try, or the newest client retry if there is none.
 
-        More come than the link carries only under overload: whoever waited longest would
-        then be late by the time its body is in, and so would each after it.
+        More bodies arrive than the link carries only under overload. The attempt that
+        waited longest would then be late by the time its body is complete, and so would
+        each one after it.
         """
         waiting = self.awaiting_transfer
         first_calls = [attempt for attempt in waiting if not attempt.is_client_retry]
         return (first_calls or waiting)[-1]
 
     def withdraw(self, ticket: Ticket) -> None:
-        """A waiting attempt was given up."""
+        """Remove a waiting attempt that was given up from the queue."""
         self._waiting.pop(ticket.number, None)
         self.admission.withdraw(ticket)
 
     def finished(self, dispatch: Dispatch, latency: float, verdict: Verdict | None) -> None:
-        """Free a slot and give it to the next."""
+        """Release the slot of an attempt that ended and start the next ones."""
         now = asyncio.get_running_loop().time()
         route, is_warm = dispatch.ticket.route, now >= self._warm_at
         self.evidence.note(route, latency, verdict, is_warm)
@@ -349,7 +368,7 @@
         self.start_waiting()
 
     def start_waiting(self) -> None:
-        """Start the waiting attempts that have room now."""
+        """Start the waiting attempts that can get a slot now; refuse the hopeless ones."""
         if not self.admission.waiting:
             return
         now = asyncio.get_running_loop().time()
@@ -363,27 +382,27 @@
                 attempt.admitted(dispatch)
             else:
                 self.admission.finished(dispatch, 0.0, None, now)
-        self._kick_later()
+        self._schedule_recheck()
 
     def refuse_waiting(self) -> None:
-        """Refuse all that wait: the back end leaves."""
+        """Refuse all waiting attempts because the back end is leaving."""
         refusal = NotRun(
             STATUS_UNAVAILABLE, "back-end-leaving", LEAVING_RETRY_AFTER_MILLISECONDS, True
         )
         for attempt in (*self._waiting.values(), *self._awaiting_transfer):
             attempt.refused(refusal)
 
-    def _stop_refusing_later(self) -> None:
-        if self._refuse is not None:
-            self._refuse.cancel()
-            self._refuse = None
+    def _cancel_refuse_timer(self) -> None:
+        if self._refuse_timer is not None:
+            self._refuse_timer.cancel()
+            self._refuse_timer = None
 
     def close(self) -> None:
-        """Close idle connections."""
+        """Stop all timers and probes, and close idle connections."""
         self.crashes.close()
-        self._stop_refusing_later()
-        if self._kick is not None:
-            self._kick.cancel()
+        self._cancel_refuse_timer()
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
         self.pool.close()
 
     def _apply_limit(self) -> None:
@@ -391,9 +410,9 @@
         self.start_waiting()
 
     def _set_limit(self, now: float) -> None:
-        """Offer the slots that are neither lent nor taken by unknown work."""
-        kept_back = self._lent + self.report.taken(self.slots, now)
-        self.admission.set_limit(self._node, max(0, self.slots - kept_back))
+        """Offer the slots that are neither lent nor taken by work unknown to this node."""
+        reserved = self._lent + self.report.taken(self.slots, now)
+        self.admission.set_limit(self._node, max(0, self.slots - reserved))
 
     def _refuse_evicted(self, decision: Waiting, now: float) -> None:
         if decision.evicted is None:
@@ -401,12 +420,12 @@
         attempt = self._waiting.pop(decision.evicted.number)
         attempt.refused(self.admission.refusal_of_evicted(decision.evicted, now))
 
-    def _kick_later(self) -> None:
-        """Look again soon: ramps and ejections end without an event."""
-        if self._kick is None and self.admission.waiting:
+    def _schedule_recheck(self) -> None:
+        """Schedule a recheck of the queue: ramps and ejections end without an event."""
+        if self._recheck_timer is None and self.admission.waiting:
             loop = asyncio.get_running_loop()
-            self._kick = loop.call_later(KICK_SECONDS, self._kicked)
+            self._recheck_timer = loop.call_later(RECHECK_SECONDS, self._recheck)
 
-    def _kicked(self) -> None:
-        self._kick = None
+    def _recheck(self) -> None:
+        self._recheck_timer = None
         self.start_waiting()
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -1,4 +1,4 @@
-"""Call links to the nodes beside the back ends, opened when first wanted."""
+"""Call links to owners (the nodes co-located with back ends), opened on demand."""
 
 from __future__ import annotations
 
@@ -22,28 +22,29 @@
 from peppershore.request.slot_loans import Borrower
 
 GREETING_SECONDS = 1.0
-"""An owner that accepts a link and says nothing for so long is taken as gone."""
+"""An owner that accepts a link and sends nothing for so long is considered lost."""
 
 SILENCE_SECONDS = 2.0
-"""With calls on the link, an owner that leaves a probe unanswered for so long is
-taken as gone: what it was sent is unknown, and nothing more is sent to it."""
+"""An owner that does not answer a probe for so long, with calls on its link, is considered
+lost: the outcome of the calls sent to it is unknown, and it is sent nothing more."""
 
 
 LoadSink = Callable[[str, OwnerLoad, str], None]
-"""Hears of an owner's load: its address, the load, the route of the call it came with."""
+"""Receives the load that an owner reports: the owner's address, the load, and the route of
+the call with which it came."""
 
 
 class _Owner:
-    """One owner: its link if open, who waits for it, and the slots borrowed.
+    """One owner: its link if open, the attempts that wait for it, the borrowed slots.
 
-    ``heard`` counts the link's messages when it was last looked at; ``probed_at`` is
-    when it was asked for a sign of life since, or None.
+    ``last_received`` is the link's count of received messages at the last liveness check;
+    ``probed_at`` is the time of the unanswered probe since then, or None.
     """
 
-    __slots__ = ("borrower", "heard", "link", "opening", "probed_at", "waiting")
+    __slots__ = ("borrower", "last_received", "link", "opening", "probed_at", "waiting")
 
     def __init__(self) -> None:
-        self.heard = 0
+        self.last_received = 0
         self.probed_at: float | None = None
         self.link: CallLink | None = None
         self.opening: asyncio.Task[None] | None = None
@@ -52,7 +53,7 @@
 
 
 class OwnerLinks:
-    """All links of this node to owners, by address."""
+    """All links of this node to owners, by the owner's address."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         *,
         packs_heads: bool = False,
     ) -> None:
-        """``hello`` introduces this node; ``guard`` judges what owners send."""
+        """``hello`` identifies this node to owners; ``guard`` authorizes their messages."""
         self._packs_heads = packs_heads
         self._guard = guard
         self.on_load: LoadSink = lambda address, load, route: None
@@ -73,7 +74,7 @@
         self._closed = False
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
-        """Give the attempt its link, at once if it is open."""
+        """Pass the attempt its link, at once if open and else once it is opened."""
         owner = self._owner(address)
         if owner.link is not None and owner.link.alive:
             attempt.link_open(owner.link)
@@ -82,18 +83,21 @@
         self._open(address, owner)
 
     def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
-        """An owner told how loaded its back end is, with a call of this route."""
+        """Process the load that an owner reported with a call of this route."""
         self.on_load(address, load, route)
 
     def borrow(self, address: str, now: float) -> bool:
-        """Use one slot lent by the owner, if one is free; ask for more if not."""
+        """Take one of the slots that the owner lent; report whether one was free.
+
+        More slots are requested from the owner if they are needed.
+        """
         owner = self._owner(address)
         taken = owner.borrower.take(now)
-        self._ask(address, owner, now)
+        self._request_slots(address, owner, now)
         return taken
 
     def give_back(self, address: str) -> None:
-        """Free a slot taken by ``borrow``."""
+        """Release a slot taken by ``borrow``."""
         owner = self._owner(address)
         kept = owner.borrower.give_back()
         self.on_allowance(address, self.allowance(address))
@@ -101,21 +105,24 @@
             owner.link.send(SlotsReturned(owner.borrower.number, kept))
 
     def allowance(self, address: str) -> int:
-        """Connections that this node may hold to the owner's back end now."""
+        """Return how many connections this node may hold to the owner's back end now."""
         now = asyncio.get_running_loop().time()
         return self._owner(address).borrower.allowance(now)
 
     def renew(self, now: float) -> None:
-        """Renew the loans that are in use; forget what is not wanted."""
+        """Check the liveness of all links, renew loans in use, and let others expire."""
         for address, owner in self._owners.items():
             if owner.link is not None:
-                self._look_after(owner.link, owner, now)
+                self._check_liveness(owner.link, owner, now)
             if owner.link is not None:
-                self._ask(address, owner, now)
+                self._request_slots(address, owner, now)
             self.on_allowance(address, owner.borrower.allowance(now))
 
     def keep_only(self, addresses: frozenset[str]) -> None:
-        """Close links to owners that are gone and have no stream open."""
+        """Close the links to owners not in ``addresses`` once they are idle.
+
+        A link is idle if it has no stream open and no borrowed slot in use.
+        """
         for address in [known for known in self._owners if known not in addresses]:
             owner = self._owners[address]
             idle = owner.link is None or owner.link.streams == 0
@@ -141,26 +148,26 @@
             self._owners[address] = owner
         return owner
 
-    def _look_after(self, link: CallLink, owner: _Owner, now: float) -> None:
-        """Ask a link with calls for a sign of life; end one that gives none."""
-        if link.received != owner.heard or link.streams == 0:
-            owner.heard = link.received
+    def _check_liveness(self, link: CallLink, owner: _Owner, now: float) -> None:
+        """Probe a silent link that has calls; abandon it if the probe goes unanswered."""
+        if link.received != owner.last_received or link.streams == 0:
+            owner.last_received = link.received
             owner.probed_at = None
         elif owner.probed_at is None:
             owner.probed_at = now
-            link.send(CallLinkProbe(owner.heard))
+            link.send(CallLinkProbe(owner.last_received))
         elif now - owner.probed_at >= SILENCE_SECONDS:
             owner.link = None
             owner.borrower.lost()
             link.abandon("owner silent")
 
-    def _ask(self, address: str, owner: _Owner, now: float) -> None:
+    def _request_slots(self, address: str, owner: _Owner, now: float) -> None:
         if owner.link is None:
             self._open(address, owner)
             return
-        ask = owner.borrower.ask(now)
-        if ask is not None:
-            owner.link.send(ask)
+        request = owner.borrower.ask(now)
+        if request is not None:
+            owner.link.send(request)
 
     def _open(self, address: str, owner: _Owner) -> None:
         if owner.opening is None and not self._closed:
@@ -168,7 +175,7 @@
             owner.opening = loop.create_task(self._connect(address, owner))
 
     async def _connect(self, address: str, owner: _Owner) -> None:
-        link = await self._greeted(address)
+        link = await self._open_confirmed(address)
         owner.opening = None
         waiting = owner.waiting
         owner.waiting = []
@@ -177,16 +184,16 @@
                 attempt.link_refused()
             return
         owner.link = link
-        owner.heard = link.received
+        owner.last_received = link.received
         owner.probed_at = None
         for attempt in waiting:
             attempt.link_open(link)
 
-    async def _greeted(self, address: str) -> CallLink | None:
-        """Open a link; give it once the owner has said a word.
+    async def _open_confirmed(self, address: str) -> CallLink | None:
+        """Open a link and return it once the owner has answered a probe, else None.
 
-        The system accepts links for a process that is stopped or stuck: what was
-        sent on one of those would be unknown, not refused.
+        The operating system accepts connections for a process that is stopped or stuck.
+        The outcome of a call sent on such a link would be unknown instead of refused.
         """
         opened = await open_link(address, self._tls)
         if isinstance(opened, str):
@@ -203,7 +210,7 @@
             opened,
             _refuse_calls,
             other_message,
-            self._lost,
+            self._link_lost,
             self._guard.allows,
             packs_heads=self._packs_heads,
         )
@@ -226,7 +233,7 @@
         self.on_allowance(address, self.allowance(address))
         link.send(returned)
 
-    def _lost(self, link: CallLink, reason: str) -> None:
+    def _link_lost(self, link: CallLink, reason: str) -> None:
         del reason
         address = self._address_of(link)
         if address is not None:
@@ -243,5 +250,5 @@
 
 
 def _refuse_calls(link: CallLink, message: Message) -> None:
-    """An owner sends no calls on a link that it accepted."""
+    """Ignore calls: an owner sends none on a link that it accepted."""
     del link, message
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -1,8 +1,9 @@
-"""An attempt whose large answer waits here for its turn on the link.
+"""An attempt whose large answer is buffered here until its turn on the link.
 
-Stands between an attempt and whoever takes its answer.  The answer is read whole, as far
-as there is room to hold it, so that the attempt ends and its slot is free while the
-answer still waits; then it is handed on in pieces, as the link carries them.
+Wraps an attempt and sits between it and the receiver of its answer. The answer is read as
+far as there is room to buffer it, if possible to its end, so that the attempt ends and its
+slot is free while the answer still waits. It is then forwarded in pieces as the link
+carries them.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from peppershore.request.outcome import Failed, NotRun
 
 SMALL_ANSWER_BYTES = 4 * 1024
-"""A whole answer up to this size is no large one, whatever was expected: it goes now."""
+"""A complete answer up to this size is sent at once, even if a large one was expected."""
 
 
 class LargeTerms(msgspec.Struct, frozen=True):
-    """What is known of a large answer beforehand.
+    """What is known of a large answer before the attempt starts.
 
     ``due``: when it should be through (monotonic seconds); ``work``: seconds until its
-    first bytes, 0 if unknown; ``elsewhere``: refused here, it may fit at another back end.
+    first bytes, 0 if unknown; ``elsewhere``: whether a call that is refused here may be
+    accepted at another back end.
     """
 
     route: str
@@ -36,15 +38,15 @@
 
 
 class PacedAnswer:
-    """One attempt, and its answer as far as it is here."""
+    """One attempt, and the buffered part of its answer."""
 
     __slots__ = (
         "_attempt",
-        "_desk",
+        "_scheduler",
         "_ended",
         "_head",
         "_is_paused",
-        "_over",
+        "_finished",
         "_pieces",
         "_sink",
         "_terms",
@@ -54,13 +56,13 @@
 
     def __init__(
         self,
-        desk: LargeAnswers,
+        scheduler: LargeAnswers,
         terms: LargeTerms,
         sink: AttemptSink,
         make: Callable[[AttemptSink], Attempt],
     ) -> None:
-        """Nothing happens before ``start``; ``make`` gives the attempt for a sink."""
-        self._desk = desk
+        """Nothing is sent before ``start``; ``make`` returns the attempt for a sink."""
+        self._scheduler = scheduler
         self._terms = terms
         self._sink = sink
         self._attempt = make(self)
@@ -69,17 +71,17 @@
         self._pieces: deque[bytes] = deque()
         self._trailers: HeaderList = []
         self._ended = False
-        self._over = False
+        self._finished = False
         self._is_paused = False
 
     # --- Attempt
 
     def start(self) -> None:
-        """Ask for room on the link, then go."""
+        """Reserve room on the link, then start the attempt; fail it if there is none."""
         terms = self._terms
-        offered = self._desk.offer(terms.route, terms.due, terms.work, self)
+        offered = self._scheduler.offer(terms.route, terms.due, terms.work, self)
         if isinstance(offered, NotRun):
-            self._over = True
+            self._finished = True
             refusal = msgspec.structs.replace(offered, retryable=terms.elsewhere)
             self._sink.attempt_failed(refusal)
             return
@@ -91,94 +93,97 @@
         self._attempt.send_data(data)
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request's body."""
         self._attempt.send_end(trailers)
 
     def flush(self) -> None:
-        """Send what is queued."""
+        """Send what is queued of the request."""
         self._attempt.flush()
 
     def cancel(self) -> None:
-        """Give the attempt up and drop what waits: the link is free for others."""
-        self._leave(is_whole=False)
+        """Cancel the attempt and discard the buffered answer, so others get the link."""
+        self._finish(is_whole=False)
         self._attempt.cancel()
 
     def settle(self) -> bool:
-        """Nobody knows more once the answer is here."""
+        """Stop at the deadline; report whether the attempt will still send the outcome.
+
+        False once the answer is complete here: then nobody knows more of the call.
+        """
         return not self._ended and self._attempt.settle()
 
     def pause_answer(self) -> None:
-        """Whoever takes the answer takes no more for now: others go on."""
+        """Pause this answer, as its receiver accepts no more; other answers go on."""
         if self._transfer is not None:
             self._transfer.blocked = True
 
     def resume_answer(self) -> None:
-        """Go on with the answer."""
+        """Resume sending the answer."""
         if self._transfer is not None:
             self._transfer.blocked = False
-            self._desk.kick()
+            self._scheduler.send_due()
 
-    # --- AttemptSink of the attempt
+    # --- AttemptSink (called by the attempt)
 
     def attempt_begun(self) -> None:
-        """The request's body may be given now."""
+        """Forward that the attempt has begun and accepts the request's body."""
         self._sink.attempt_begun()
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Keep the head until the first piece goes."""
+        """Store the head until the first piece is sent."""
         self._head = head
         if head.content_length is not None and self._transfer is not None:
-            self._desk.room.sized(self._transfer, head.content_length)
+            self._scheduler.room.sized(self._transfer, head.content_length)
 
     def answer_data(self, data: bytes) -> None:
-        """Hold a piece of the answer."""
-        if self._over or self._transfer is None:
+        """Buffer a piece of the answer; pause reading when there is no room for more."""
+        if self._finished or self._transfer is None:
             return
         self._pieces.append(bytes(data))
-        self._desk.came(self._transfer, len(data))
-        if not self._is_paused and not self._desk.may_hold_more(self._transfer):
+        self._scheduler.received(self._transfer, len(data))
+        if not self._is_paused and not self._scheduler.may_buffer_more(self._transfer):
             self._is_paused = True
             self._attempt.pause_answer()
-            self._desk.hold_back(self)
+            self._scheduler.pause_until_room(self)
 
     def answer_batch_ended(self) -> None:
-        """No more is at hand for now: send what the link takes."""
-        self._desk.kick()
+        """Send what the link accepts, as no more can be read for now."""
+        self._scheduler.send_due()
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole here; one that is small goes at once."""
-        if self._over or self._transfer is None:
+        """Note that the answer is complete here; send a small one at once."""
+        if self._finished or self._transfer is None:
             return
         self._ended = True
         self._trailers = trailers
         if self._transfer.held <= SMALL_ANSWER_BYTES and not self._transfer.blocked:
-            self.send_some(SMALL_ANSWER_BYTES)
+            self.send_up_to(SMALL_ANSWER_BYTES)
         else:
-            self._desk.kick()
+            self._scheduler.send_due()
 
     def attempt_failed(self, failed: Failed) -> None:
-        """There will be no whole answer."""
-        if self._over:
+        """Discard the buffered answer and forward the failure."""
+        if self._finished:
             return
-        self._leave(is_whole=False)
+        self._finish(is_whole=False)
         self._sink.attempt_failed(failed)
 
     def sending_paused(self) -> None:
-        """Hand the back end's slowness on."""
+        """Forward that the back end accepts no more of the request's body for now."""
         self._sink.sending_paused()
 
     def sending_resumed(self) -> None:
-        """The back end reads again."""
+        """Forward that the back end accepts the request's body again."""
         self._sink.sending_resumed()
 
     # --- LargeSender
 
-    def send_some(self, octets: int) -> None:
-        """Hand on up to so many bytes, and the end behind the last."""
+    def send_up_to(self, octets: int) -> None:
+        """Forward up to ``octets`` bytes of the answer, and its end after the last."""
         transfer = self._transfer
         assert transfer is not None
-        data = self._taken(octets)
-        self._desk.went(transfer, len(data))
+        data = self._take_pieces(octets)
+        self._scheduler.forwarded(transfer, len(data))
         if self._head is not None:
             head = self._head
             self._head = None
@@ -186,26 +191,26 @@
         if data:
             self._sink.answer_data(data)
         if self._ended and not transfer.held:
-            self._leave(is_whole=True)
+            self._finish(is_whole=True)
             self._sink.answer_ended(self._trailers)
         else:
             self._sink.answer_batch_ended()
-            self._read_on_if_little()
+            self._resume_if_small()
 
-    def read_on(self) -> None:
-        """Read on from the back end."""
-        if self._is_paused and not self._over:
+    def resume_reading(self) -> None:
+        """Resume reading the answer from the back end if that was paused."""
+        if self._is_paused and not self._finished:
             self._is_paused = False
             self._attempt.resume_answer()
 
-    # --- inside
+    # --- internal
 
-    def _read_on_if_little(self) -> None:
-        """What holds little here may read on, whatever the others hold."""
-        if self._transfer is not None and self._desk.may_hold_more(self._transfer):
-            self.read_on()
+    def _resume_if_small(self) -> None:
+        """Resume reading if little of this answer is buffered, whatever others have."""
+        if self._transfer is not None and self._scheduler.may_buffer_more(self._transfer):
+            self.resume_reading()
 
-    def _taken(self, octets: int) -> bytes:
+    def _take_pieces(self, octets: int) -> bytes:
         taken: list[bytes] = []
         while self._pieces and octets > 0:
             piece = self._pieces.popleft()
@@ -216,11 +221,11 @@
             taken.append(piece)
         return b"".join(taken)
 
-    def _leave(self, *, is_whole: bool) -> None:
-        if self._over:
+    def _finish(self, *, is_whole: bool) -> None:
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         self._pieces.clear()
         if self._transfer is not None:
-            self._desk.over(self._transfer, is_whole)
+            self._scheduler.finished(self._transfer, is_whole)
             self._transfer = None
--- a/src/peppershore/process/node/data/quarantine_gate.py
+++ b/src/peppershore/process/node/data/quarantine_gate.py
@@ -1,8 +1,8 @@
-"""What a node does with requests under which back ends ended.
+"""Refuses requests during which back ends crashed before.
 
-At the caller's node what is held is refused before it is sent.  At the back end's own node
-the same is refused once more, for a caller's node that has not heard yet, and of the
-requests that are suspected one runs at a time.
+At the caller's node a held request is refused before it is sent. At the back end's local
+node it is refused as well, in case the caller's node has not yet received the record. Of
+the suspected requests, which are not held yet, one at a time runs at a back end.
 """
 
 from __future__ import annotations
@@ -21,47 +21,48 @@
 from peppershore.request.quarantine import Quarantine
 
 LONGEST_ADVICE_MILLISECONDS = 60_000
-"""A caller is told to come back no later: an operator may let its request go meanwhile."""
+"""Upper bound of the retry advice: an operator may release the request in the meantime."""
 
 RUNS_ALONE_MILLISECONDS = 250
-"""The other one is over by then in most cases: it runs or ends its back end."""
+"""Retry advice while another suspect runs: in most cases that one is over by then, either
+answered or ended by a crash of the back end."""
 
 MILLISECONDS = 1_000
 
 
 class QuarantineGate:
-    """The quarantine as one node's data plane heeds it."""
+    """Applies the quarantine in one node's data plane."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Know of nothing; ``clock`` gives monotonic seconds."""
+        """Start without records; ``clock`` returns monotonic seconds."""
         self.on_cleared: Callable[[bytes], None] = lambda key: None
-        """Told of a suspect that ended well."""
+        """Called with the key of a suspect that the back end answered."""
         self._clock = clock
         self._quarantine = Quarantine()
-        self._running: set[bytes] = set()
+        self._running_suspects: set[bytes] = set()
 
     def use(self, records: tuple[CrashRecord, ...]) -> None:
-        """Go by these records from now on."""
+        """Merge these crash records into those in use."""
         now = self._clock()
         for record in records:
             self._quarantine.merge(record, now)
 
     def tick(self, now: float) -> None:
-        """Forget what is old."""
+        """Remove expired records."""
         self._quarantine.forget_old(now)
 
     # --- at the caller's node
 
     def awaits_body(self, fingerprint: Fingerprint) -> bool:
-        """Whether only its body tells whether a request is one that is known of."""
+        """Return whether the body is needed to decide if a request has a record."""
         return not fingerprint.is_known and self._quarantine.concerns(fingerprint.identity)
 
     def concerns(self, fingerprint: Fingerprint) -> bool:
-        """Whether a request with this head is known of; its body may tell otherwise."""
+        """Return whether there is a record for this head; its body may still differ."""
         return self._quarantine.concerns(fingerprint.identity)
 
     def refusal(self, fingerprint: Fingerprint) -> NotRun | None:
-        """Give the refusal of a request that is held."""
+        """Return the refusal of a request that is held; None if it is not."""
         if not self._may_concern(fingerprint):
             return None
         now, key = self._clock(), fingerprint.key
@@ -73,33 +74,36 @@
         )
 
     def ends(self, fingerprint: Fingerprint) -> int:
-        """Count the back ends that are known to have ended under a request."""
+        """Return the number of known crashes of back ends during a request."""
         if not self._may_concern(fingerprint):
             return 0
         return self._quarantine.ends(fingerprint.key)
 
-    # --- at the back end's own node
+    # --- at the back end's local node
 
     def refusal_here(self, fingerprint: Fingerprint) -> NotRun | None:
-        """Give the refusal of a request that may not begin at the back end now."""
+        """Return the refusal of a request that may not start at the back end now, or None.
+
+        Besides a held request, this refuses a suspect while another suspect runs.
+        """
         refusal = self.refusal(fingerprint)
-        if refusal is None and self._is_suspect(fingerprint) and self._running:
+        if refusal is None and self._is_suspect(fingerprint) and self._running_suspects:
             advice = RUNS_ALONE_MILLISECONDS
             refusal = NotRun(STATUS_UNAVAILABLE, RUNS_ALONE, advice, retryable=True)
         return refusal
 
     def began(self, fingerprint: Fingerprint) -> None:
-        """The back end begins to run a request."""
+        """Record that the back end starts to run a request."""
         if self._is_suspect(fingerprint):
-            self._running.add(fingerprint.key)
+            self._running_suspects.add(fingerprint.key)
 
     def over(self, fingerprint: Fingerprint) -> None:
-        """The back end runs a request no more."""
-        if self._running and fingerprint.is_known:
-            self._running.discard(fingerprint.key)
+        """Record that the back end no longer runs a request."""
+        if self._running_suspects and fingerprint.is_known:
+            self._running_suspects.discard(fingerprint.key)
 
     def ended_well(self, fingerprint: Fingerprint) -> None:
-        """The back end answered a request: it is not the one that ends back ends."""
+        """Report a suspect as cleared, because the back end answered it."""
         if self.ends(fingerprint):
             self.on_cleared(fingerprint.key)
 
@@ -109,5 +113,5 @@
         return self._quarantine.standing(fingerprint.key, self._clock()) == "suspect"
 
     def _may_concern(self, fingerprint: Fingerprint) -> bool:
-        """Whether a request may be known of; most are told apart by their head alone."""
+        """Return whether a request may have a record; the head rules out most requests."""
         return fingerprint.is_known and self._quarantine.concerns(fingerprint.identity)
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -1,4 +1,4 @@
-"""Lets a node's calls of tenants with a limit run as they are granted."""
+"""Runs a node's calls of tenants with a rate limit only as they are granted."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from peppershore.connection.messages.quotas import QuotaAsked, QuotaGranted
 from peppershore.process.commands import Notice
 from peppershore.process.node.data.notices import OverLimit
-from peppershore.process.node.data.quota_figures import GRANTED, QuotaFigures
+from peppershore.process.node.data.quota_metrics import GRANTED, QuotaMetrics
 from peppershore.process.quotas.node_grants import (
     Decision,
     Denied,
@@ -33,49 +33,54 @@
 MILLISECONDS = 1_000
 
 WAIT_SHARE = 0.6
-"""Part of the time in which a call may wait for a slot, that it may wait for a grant."""
+"""Part of a call's wait time-out for a slot that it may wait for a grant."""
 
 LEAST_WAIT_SECONDS = 0.3
-"""Waits so long in any case that its deadline allows: a relay's and a node's ask may be
-lost once or be late, and are made again within it.  Turns for slots may be much shorter."""
+"""A call may wait so long in any case, if its deadline allows. A request for grants, of the
+node or of a relay, may be lost once or be late; it is retried within this time. The wait
+time-out for slots may be much shorter."""
 
 DEADLINE_SHARE = 0.5
-"""Part of its time that a call may wait for a grant: the rest is for running."""
+"""Part of the time to its deadline that a call may wait for a grant; the rest is for
+running."""
 
 LONGEST_WAIT_SECONDS = 1.0
-"""Nobody answers for about so long while a leader is elected; no call waits longer."""
+"""No call waits longer for a grant: about the time for which requests go unanswered while a
+leader is elected."""
 
 OVER_LIMIT = "over-limit"
 """Reason of a refusal because the tenant's limit is used up."""
 
 LIMIT_NOT_KNOWN = "limit-not-known"
-"""Reason of a refusal because nobody who may grant calls answered in time."""
+"""Reason of a refusal because no process that may grant calls answered in time."""
 
 USED_UP = "used-up"
 NOBODY_ANSWERED = "nobody-answered"
-"""What decided a refusal, in its log line."""
+"""Cause of a refusal, in its log line."""
 
-NEVER = -1
+NEVER_ANSWERED = -1
 
 NOT_KNOWN_MILLISECONDS = 300
-"""Advice after that: another relay is found or another leader elected soon."""
+"""Retry advice of a refusal because the limit is not known: by then another relay is found
+or another leader elected in most cases."""
 
 LEAST_TIMER_SECONDS = 0.001
-"""A shorter one could fire, by rounding, before what it is set for is due."""
+"""Shortest timer: a shorter one could, by rounding, fire before its work is due."""
 
-Decided = Callable[[NotRun | None], bool]
-"""Told of a refusal or, by None, that the call may run; gives whether it does."""
+DecisionSink = Callable[[NotRun | None], bool]
+"""Receives the refusal, or None if the call may run; returns whether the call still waited
+for the decision."""
 
 
 def wait_until(plan: CallPlan, now: float) -> float:
-    """Give until when a call may wait for a grant; loop time, as ``now``."""
-    patience = max(LEAST_WAIT_SECONDS, WAIT_SHARE * (plan.start_by - now))
+    """Return until when a call may wait for a grant, in loop time as ``now``."""
+    wait_seconds = max(LEAST_WAIT_SECONDS, WAIT_SHARE * (plan.start_by - now))
     allowed = min(LONGEST_WAIT_SECONDS, DEADLINE_SHARE * (plan.deadline - now))
-    return now + max(0.0, min(patience, allowed))
+    return now + max(0.0, min(wait_seconds, allowed))
 
 
 class QuotaGate:
-    """Asks for grants, and decides the calls that wait for one."""
+    """Requests grants, and admits or refuses the calls that wait for one."""
 
     def __init__(
         self,
@@ -84,12 +89,12 @@
         random: RandomSource,
         notice_sink: Callable[[Notice], None],
     ) -> None:
-        """Without ``quotas`` every call passes and nothing is asked."""
-        self.figures = QuotaFigures()
+        """Without ``quotas`` every call passes and no grants are requested."""
+        self.figures = QuotaMetrics()
         self._notice_sink = notice_sink
-        self._lines = RefusalLines()
-        self.on_ask: Callable[[QuotaAsked], None] = lambda ask: None
-        """Sends an ask to the relay in use, if there is one."""
+        self._log_limits = RefusalLines()
+        self.on_ask: Callable[[QuotaAsked], None] = lambda request: None
+        """Sends a request for grants to the relay in use, if there is one."""
         self._loop = loop
         self._random = random
         self._grants = None if quotas is None else NodeGrants(quotas)
@@ -98,21 +103,21 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def use_configuration(self, active: ActiveConfiguration) -> None:
-        """Count the calls of these tenants from now on."""
+        """Apply the rate limits of the tenants in a new configuration."""
         if self._grants is None:
             return
         tenants = active.tenants.items()
         self._limited = {name: each for name, each in tenants if each.rate_per_second > 0.0}
         limited = frozenset(self._limited)
         self._grants.keep_only(limited)
-        self._lines.keep_only(limited)
+        self._log_limits.keep_only(limited)
         for tenant in self._turns.keys() - limited:
             del self._turns[tenant]
 
-    def take(self, plan: CallPlan, decided: Decided) -> None:
-        """Let a call run or refuse it, at once or as soon as that is known.
+    def take(self, plan: CallPlan, decided: DecisionSink) -> None:
+        """Admit or refuse a call by calling ``decided``, at once or as soon as it is known.
 
-        Asked for once a call, before it is first sent: its repeats are the same call.
+        Used once for each call, before its first attempt: its retries are the same call.
         """
         if self._grants is None or not plan.is_counted or plan.tenant not in self._limited:
             decided(None)
@@ -121,30 +126,30 @@
         waiter = Waiter(decided, wait_until(plan, now), plan.is_client_retry)
         decision = self._grants.take(plan.tenant, waiter, now)
         if decision is None:
-            self._ask(now)
+            self._request_grants(now)
         else:
-            self._tell([(waiter, decision, plan.tenant)], now)
+            self._apply([(waiter, decision, plan.tenant)], now)
 
     def answered(self, message: QuotaGranted) -> None:
-        """The relay answered an ask."""
+        """Process the relay's answer to a request for grants."""
         if self._grants is None:
             return
         now = self._loop.time()
-        self._tell(self._grants.answered(message, now), now)
-        self._ask(now)
+        self._apply(self._grants.answered(message, now), now)
+        self._request_grants(now)
 
     def close(self) -> None:
-        """Ask for nothing more."""
+        """Request no more grants."""
         if self._timer is not None:
             self._timer.cancel()
 
-    # --- inside
+    # --- internal
 
-    def _ask(self, now: float) -> None:
+    def _request_grants(self, now: float) -> None:
         assert self._grants is not None
-        ask = self._grants.due_ask(now)
-        if ask is not None:
-            self.on_ask(ask)
+        request = self._grants.due_ask(now)
+        if request is not None:
+            self.on_ask(request)
         self._set_timer(now)
 
     def _set_timer(self, now: float) -> None:
@@ -163,11 +168,11 @@
         assert self._grants is not None
         self._timer = None
         now = self._loop.time()
-        self._tell(self._grants.expired(now), now)
-        self._ask(now)
+        self._apply(self._grants.expired(now), now)
+        self._request_grants(now)
 
-    def _tell(self, decisions: list[tuple[Waiter, Decision, str]], now: float) -> None:
-        """Tell calls; a grant that a call no longer needs goes to the next one."""
+    def _apply(self, decisions: list[tuple[Waiter, Decision, str]], now: float) -> None:
+        """Pass decisions to calls; a grant that a call no longer needs goes to the next."""
         assert self._grants is not None
         while decisions:
             waiter, decision, tenant = decisions.pop(0)
@@ -185,27 +190,27 @@
                 self._refuse(waiter, tenant, _not_known(), now)
 
     def _refuse(self, waiter: Waiter, tenant: str, refusal: NotRun, now: float) -> None:
-        """Tell a call, count it, and write what decided, if a line is due."""
+        """Refuse a call, count it, and log the cause if a log line is due."""
         if not waiter.call(refusal):
             return
         self.figures.decided(tenant, refusal.reason)
         limit = self._limited.get(tenant)
-        left_out = None if limit is None else self._lines.refused(tenant, now)
+        left_out = None if limit is None else self._log_limits.refused(tenant, now)
         if limit is None or left_out is None:
             return
         assert self._grants is not None
         age = self._grants.age_seconds(tenant, now)
-        line = OverLimit(
+        notice = OverLimit(
             tenant,
             refusal.reason,
             limit.rate_per_second,
             limit.burst,
             USED_UP if refusal.reason == OVER_LIMIT else NOBODY_ANSWERED,
-            NEVER if math.isinf(age) else int(age * MILLISECONDS),
+            NEVER_ANSWERED if math.isinf(age) else int(age * MILLISECONDS),
             refusal.retry_after_milliseconds,
             left_out,
         )
-        self._notice_sink(line)
+        self._notice_sink(notice)
 
 
 def _over_limit(seconds: float) -> NotRun:
--- a/src/peppershore/process/node/data/quota_figures.py
+++ b/src/peppershore/process/node/data/quota_metrics.py
@@ -1,4 +1,4 @@
-"""How many calls of tenants with a limit were granted and refused at one node."""
+"""Metrics of the calls of tenants with a rate limit: granted and refused, at one node."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 if TYPE_CHECKING:
     from prometheus_client.metrics_core import Metric
 
-MOST_TENANTS = 100
-"""Tenants that are told apart, those that were counted first; a page stays readable and
-its series bound, however many tenants there are or come and go."""
+MAX_LABELLED_TENANTS = 100
+"""Number of tenants with a label of their own: those that were counted first. It keeps the
+metrics page readable and its series bounded, however many tenants there are or come and
+go."""
 
 OTHER_TENANTS = "(others)"
-"""Stands for the rest; no tenant can be named so."""
+"""Label of all other tenants; no tenant can have this name."""
 
 GRANTED = "granted"
 
 
-class QuotaFigures:
-    """Counts since the start of one node's process."""
+class QuotaMetrics:
+    """Counters since the start of one node's process."""
 
     def __init__(self) -> None:
-        """Begin without calls."""
+        """Start all counters at zero."""
         self._tenants: set[str] = set()
         self._calls: Counter[tuple[str, str]] = Counter()
 
     def decided(self, tenant: str, outcome: str) -> None:
-        """Count a decision: granted, or the reason of the refusal."""
+        """Count a decision; ``outcome`` is "granted" or the reason of the refusal."""
         if tenant not in self._tenants:
-            if len(self._tenants) >= MOST_TENANTS:
+            if len(self._tenants) >= MAX_LABELLED_TENANTS:
                 tenant = OTHER_TENANTS
             else:
                 self._tenants.add(tenant)
         self._calls[tenant, outcome] += 1
 
     def collect(self) -> Iterator[Metric]:
-        """Give the counter, as the metrics library's registry asks for it."""
+        """Yield the counter, as the registry of the metrics library expects it."""
         from prometheus_client import core  # noqa: PLC0415
 
         counted = core.CounterMetricFamily(
--- a/src/peppershore/process/node/data/refusal_lines.py
+++ b/src/peppershore/process/node/data/refusal_lines.py
@@ -1,7 +1,7 @@
-"""How many lines of calls without a good key are written.
+"""Limits the log lines of calls without a valid key.
 
-Anybody can send calls without one, as many as a link carries.  Their lines must not
-crowd out those of other calls, and all that a line tells is in the next one too.
+Anybody can send such calls, as many as a link carries. Their log lines must not displace
+those of other calls, and the next line of the same reason says as much as one left out.
 """
 
 from __future__ import annotations
@@ -9,26 +9,28 @@
 from peppershore.process.log_output import LineBudget
 
 KEY_REASONS = frozenset({"no-key", "unknown-key", "configuration-not-confirmed"})
-"""Why a call whose key is of no tenant is refused; the last one while that is not sure."""
+"""Reasons for refusing a call whose key belongs to no tenant. The last one stands while the
+node's configuration is too old to be sure of it."""
 
-LINES_A_SECOND = 10.0
-"""For each reason; all together less than a third of the lines that calls may have."""
+LINES_PER_SECOND = 10.0
+"""Limit for each reason; all reasons together have less than a third of the log lines that
+calls may have."""
 
 BURST = 10.0
 
 
 class RefusalLines:
-    """Counts, for each reason, the lines left out since the last one written."""
+    """Counts, for each reason, the log lines left out since the last one written."""
 
     def __init__(self) -> None:
-        """Begin with a second's lines."""
+        """Start with a full budget of ``BURST`` lines for each reason."""
         self._budgets = {
-            reason: LineBudget(LINES_A_SECOND, BURST) for reason in KEY_REASONS
+            reason: LineBudget(LINES_PER_SECOND, BURST) for reason in KEY_REASONS
         }
         self._left_out = dict.fromkeys(KEY_REASONS, 0)
 
     def take(self, reason: str, now: float) -> int | None:
-        """Give how many lines were left out before this one; None: leave it out too."""
+        """Return how many lines were left out before this one; None to leave it out too."""
         budget = self._budgets.get(reason)
         if budget is None:
             return 0
--- a/src/peppershore/process/node/data/request_body.py
+++ b/src/peppershore/process/node/data/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body on its way: held until it may be sent, kept for a retry."""
+"""The body of a request: buffered until it may be sent, retained for a retry."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from peppershore.request.fingerprint import Fingerprint
 
 REPLAY_BYTES = 64 * 1024
-"""A body up to this size is kept, so that a retry can send it again."""
+"""A body up to this size is retained, so that a retry can send it again."""
 
 HOLD_BYTES = 64 * 1024
-"""More than this is not read from the caller before it can be sent on."""
+"""No more than this is read from the caller before the body can be forwarded."""
 
 LARGEST_READ_BYTES = 256 * 1024
-"""What asyncio's transports read from a socket at a time, at most."""
+"""Most bytes that asyncio's transports read from a socket at a time."""
 
 STREAMED_REPLAY_BYTES = STREAM_WINDOW_BYTES + LARGEST_READ_BYTES
-"""A streamed body is kept up to this size: what may be on its way to the back end's own
-node before that node takes it, and one read from the caller more.  So a refusal for want
-of a slot never ends the call: nothing went past the refusing node."""
+"""A streamed body is retained up to this size: the bytes that may be in transit to the
+owner before it accepts them, plus one read from the caller. So a call that an owner
+refuses for want of a slot can be retried: its body went no further than that owner."""
 
 
 class RequestBody:
-    """The pieces of one body, and how far they were sent."""
+    """The pieces of one body, and how many of them were sent."""
 
     __slots__ = (
         "_pieces",
@@ -37,7 +37,7 @@
     )
 
     def __init__(self) -> None:
-        """Start empty; what goes beyond ``replay_bytes`` can't be sent again."""
+        """Start empty; a body larger than ``replay_bytes`` cannot be sent again."""
         self.replay_bytes = REPLAY_BYTES
         self.fingerprint = Fingerprint()
         self._pieces: list[bytes] = []
@@ -49,28 +49,31 @@
 
     @property
     def held_too_much(self) -> bool:
-        """Whether the caller should be read no further for now."""
+        """Whether reading from the caller should pause for now."""
         return self.received > HOLD_BYTES and self._sent < len(self._pieces)
 
     def add(self, data: bytes) -> None:
-        """Take a piece from the caller."""
+        """Append a piece that was received from the caller."""
         self._pieces.append(data)
         self.fingerprint.add(data)
         self.received += len(data)
 
     def end(self, trailers: HeaderList) -> None:
-        """The caller sent it all."""
+        """Record that the body is complete."""
         self.ended = True
         self.fingerprint.end()
         self.trailers = trailers
 
     def restart(self) -> None:
-        """Begin again for another attempt."""
+        """Send the body from its beginning for another attempt."""
         assert self.replayable, "the body's beginning is gone"
         self._sent = 0
 
     def send(self, attempt: Attempt) -> None:
-        """Give the attempt all that it has not had."""
+        """Send the attempt the pieces that it was not sent yet, and the end if received.
+
+        Discards the pieces, so that no retry can send them, once the body is too large.
+        """
         for piece in self._pieces[self._sent :]:
             attempt.send_data(piece)
         self._sent = len(self._pieces)
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -1,4 +1,4 @@
-"""The owner's side of a stream: a peer's call at this node's own back end."""
+"""The owner's side of a stream: a peer's call to this node's local back end."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class ServedStream:
-    """Takes a peer's call to the back end and its answer back to the peer."""
+    """Forwards a peer's call to the back end, and the answer to the peer."""
 
     __slots__ = (
         "_answer_head",
@@ -66,12 +66,12 @@
         "_begun",
         "_body",
         "_cancellable",
-        "_fetches",
+        "_prefetches_body",
         "_link",
         "_log",
-        "_out",
-        "_over",
-        "_own",
+        "_unsent",
+        "_finished",
+        "_own_attempt",
         "_paused",
         "_receiving",
         "_record",
@@ -82,7 +82,7 @@
     )
 
     def __init__(self, link: CallLink, started: CallStarted, log: CallLog) -> None:
-        """Bind to the stream; nothing happens before ``start``."""
+        """Bind to the stream; nothing is sent before ``start``."""
         self._log = log
         self._record: ServedRecord | None = None
         self._status = 0
@@ -93,19 +93,19 @@
         self._route = started.route
         self._cancellable = started.cancellable
         self._attempt: Attempt | None = None
-        self._own: OwnAttempt | None = None
+        self._own_attempt: OwnAttempt | None = None
         self._backend: OwnBackend | None = None
         self._begun = False
-        self._fetches = False
-        self._over = False
+        self._prefetches_body = False
+        self._finished = False
         self._paused = False
         self._answer_head: AnswerHead | None = None
-        self._out: list[bytes] = []
+        self._unsent: list[bytes] = []
         self._sending = SendWindow(started.answer_window or STREAM_WINDOW_BYTES)
         self._receiving = ReceiveWindow()
 
     def start(self, backend: OwnBackend, started: CallStarted) -> None:
-        """Ask the authority for a slot."""
+        """Start the attempt, which requests a slot from ``backend``."""
         if started.data:
             self._body.add(started.data)
         if started.ended:
@@ -123,99 +123,103 @@
         self._attempt.start()
 
     def _new_attempt(self, backend: OwnBackend, request: AttemptRequest) -> Attempt:
-        """Give the attempt; a large answer waits in it for its turn on the link."""
+        """Return the attempt; a large answer is scheduled on this node's link by it."""
 
-        def own(sink: AttemptSink) -> OwnAttempt:
-            self._own = OwnAttempt(backend, request, sink, self._fetch_body)
-            return self._own
+        def make_attempt(sink: AttemptSink) -> OwnAttempt:
+            self._own_attempt = OwnAttempt(backend, request, sink, self._fetch_body)
+            return self._own_attempt
 
-        desk = backend.large_answers
-        if desk is None or not request.answer_is_large:
-            return own(self)
+        scheduler = backend.large_answers
+        if scheduler is None or not request.answer_is_large:
+            return make_attempt(self)
         work = backend.admission.known_work(request.route)
         terms = LargeTerms(request.route, request.due, work, elsewhere=True)
-        return PacedAnswer(desk, terms, self, own)
+        return PacedAnswer(scheduler, terms, self, make_attempt)
 
     def refuse(self, refusal: NotRun) -> None:
-        """Refuse the call before it is begun."""
+        """Refuse the call before it is started."""
         self.attempt_failed(refusal)
 
-    # --- StreamSink
+    # --- StreamSink (called by the link)
 
     def stream_message(self, message: Message) -> None:
-        """Take the peer's next message."""
+        """Process the peer's next message."""
         match message:
             case CallBody():
-                self._more(message)
+                self._receive_body(message)
             case CallCancelled():
                 self._cancel()
             case CallCredit():
-                self._credited(message.octets)
+                self._receive_credit(message.octets)
             case _:
                 pass
 
     def stream_lost(self, reason: str) -> None:
-        """The peer is gone: cancel, unless the answer is kept elsewhere."""
+        """Cancel the call of a peer that was lost, unless it must run to its end.
+
+        A call that is not cancellable goes on once it has begun and its body is complete.
+        """
         del reason
         self._link = None
         if self._cancellable or not self._begun or not self._body.ended:
             self._cancel()
 
-    # --- AttemptSink
+    # --- AttemptSink (called by the attempt)
 
     def attempt_begun(self) -> None:
-        """Send what there is of the body."""
+        """Send the part of the body that was received, and grant the peer credit."""
         self._begun = True
         assert self._attempt is not None
         self._body.send(self._attempt)
-        self._credit(self._receiving.resume())
+        self._send_credit(self._receiving.resume())
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Keep the head until this batch ends: most answers are whole then."""
+        """Store the head until this batch ends, when most answers are complete."""
         self._answer_head = head
         self._status = head.status
 
     def answer_data(self, data: bytes) -> None:
-        """Queue a piece of the answer."""
-        self._out.append(data)
+        """Queue a piece of the answer's body."""
+        self._unsent.append(data)
 
     def answer_batch_ended(self) -> None:
-        """Send what there is."""
+        """Send the queued part of the answer."""
         self._flush(False, [])
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole: send it."""
-        self._over = True
+        """Send the rest of the answer, which is complete, and close the stream."""
+        self._finished = True
         self._flush(True, trailers)
         self._close()
         if self._record is not None and self._log.takes_answered(self._record.request_id):
-            self._tell(CallEnd("answered", "", self._status))
+            self._log_end(CallEnd("answered", "", self._status))
 
     def attempt_failed(self, failed: Failed) -> None:
-        """Tell the peer how the call failed.
+        """Report to the peer how the call failed.
 
-        That no slot was free for a call that may not wait has no line here: it is a step
-        of the caller's line.  Such lines were 17 in 20 under load, and crowded out others.
+        A refusal of a call that may not wait, for want of a free slot, is not logged here:
+        it is a step in the log line of the caller's node. Under load 17 in 20 log lines
+        were of this kind and displaced others.
         """
-        self._over = True
+        self._finished = True
         if self._link is not None:
             self._link.send(_failure_message(self._stream, failed, self._load()))
         self._close()
         if failed.reason not in SEEK_ON:
-            self._tell(failure_end(failed))
+            self._log_end(failure_end(failed))
 
     def sending_paused(self) -> None:
-        """Give the peer no more credit."""
+        """Grant the peer no more credit."""
         self._receiving.pause()
 
     def sending_resumed(self) -> None:
-        """Give the credit owed."""
-        self._credit(self._receiving.resume())
+        """Grant the peer the credit that was withheld."""
+        self._send_credit(self._receiving.resume())
 
-    # --- inside
+    # --- internal
 
-    def _more(self, message: CallBody) -> None:
-        if self._over:
+    def _receive_body(self, message: CallBody) -> None:
+        if self._finished:
             return
         if message.trailers and fields_unsafe(message.trailers):
             self._cancel()
@@ -225,48 +229,51 @@
             self._body.end(message.trailers)
         if self._begun and self._attempt is not None:
             self._body.send(self._attempt)
-        elif self._own is not None and message.ended:
-            self._own.body_is_in()
-        elif not self._fetches:
+        elif self._own_attempt is not None and message.ended:
+            self._own_attempt.body_is_in()
+        elif not self._prefetches_body:
             self._receiving.pause()
-        self._credit(self._receiving.taken(len(message.data)))
+        self._send_credit(self._receiving.taken(len(message.data)))
 
     def _fetch_body(self) -> None:
-        """Give the credit for the whole body before the call has a slot."""
-        self._fetches = True
-        self._credit(self._receiving.resume())
+        """Grant the peer credit for its complete body before the call has a slot."""
+        self._prefetches_body = True
+        self._send_credit(self._receiving.resume())
 
     def _cancel(self) -> None:
-        if self._over:
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         if self._attempt is not None:
             self._attempt.cancel()
-        failed = self._cancelled()
-        self._tell(failure_end(failed))
+        failed = self._cancel_failure()
+        self._log_end(failure_end(failed))
         if self._link is not None:
             self._link.send(_failure_message(self._stream, failed, self._load()))
         self._close()
 
-    def _tell(self, end: CallEnd) -> None:
+    def _log_end(self, end: CallEnd) -> None:
         if self._record is not None:
             now = asyncio.get_running_loop().time()
             began = self._record.began_at
-            run = NEVER_RAN if self._own is None else self._own.run(began)
+            run = NEVER_RAN if self._own_attempt is None else self._own_attempt.run(began)
             self._log.write(served_story(self._record, end, now, run))
 
     def _load(self) -> OwnerLoad | None:
         return None if self._backend is None else self._backend.load(self._route)
 
-    def _cancelled(self) -> Failed:
-        """Tell a peer that asks at its deadline whether the back end had the call."""
+    def _cancel_failure(self) -> Failed:
+        """Return the failure of a cancelled call.
+
+        A peer that cancels at its deadline learns by it whether the back end had the call.
+        """
         if self._begun:
             return Unknown(STATUS_GATEWAY_TIMEOUT, "cancelled")
         return NotRun(STATUS_UNAVAILABLE, "cancelled")
 
     def _flush(self, ended: bool, trailers: HeaderList) -> None:
-        data = b"".join(self._out)
-        self._out.clear()
+        data = b"".join(self._unsent)
+        self._unsent.clear()
         message: CallAnswered | CallAnswerBody
         if self._answer_head is not None:
             message = _answer_message(
@@ -284,11 +291,11 @@
             self._paused = True
             self._attempt.pause_answer()
 
-    def _credit(self, octets: int) -> None:
-        if octets and self._link is not None and not self._over:
+    def _send_credit(self, octets: int) -> None:
+        if octets and self._link is not None and not self._finished:
             self._link.send(CallCredit(self._stream, octets))
 
-    def _credited(self, octets: int) -> None:
+    def _receive_credit(self, octets: int) -> None:
         if self._sending.credited(octets) and self._paused and self._attempt is not None:
             self._paused = False
             self._attempt.resume_answer()
@@ -307,7 +314,7 @@
         content_length=length,
     )
     now = asyncio.get_running_loop().time()
-    patience = started.patience_milliseconds
+    wait_milliseconds = started.patience_milliseconds
     return AttemptRequest(
         head=head,
         headers=started.headers,
@@ -318,7 +325,9 @@
         service=started.service,
         priority=started.priority,
         may_wait=started.may_wait,
-        start_by=math.inf if patience < 0 else now + patience / MILLISECONDS,
+        start_by=math.inf
+        if wait_milliseconds < 0
+        else now + wait_milliseconds / MILLISECONDS,
         is_client_retry=started.is_client_retry,
         route=started.route,
         body_on_credit=started.body_on_credit,
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -1,7 +1,7 @@
-"""The admissions of a node by target service: who gets a back end, who waits, who is told.
+"""Admission of a node's calls for each target service: which gets a back end, which waits.
 
-Ties the cores of ``request.admission`` to the endpoints, to what owners tell of their
-loads, and to the calls that wait.
+Connects the logic of ``request.admission`` to the endpoints, to the loads that owners
+report, and to the waiting calls.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
 
-KICK_SECONDS = 0.02
+RECHECK_SECONDS = 0.02
 OWNER_LIMIT_FACTOR = 2
-"""Calls this node sends to one owner at a time, as a multiple of its slots: the
-owner counts the slots, this bounds what may wait there."""
+"""Limit of the calls that this node has at one owner at a time, as a multiple of its slots.
+The owner enforces the slots; this limit bounds how many calls may wait there."""
 
 MILLISECONDS = 1_000
 
 
 class WaitingCall(Protocol):
-    """A call that waits here for a back end."""
+    """A call that waits in this node's queue for a back end."""
 
     def dispatched(self, dispatch: Dispatch) -> None:
-        """A back end was chosen."""
+        """Proceed with the back end that was chosen."""
 
     def refused(self, refusal: NotRun) -> None:
-        """The call waits no longer."""
+        """Process the refusal; the call is no longer in the queue."""
 
 
 class ServiceAdmissions:
-    """Which back end takes each call of this node, for every service that it calls."""
+    """Chooses the back end for each call of this node, for every service that it calls."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
     ) -> None:
         """Start without services and without endpoints.
 
-        ``weights`` are those of the tenants of the configuration in use.
+        ``weights`` holds the tenants' weights of the configuration in use.
         """
         self._weights = weights
         self.own: OwnBackend | None = None
@@ -74,15 +74,15 @@
         self._nodes_behind: dict[str, list[str]] = {}
         self._waiting: dict[int, WaitingCall] = {}
         self._ticket_numbers = itertools.count(1)
-        self._kick: asyncio.TimerHandle | None = None
+        self._recheck_timer: asyncio.TimerHandle | None = None
 
     @property
     def waiting(self) -> int:
-        """Calls in this node's queues."""
+        """Number of calls in this node's queues."""
         return len(self._waiting)
 
     def use_services(self, services: dict[str, ServiceSettings]) -> None:
-        """Decide new calls by these settings."""
+        """Apply new settings, by service name, to new and waiting calls."""
         self._services = services
         for service, admission in self._admissions.items():
             if service in services:
@@ -90,7 +90,7 @@
         self._start_all_waiting()
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Replace the live endpoints."""
+        """Replace the live endpoints of all services."""
         grouped: dict[str, list[Endpoint]] = {}
         for endpoint in endpoints:
             grouped.setdefault(endpoint.service, []).append(endpoint)
@@ -101,32 +101,35 @@
             behind.append(endpoint.node)
         now = self._loop.time()
         for service, admission in self._admissions.items():
-            self._feed(admission, service, now)
+            self._pass_endpoints(admission, service, now)
         self._start_all_waiting()
 
     def close(self) -> None:
-        """Look at the queues no more."""
-        if self._kick is not None:
-            self._kick.cancel()
+        """Stop rechecking the queues."""
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
 
     def draw_lane(self, service: str) -> Lane:
-        """Draw for one call which version of the service's software is to take it."""
+        """Choose at random which version of the service's software is to serve one call."""
         admission = self._admission(service)
         return "any" if admission is None else admission.draw_lane()
 
     @property
     def looks_for_free_slots(self) -> bool:
-        """Whether a call first asks each owner for a free slot before it waits for one."""
+        """Whether a call probes each owner for a free slot before it waits for one."""
         return self._settings.seek_free_slots
 
     def most_waits(self, plan: CallPlan) -> int:
-        """Give at how many owners a call may wait; a large body is awaited at one."""
+        """Return at how many owners a call may wait; one for a call with a large body."""
         if plan.settings.streamed_bodies or not self.looks_for_free_slots:
             return 1
         return self._settings.waits_at_owners
 
     def waits_at_once(self, plan: CallPlan) -> bool:
-        """Whether to ask for a free slot first is in vain, by what asks came to."""
+        """Return whether a call is to wait in a queue without probing for a slot.
+
+        True after recent probes were refused or while every back end is saturated.
+        """
         admission = self._admission(plan.target)
         if admission is None or not self.looks_for_free_slots:
             return False
@@ -134,7 +137,7 @@
         return admission.seeking.is_in_vain(now) or admission.all_shed(now, plan.lane)
 
     def asked_for_slot(self, plan: CallPlan, was_granted: bool) -> None:
-        """A call that may not wait asked a back end's own node for a free slot."""
+        """Record whether an owner granted a free slot to a call that may not wait."""
         admission = self._admission(plan.target)
         if admission is None:
             return
@@ -146,7 +149,11 @@
     def ticket(
         self, plan: CallPlan, excluded: frozenset[str], tries_another_zone: bool = False
     ) -> Ticket:
-        """Give a place in line; a large body asks another zone only if it has to."""
+        """Return a ticket for the queue.
+
+        ``tries_another_zone`` prefers other zones, but not for a call with a large body,
+        which goes to another zone only if it must.
+        """
         number = next(self._ticket_numbers)
         return Ticket(
             number,
@@ -166,30 +173,30 @@
         )
 
     def offer(self, ticket: Ticket, plan: CallPlan, call: WaitingCall) -> Decision:
-        """Ask for a slot; a call that waits hears ``dispatched`` or ``refused``."""
+        """Request a slot; if queued, ``call`` gets ``dispatched`` or ``refused`` later."""
         admission = self._admission(plan.target)
         if admission is None:
             return NotRun(STATUS_UNAVAILABLE, "service-not-held", MILLISECONDS)
         now = self._loop.time()
-        self._note_own_load(admission, plan, now)
+        self._note_local_load(admission, plan, now)
         decision = admission.offer(ticket, now)
         if isinstance(decision, Waiting):
             self._waiting[ticket.number] = call
             if decision.evicted is not None:
                 evicted = self._waiting.pop(decision.evicted.number)
                 evicted.refused(admission.refusal_of_evicted(decision.evicted, now))
-            self._kick_later()
+            self._schedule_recheck()
         return decision
 
     def withdraw(self, ticket: Ticket, plan: CallPlan) -> None:
-        """A waiting call was given up."""
+        """Remove a call that was given up from the queue."""
         if self._waiting.pop(ticket.number, None) is not None:
             self._admissions[plan.target].withdraw(ticket)
 
     def slot_freed(
         self, dispatch: Dispatch, plan: CallPlan, latency: float, verdict: Verdict | None
     ) -> None:
-        """An attempt ended: learn from it and start who waits."""
+        """Record the result of an attempt that ended, and start waiting calls."""
         admission = self._admissions[plan.target]
         ejected = admission.finished(dispatch, latency, verdict, self._loop.time())
         if ejected is not None:
@@ -200,9 +207,9 @@
     def has_back_end_besides(
         self, plan: CallPlan, nodes: frozenset[str], for_free_slot: bool = False
     ) -> bool:
-        """Whether a call can go now to a back end that is none of these nodes'.
+        """Return whether a call can be sent now to a back end of a node not in ``nodes``.
 
-        ``for_free_slot``: only one counts that may have a slot free now.
+        With ``for_free_slot`` only a back end that may have a free slot now counts.
         """
         admission = self._admission(plan.target)
         return admission is not None and admission.has_besides(
@@ -210,17 +217,17 @@
         )
 
     def told_work(self, plan: CallPlan) -> float:
-        """Give the mean seconds of a route's work by what owners told; 0: unknown."""
+        """Return a route's mean service time in seconds by owners' reports; 0: unknown."""
         admission = self._admission(plan.target)
         return 0.0 if admission is None else admission.told_work(plan.route)
 
     def state_of(self, service: str, node: str) -> EndpointState | None:
-        """Give what this node has seen of one back end; None if nothing."""
+        """Return this node's own observations of one back end; None if there are none."""
         admission = self._admissions.get(service)
         return None if admission is None else admission.state(node)
 
     def choice_seen(self, dispatch: Dispatch, plan: CallPlan, may_wait: bool) -> ChoiceSeen:
-        """Give what the choice of a back end went by."""
+        """Return the data by which a back end was chosen, for the call record."""
         now = self._loop.time()
         state = self.state_of(plan.target, dispatch.endpoint.node)
         if state is None:
@@ -242,7 +249,7 @@
             pace_source="own" if is_own else "told",
         )
 
-    # --- inside
+    # --- internal
 
     def _admission(self, service: str) -> Admission | None:
         admission = self._admissions.get(service)
@@ -260,11 +267,11 @@
             weights=self._weights,
         )
         self._admissions[service] = admission
-        self._feed(admission, service, self._loop.time())
+        self._pass_endpoints(admission, service, self._loop.time())
         return admission
 
-    def _feed(self, admission: Admission, service: str, now: float) -> None:
-        """Give an admission its endpoints, with this node's limit for each."""
+    def _pass_endpoints(self, admission: Admission, service: str, now: float) -> None:
+        """Pass an admission its endpoints, each with this node's limit of calls to it."""
         endpoints = self._endpoints.get(service, ())
         limited = [
             msgspec.structs.replace(endpoint, slots=endpoint.slots * OWNER_LIMIT_FACTOR)
@@ -275,14 +282,14 @@
         admission.use_endpoints(tuple(limited), now)
 
     def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
-        """The node behind an address told how loaded its back end is."""
+        """Process the load of its back end that the owner at an address reported."""
         now = self._loop.time()
         for node in self._nodes_behind.get(address, ()):
             for admission in self._admissions.values():
                 admission.note_load(node, load, route, now)
 
-    def _note_own_load(self, admission: Admission, plan: CallPlan, now: float) -> None:
-        """Compare the own back end with others by what its node would tell them."""
+    def _note_local_load(self, admission: Admission, plan: CallPlan, now: float) -> None:
+        """Rate the local back end by the load that this node would report to others."""
         if self.own is not None and plan.target == self.own.service:
             load = self.own.load(plan.route)
             admission.note_load(self._settings.node, load, plan.route, now)
@@ -309,13 +316,13 @@
                 call.dispatched(dispatch)
             else:
                 admission.finished(dispatch, 0.0, None, self._loop.time())
-        self._kick_later()
+        self._schedule_recheck()
 
-    def _kick_later(self) -> None:
-        """Look again soon: ramps and ejections end without an event."""
-        if self._kick is None and self._waiting:
-            self._kick = self._loop.call_later(KICK_SECONDS, self._kicked)
+    def _schedule_recheck(self) -> None:
+        """Schedule a recheck of the queues: ramps and ejections end without an event."""
+        if self._recheck_timer is None and self._waiting:
+            self._recheck_timer = self._loop.call_later(RECHECK_SECONDS, self._recheck)
 
-    def _kicked(self) -> None:
-        self._kick = None
+    def _recheck(self) -> None:
+        self._recheck_timer = None
         self._start_all_waiting()
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -25,27 +25,27 @@
         self.wire = wire
         self.left = octets
         self.through_at = 0.0
-        self.reads_on = 0
+        self.resumed_count = 0
         offered = wire.desk.offer("frames", due, 0.0, self)
         self.refusal = offered if isinstance(offered, NotRun) else None
         self.transfer: Transfer | None = None
         if isinstance(offered, Transfer):
             self.transfer = offered
             wire.desk.room.sized(offered, octets)
-            wire.desk.came(offered, octets)
-            wire.desk.kick()
+            wire.desk.received(offered, octets)
+            wire.desk.send_due()
 
-    def send_some(self, octets: int) -> None:
+    def send_up_to(self, octets: int) -> None:
         assert self.transfer is not None
         octets = min(octets, self.left)
         self.left -= octets
-        self.wire.desk.went(self.transfer, octets)
+        self.wire.desk.forwarded(self.transfer, octets)
         self.wire.link.carry(octets, self._arrived)
         if not self.left:
-            self.wire.desk.over(self.transfer, is_whole=True)
+            self.wire.desk.finished(self.transfer, is_whole=True)
 
-    def read_on(self) -> None:
-        self.reads_on += 1
+    def resume_reading(self) -> None:
+        self.resumed_count += 1
 
     def _arrived(self) -> None:
         if not self.left and not self.through_at:
@@ -100,13 +100,13 @@
     senders = [Sender(wire, 200_000, 60.0) for _ in range(5)]
     last = senders[-1]
     assert last.transfer is not None
-    assert not wire.desk.may_hold_more(last.transfer)
-    wire.desk.hold_back(last)
+    assert not wire.desk.may_buffer_more(last.transfer)
+    wire.desk.pause_until_room(last)
     little = wire.desk.offer("frames", 60.0, 0.0, last)
     assert isinstance(little, Transfer)
-    assert wire.desk.may_hold_more(little)
+    assert wire.desk.may_buffer_more(little)
     wire.clock.run(60.0)
-    assert last.reads_on == 1
+    assert last.resumed_count == 1
 
 
 def test_the_window_of_an_answer_shrinks_with_those_under_way() -> None:
--- a/tests/data_plane/test_quota_gate.py
+++ b/tests/data_plane/test_quota_gate.py
@@ -12,13 +12,13 @@
 from peppershore.connection.messages.quotas import QuotaAsked, QuotaGranted, TenantGrant
 from peppershore.process.commands import Notice
 from peppershore.process.node.data.notices import OverLimit
-from peppershore.process.node.data.quota_figures import MOST_TENANTS, QuotaFigures
 from peppershore.process.node.data.quota_gate import (
     LEAST_WAIT_SECONDS,
     LONGEST_WAIT_SECONDS,
     QuotaGate,
     wait_until,
 )
+from peppershore.process.node.data.quota_metrics import MAX_LABELLED_TENANTS, QuotaMetrics
 from peppershore.process.quotas.refusal_lines import LINE_SECONDS, MOST_LINES, RefusalLines
 from peppershore.process.randomness import Randomness
 from peppershore.process.settings import QuotaSettings
@@ -226,17 +226,17 @@
 
 
 def test_series_of_tenants_are_bound_however_many_there_are() -> None:
-    figures = QuotaFigures()
-    for number in range(3 * MOST_TENANTS):
+    figures = QuotaMetrics()
+    for number in range(3 * MAX_LABELLED_TENANTS):
         figures.decided(f"t{number}", "granted")
     figures.decided("t0", "granted")
     found = counted(figures)
-    assert len(found) == MOST_TENANTS + 1
+    assert len(found) == MAX_LABELLED_TENANTS + 1
     assert found["t0", "granted"] == 2.0
-    assert found["(others)", "granted"] == 2.0 * MOST_TENANTS
+    assert found["(others)", "granted"] == 2.0 * MAX_LABELLED_TENANTS
 
 
-def counted(figures: QuotaFigures) -> dict[tuple[str, str], float]:
+def counted(figures: QuotaMetrics) -> dict[tuple[str, str], float]:
     (family,) = figures.collect()
     return {
         (each.labels["tenant"], each.labels["outcome"]): each.value
--- a/tests/data_plane/test_refusal_lines.py
+++ b/tests/data_plane/test_refusal_lines.py
@@ -5,7 +5,7 @@
 from peppershore.process.node.data.refusal_lines import (
     BURST,
     KEY_REASONS,
-    LINES_A_SECOND,
+    LINES_PER_SECOND,
     RefusalLines,
 )
 
@@ -18,7 +18,7 @@
     calls = [number / FLOOD_A_SECOND for number in range(FLOOD_A_SECOND * SECONDS)]
     taken = [lines.take("unknown-key", now) for now in calls]
     written = [each for each in taken if each is not None]
-    assert len(written) <= BURST + LINES_A_SECOND * SECONDS
+    assert len(written) <= BURST + LINES_PER_SECOND * SECONDS
     last = lines.take("unknown-key", SECONDS + 1.0)
     assert last is not None
     assert sum(written) + len(written) + last == len(calls)
@@ -26,7 +26,7 @@
 
 def test_calls_far_apart_have_a_line_each() -> None:
     lines = RefusalLines()
-    moments = [number / LINES_A_SECOND for number in range(100)]
+    moments = [number / LINES_PER_SECOND for number in range(100)]
     assert {lines.take("no-key", now) for now in moments} == {0}
 
 
