--- a/tests/data_plane/node_process.py
+++ b/tests/data_plane/node_process.py
@@ -1,6 +1,6 @@
-"""A data plane as a process of its own, until SIGTERM: prints its end's report.
+"""Runs a data plane as a separate process until SIGTERM, then prints its drain report.
 
-It also stops when its standard input closes, so that a failed test leaves none.
+It also stops when its standard input closes, so that a failed test leaves no process.
 """
 
 from __future__ import annotations
--- a/tests/data_plane/test_back_end_ends.py
+++ b/tests/data_plane/test_back_end_ends.py
@@ -1,4 +1,4 @@
-"""The end of a back end's process is told from the end of a connection to it."""
+"""A crash of a back end's process is distinguished from the loss of a connection to it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def ends_on(marked: str, backend: ScriptedBackend) -> None:
-    """Let the back end close everything, its listener first, on a marked request."""
+    """Let the back end crash on a marked request: it closes its listener, then the rest."""
 
     async def script(request: Received, writer: asyncio.StreamWriter) -> None:
         if request.target != marked:
--- a/tests/data_plane/test_bodies_on_narrow_links.py
+++ b/tests/data_plane/test_bodies_on_narrow_links.py
@@ -1,4 +1,7 @@
-"""On a narrow link a body goes only where its call is taken, and before its slot."""
+"""On a narrow link a body is sent only to an owner that accepts its call.
+
+The owner prefetches the body before the call has a slot.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 
 async def _asked_in_vain(link_megabits: float, body: bytes) -> tuple[int, bool]:
-    """Give the body bytes that an owner got which refused, and whether it was asked."""
+    """Return how many body bytes a refusing owner received, and if it got the call."""
     owner = FakeOwner(_refusing)
     edge = Node(seek_free_slots=True, link_megabits=link_megabits)
     address = await edge.start(
@@ -100,7 +103,7 @@
 
 
 async def _stalled(address: str) -> Caller:
-    """Begin a request whose body stops short of its length."""
+    """Start a request whose body stalls before its end."""
     caller = await Caller.connect(address)
     head = b"POST / HTTP/1.1\r\nhost: kassa\r\ncontent-length: 4000\r\n\r\n"
     caller.write(head + b"x" * 100)
@@ -108,7 +111,7 @@
 
 
 def test_a_body_on_its_way_holds_no_slot() -> None:
-    """One that stalls keeps nobody from the only slot."""
+    """A stalled body does not keep another call from the only slot."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
@@ -174,7 +177,7 @@
 
 
 def test_a_body_sent_past_its_credit_is_bounded_by_the_credit() -> None:
-    """The caller's node sends what it was credited, and the rest once more is given."""
+    """The caller's node sends only as much of the body as it was granted credit for."""
 
     async def scene() -> None:
         granted: list[int] = []
--- a/tests/data_plane/test_callers_leave_large_answers.py
+++ b/tests/data_plane/test_callers_leave_large_answers.py
@@ -1,8 +1,8 @@
-"""A caller that leaves midway keeps a link from others for half a second at the most.
+"""A caller that disconnects midway occupies the links for at most half a second more.
 
-Virtual time; the links' queues stand for the buffers of the systems and of the network.
-The way of an answer is the product's: ``PacedAnswer`` at the back end's node and at the
-caller's, with the window that the caller's node gives.
+Runs in virtual time; the links' queues model the buffers of the operating systems and of
+the network. The answer passes through the product's code: ``PacedAnswer`` at the owner and
+at the caller's node, with the window that the caller's node announces.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from peppershore.request.outcome import Failed
 
 MOST_SECONDS = 0.5
-"""What operators are promised."""
+"""The bound promised to operators."""
 
 WAY_SECONDS = 0.0015
 LEAVER_BYTES = 4_000_000
@@ -28,7 +28,7 @@
 
 
 class _Quiet:
-    """Those parts of an attempt and of its sink that no scene here needs."""
+    """Empty implementations of the methods of attempts and sinks not needed here."""
 
     def send_data(self, data: bytes) -> None:
         pass
@@ -62,7 +62,7 @@
 
 
 class BackEnd(_Quiet):
-    """Answers at once with so many bytes, as fast as they are read."""
+    """Answers at once with ``octets`` bytes, as fast as they are read."""
 
     def __init__(self, octets: int, sink: AttemptSink) -> None:
         self.left = octets
@@ -93,10 +93,10 @@
 
 
 class OwnersLink(_Quiet):
-    """An attempt of the caller's node: the answer comes over the owner's link.
+    """An attempt of the caller's node, whose answer comes over the owner's link.
 
-    So many bytes may be under way as the caller's node said; it gives credit for what it
-    took, unless it takes no more.
+    The window of the caller's node bounds the bytes in transit. It grants credit for
+    the bytes that it received, except while it is paused.
     """
 
     def __init__(self, owner: Wire, edge: Wire, octets: int, sink: AttemptSink) -> None:
@@ -125,7 +125,7 @@
         self._is_paused = False
         self._give_credit(0)
 
-    # --- as the owner's sink
+    # --- AttemptSink of the owner
 
     def answer_data(self, data: bytes) -> None:
         self.last_sent_at = self._owner.clock.now + self._owner.link.backlog_seconds
@@ -162,7 +162,7 @@
 
 
 class Caller(_Quiet):
-    """Asks at the edge for an answer of so many bytes, and may leave."""
+    """Requests an answer of ``octets`` bytes at the edge node, and may disconnect."""
 
     def __init__(self, owner: Wire, edge: Wire, octets: int) -> None:
         self._edge = edge
@@ -222,7 +222,7 @@
 
 
 def test_an_answer_behind_another_costs_no_more_than_its_window_when_dropped() -> None:
-    """It goes only while the one before it waits for credit."""
+    """It is sent only while the answer before it waits for credit."""
     clock = Clock()
     owner, edge = Wire(3.9, clock), Wire(3.9, clock)
     first = Caller(owner, edge, OTHER_BYTES)
--- a/tests/data_plane/test_calls_of_tenants.py
+++ b/tests/data_plane/test_calls_of_tenants.py
@@ -1,7 +1,7 @@
-"""Keys and tenants' names on every way a call may go.
+"""Callers' keys and tenant names on every path of a call.
 
-Patterns: a caller who forges a name, in a head or behind a body; calls sent before the
-first is answered; a key that goes while its call waits; back ends that call on.
+Covers callers that forge a tenant name in the headers or the trailers, pipelined calls, keys
+that are removed while their call waits, and back ends that make calls of their own.
 """
 
 from __future__ import annotations
@@ -55,7 +55,11 @@
 
 
 class Stage:
-    """A back end, the node beside it, and a node that callers use."""
+    """A back end, its local node, and, unless ``way`` is "own", a node for the callers.
+
+    ``way`` is the path of a call: "own" enters at the back end's local node, "owner"
+    goes through that node, "direct" goes to the back end itself.
+    """
 
     def __init__(self, backend: ScriptedBackend, way: str, **changes: Any) -> None:
         self.backend = backend
@@ -285,7 +289,7 @@
 
 
 class Held:
-    """A back end that answers a path only when it is let go."""
+    """A back end that answers requests for ``path`` only after ``let_go`` is set."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -350,7 +354,7 @@
 
 
 class Asked:
-    """What a node asked for; it is answered only when told to."""
+    """Records a node's requests for grants, and answers them only by ``answer``."""
 
     def __init__(self, node: Node) -> None:
         self.asks: list[QuotaAsked] = []
@@ -364,13 +368,13 @@
 
 
 def patient() -> dict[str, Any]:
-    """A call that no slow machine lets wait in vain: only the test decides on it."""
+    """Return a route with a long time-out, so that a slow machine refuses no call."""
     route = msgspec.structs.replace(PUBLIC_ROUTE, timeout_milliseconds=30_000)
     return {"route": route}
 
 
 def test_a_key_that_goes_while_its_call_waits_for_a_grant() -> None:
-    """The grant goes to a call whose key still holds."""
+    """The grant goes to a call whose key is still valid."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
@@ -397,7 +401,7 @@
 
 @pytest.mark.parametrize("granted", [1, 0])
 def test_a_key_that_nobody_confirms_when_its_call_is_decided(granted: int) -> None:
-    """No configuration came meanwhile: nothing but the time tells it."""
+    """No configuration came in the meantime; only the elapsed time shows it."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
@@ -455,7 +459,7 @@
 
 
 class CallingOn:
-    """A back end that calls on through its own node before it answers."""
+    """A back end that makes a call through its local node before it answers."""
 
     def __init__(self, **headers: str) -> None:
         self.outbound = ""
@@ -474,7 +478,7 @@
 @pytest.mark.parametrize("way", ["own", "owner"])
 @pytest.mark.parametrize("hop", ["direct", "owner"])
 def test_a_back_end_calls_on_for_the_tenant_of_the_call_it_runs(way: str, hop: str) -> None:
-    """By whatever way its route names: its own node must know whose call it runs."""
+    """Whatever path the route sets, the local node knows which tenant's call runs."""
 
     async def scene() -> None:
         calling = CallingOn(**{"x-tenant": "anna"})
--- a/tests/data_plane/test_fair_waiting.py
+++ b/tests/data_plane/test_fair_waiting.py
@@ -1,4 +1,7 @@
-"""Tenants who wait for one back end, on every way, and calls it makes for one of them."""
+"""Fairness between tenants whose calls wait for one back end, on two paths of a call.
+
+Also the order of the calls that the back end makes for one of them.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,10 @@
 
 
 class HeldOnce:
-    """A back end that answers its first call when it is let go; one path calls on."""
+    """A back end that answers "/held" only after ``let_go`` is set.
+
+    For "/outer" it makes a call to "/inner" before it answers.
+    """
 
     def __init__(self) -> None:
         self.let_go = asyncio.Event()
@@ -45,7 +51,7 @@
 
 
 def _waiting(stage: Stage) -> int:
-    """Calls in line at both nodes; one that owners hold is not in line at its entry."""
+    """Return the calls queued at all nodes; one queued at its owner counts only there."""
     own = stage.nodes[0].plane.calls.own
     assert own is not None
     at_entries = sum(node.plane.calls.admissions.waiting for node in stage.nodes)
--- a/tests/data_plane/test_hostile_peers.py
+++ b/tests/data_plane/test_hostile_peers.py
@@ -1,4 +1,4 @@
-"""What comes on call links is checked: nothing is smuggled, nothing dies."""
+"""Messages on call links are checked: no request is smuggled, no node crashes."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def test_peer_whose_certificate_allows_no_calls_reaches_no_back_end() -> None:
-    """With mutual TLS; here the check stands in for the certificate."""
+    """With mutual TLS the certificate decides; ``no_calls`` stands in for it here."""
 
     def no_calls(identity: str, message: Message) -> str:
         del identity
--- a/tests/data_plane/test_large_answers.py
+++ b/tests/data_plane/test_large_answers.py
@@ -1,4 +1,4 @@
-"""Large answers wait for their turn on the link: whole, in time, and in nobody's way."""
+"""Large answers wait for their turn on the link; they arrive complete and in time."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 async def _answer(request: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer with as many bytes as the path says."""
+    """Answer with as many bytes as the request's path says."""
     body = _body(int(request.target.strip("/")))
     writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body)
 
 
 async def _answer_in_chunks(request: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer without saying how long the answer is."""
+    """Answer in chunks, without a content length."""
     body = _body(int(request.target.strip("/")))
     writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
     for at in range(0, len(body), 10_000):
@@ -52,7 +52,7 @@
 
 
 class Scene:
-    """An owner with a back end, and a node that callers come to."""
+    """An owner with a back end, and an edge node for the callers."""
 
     def __init__(self, script: object = _answer, megabits: float = MEGABITS) -> None:
         self.backend = ScriptedBackend(script)  # type: ignore[arg-type]
@@ -77,7 +77,7 @@
 
     @property
     def desk(self) -> LargeAnswers:
-        """What waits for the owner's link."""
+        """The scheduler of the large answers on the owner's link."""
         desk = self.own.large_answers
         assert desk is not None
         return desk
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -1,6 +1,7 @@
-"""Beside large answers a small message waits no longer than the bound, on any link.
+"""While large answers are sent, a small message waits no longer than its bound on any link.
 
-Virtual time; the link's queue stands for the buffers of the system and of the network.
+Runs in virtual time; the link's queue models the buffers of the operating system and of the
+network.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Sender:
-    """A large answer that is here whole."""
+    """A large answer that is completely buffered."""
 
     def __init__(self, wire: Wire, octets: int, due: float) -> None:
         self.wire = wire
@@ -76,7 +77,7 @@
 
 @pytest.mark.parametrize("megabits", RATES)
 def test_small_messages_go_on_while_they_alone_fill_the_link(megabits: float) -> None:
-    """Large answers still move, at the share that is kept for them."""
+    """Large answers still proceed, at the share of the link reserved for them."""
     wire = Wire(megabits)
     every = SMALL_BYTES / (wire.desk.room.rate * 0.9)
     sender = Sender(wire, 30_000, 600.0)
--- a/tests/data_plane/test_listener_hand_over.py
+++ b/tests/data_plane/test_listener_hand_over.py
@@ -1,4 +1,4 @@
-"""A node process hands its callers' listener to the next one; nobody is cut."""
+"""A node process hands its callers' listener over to its successor without cutting calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class NodeProcess:
-    """One running process of ``node_process``."""
+    """One running process of the module ``node_process``."""
 
     def __init__(self, process: Process, address: str) -> None:
         self.process = process
@@ -50,7 +50,7 @@
 
 
 class Traffic:
-    """Callers that call all the time: with new connections, and with kept ones."""
+    """Callers that call all the time, on new connections and on persistent ones."""
 
     def __init__(self, address: str) -> None:
         self.answers: list[Answer] = []
--- a/tests/data_plane/test_own_back_end.py
+++ b/tests/data_plane/test_own_back_end.py
@@ -1,4 +1,4 @@
-"""The own back end as its reports tell: its lives and its slots."""
+"""The local back end by its reports: its incarnations and slots, and its link."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def test_all_slots_of_a_back_end_that_reports_itself_are_offered_at_once(
     warming: int,
 ) -> None:
-    """Its node may just have started, and all others may be as cold as it is."""
+    """The node may just have started, and no other back end may be warmed up either."""
 
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
@@ -61,7 +61,7 @@
 
 
 class SilentSink:
-    """Hears what becomes of an attempt, and does nothing."""
+    """An attempt's sink that ignores all events."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
--- a/tests/data_plane/test_planned_stop.py
+++ b/tests/data_plane/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: no new work after a while, nothing in flight cut, a bound."""
+"""A planned stop refuses new calls after a while, cuts none in flight, and is bounded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def _beside(address: str, seconds: float) -> Caller:
-    """Open a connection and give the system time before a request is sent on it."""
+    """Open a connection, and wait some seconds before a request is sent on it."""
     caller = await Caller.connect(address)
     await asyncio.sleep(seconds)
     return caller
@@ -157,7 +157,7 @@
 def test_callers_that_know_no_other_node_are_answered_until_they_come_no_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where few nodes of a zone are ready, callers are not sent elsewhere."""
+    """Where few nodes of a zone are ready, callers are not redirected to others."""
     monkeypatch.setattr(data_plane, "CALLERS_QUIET_SECONDS", 2.0)
 
     async def scene() -> None:
--- a/tests/data_plane/test_quarantined_requests.py
+++ b/tests/data_plane/test_quarantined_requests.py
@@ -1,4 +1,7 @@
-"""Requests under which back ends ended: refused, run alone, cleared, never run twice."""
+"""Requests during which back ends crashed: refused, run one at a time, cleared.
+
+A request that is not safe to retry is never sent twice.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 
 class Pair:
-    """A caller's node and the node beside a back end."""
+    """A caller's node, and a back end with its local node."""
 
     def __init__(self) -> None:
         self.backend = ScriptedBackend()
--- a/tests/data_plane/test_quota_gate.py
+++ b/tests/data_plane/test_quota_gate.py
@@ -1,4 +1,4 @@
-"""Calls of tenants with a limit: run as granted, refused beyond, never held for long."""
+"""Calls of tenants with a limit run as granted, are refused beyond it, and wait briefly."""
 
 from __future__ import annotations
 
@@ -33,11 +33,12 @@
 SHORT_SECONDS = 0.02
 LONG_SECONDS = 60.0
 ROUNDING_SECONDS = 1e-9
-"""The clock of a loop is in seconds since the machine started: sums of it round."""
+"""Tolerance: an event loop's clock counts seconds since the start of the machine, and sums
+with it are rounded."""
 
 
 class Stage:
-    """A gate, what it asked, and what its calls were told."""
+    """A gate, its requests for grants, and the decisions that its calls received."""
 
     def __init__(self, quotas: QuotaSettings | None = QUOTAS) -> None:
         loop = asyncio.get_running_loop()
@@ -163,7 +164,7 @@
 
 
 def test_a_call_waits_long_enough_for_an_ask_to_be_made_again() -> None:
-    """Its turn for a slot may be far shorter: 80 ms where 400 ms are aimed at."""
+    """Its wait time-out for a slot may be far shorter: 80 ms at an objective of 400 ms."""
 
     def scene(stage: Stage) -> None:
         now = stage.now()
--- a/tests/data_plane/test_refusal_lines.py
+++ b/tests/data_plane/test_refusal_lines.py
@@ -1,4 +1,4 @@
-"""Lines of calls without a good key: some a second, and a count of the others."""
+"""Calls without a valid key: a few log lines per second, and a count of the others."""
 
 from __future__ import annotations
 
--- a/tests/data_plane/test_streamed_bodies.py
+++ b/tests/data_plane/test_streamed_bodies.py
@@ -1,4 +1,7 @@
-"""Large bodies that may run once: refused without a slot, they go elsewhere whole."""
+"""Large bodies of calls that are not safe to retry.
+
+If refused for want of a slot, they are sent completely to another back end.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,10 @@
 
 
 def _busy_after(body_bytes: int) -> FakeOwner:
-    """Refuses a call for want of a slot after it got so much of its body."""
+    """Return an owner that refuses a call for want of a slot.
+
+    It does so once it has received ``body_bytes`` of the body.
+    """
     received = 0
 
     def reply(message: Message) -> Message | None:
@@ -58,7 +64,7 @@
 
 
 async def _call_past_a_busy_owner(route: RouteSettings, backend: ScriptedBackend) -> Answer:
-    """The busy owner is in the caller's zone, so it is asked first."""
+    """Return the answer to a call that first goes to a busy owner, in the caller's zone."""
     busy = _busy_after(0 if route.streamed_bodies else len(LARGE_BODY))
     willing = Node("k2", await backend.start())
     await willing.start(route=route)
@@ -121,7 +127,7 @@
 
 
 def test_a_body_that_no_back_end_takes_is_not_sent_and_never_held_whole() -> None:
-    """The caller is read no further than what is kept."""
+    """No more is read from the caller than is retained for a retry."""
 
     async def scene() -> None:
         owner = FakeOwner()
@@ -145,14 +151,14 @@
 
 
 def test_a_streamed_body_goes_no_further_than_its_credit() -> None:
-    """Seen: nodes that take in large bodies used a confirmed version up to 4 s late.
-
-    How it came about: updates, heartbeats and new links to relays waited behind bodies; a
-    question and its answer took 0.5 to 1.5 s between two such machines.
-    Cause: the owner's credit is what its link carries in 0.03 s, but the caller's node
-    sent all that it had of a body on the first credit.
-    Proof: half of the nodes, those without large bodies, used the same versions after
-    0.1 s, and all timers were on time.
+    """The caller's node must not send more of a body than its credit.
+
+    It once sent all that it had of a body on the first credit, though the owner's credit
+    is only what its link carries in 0.03 s. Updates, heartbeats and new links to relays
+    then waited behind bodies: a request and its answer took 0.5 to 1.5 s between two
+    such machines, and nodes that receive large bodies used a confirmed version up to 4 s
+    late. Nodes without large bodies, half of them, used the same versions after 0.1 s,
+    and all timers were on time.
     """
 
     async def scene() -> None:
@@ -212,7 +218,7 @@
 async def _owner_and_edge(
     backend: ScriptedBackend, **changes: Any
 ) -> tuple[Node, Node, str]:
-    """Give the node beside a back end, another one, and its address for callers."""
+    """Return a back end's local node, an edge node, and the edge's address for callers."""
     owner = Node("k1", await backend.start(), **changes)
     await owner.start(route=STREAMED)
     edge = Node()
@@ -223,7 +229,7 @@
 
 
 async def _half_a_body(address: str) -> Caller:
-    """Begin a large request and stall in the middle of its body."""
+    """Start a request that stalls in the middle of its body."""
     caller = await Caller.connect(address)
     caller.write(b"POST / HTTP/1.1\r\nhost: kassa\r\ncontent-length: 10\r\n\r\nhello")
     return caller
@@ -232,7 +238,10 @@
 async def _node_with_two_stalled_bodies(
     backend: ScriptedBackend, route: RouteSettings
 ) -> tuple[Node, str, list[Caller]]:
-    """Give a node whose narrow link is taken by bodies that have not come whole."""
+    """Return a node whose narrow link is occupied by two incomplete bodies.
+
+    Also return its address for callers, and the callers of the two stalled requests.
+    """
     own = Node("k1", await backend.start(), link_megabits=NARROW_MEGABITS)
     address = await own.start(endpoint(backend.address, "k1", "127.0.0.1:1"), route=route)
     stalled = [await _half_a_body(address) for _ in range(2)]
@@ -264,7 +273,7 @@
 
 
 def test_a_narrow_link_takes_two_bodies_of_other_nodes_too() -> None:
-    """Nearly all bodies come over other nodes; only the node's own callers were bounded."""
+    """Nearly all bodies come through other nodes; once only a node's own callers counted."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
--- a/tests/data_plane/test_told_loads.py
+++ b/tests/data_plane/test_told_loads.py
@@ -1,4 +1,8 @@
-"""What back ends tell of themselves reaches the choice of one, and slots follow it."""
+"""The load that back ends report affects the choice of a back end, and their slots.
+
+A report is a header "running,waiting,slots,pace" of an answer; the pace is in percent of
+the usual service time, 100 as usual.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
 
 
 def tells(figures: str) -> Script:
-    """Answer well, with these figures."""
+    """Return a script that answers 200 with these figures as the reported load."""
 
     async def script(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.body()
@@ -52,7 +56,7 @@
 
 
 class Pair:
-    """A caller's node, a back end's own node and the back end."""
+    """A caller's node, a back end, and the back end's local node."""
 
     def __init__(self, script: Script, **changes: object) -> None:
         self.backend = ScriptedBackend(script)
@@ -131,7 +135,7 @@
 
 
 def test_a_slow_machine_is_asked_for_a_free_slot_in_vain_and_still_serves() -> None:
-    """The only one there is takes the call once it may wait."""
+    """The only back end accepts the call once the call may wait."""
 
     async def scene() -> None:
         async with Pair(tells("1,0,5,250"), seek_free_slots=True) as pair:
@@ -146,7 +150,7 @@
 
 
 class SilentAttempt:
-    """An attempt that does nothing with what it hears."""
+    """An attempt that ignores all events."""
 
     is_client_retry = False
 
@@ -227,7 +231,7 @@
 async def never_answers_what_it_cannot_queue(
     request: Received, writer: asyncio.StreamWriter
 ) -> None:
-    """Nothing more comes on this connection."""
+    """Never answer on this connection."""
     del writer
     await request.reader.read()
 
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -1,4 +1,4 @@
-"""A machine's link in virtual time, with what hands large answers to it."""
+"""A machine's link in virtual time, with the scheduler of its large answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class Wire:
-    """A machine's link, a clock, and all that the machine sent."""
+    """A machine's link, its clock, and the scheduler of its large answers.
+
+    It also stands in for the event loop of that scheduler.
+    """
 
     def __init__(self, megabits: float, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
@@ -38,7 +41,7 @@
         return timer
 
     def send_small(self, every: float, until: float) -> None:
-        """Send a small message again and again; note what it waits."""
+        """Send small messages at intervals until a time; record how long each waits."""
         self.waits.append(self.link.backlog_seconds)
         self.link.carry(SMALL_BYTES, lambda: None)
         if self.clock.now + every < until:
