--- a/src/peppershore/process/node/data/request_body.py
+++ b/src/peppershore/process/node/data/request_body.py
@@ -66,7 +66,7 @@
 
     def restart(self) -> None:
         """Send the body from its beginning for another attempt."""
-        assert self.replayable, "the body's beginning is gone"
+        assert self.replayable, "the beginning of the body is no longer retained"
         self._sent = 0
 
     def send(self, attempt: Attempt) -> None:
--- a/tests/data_plane/test_bodies_on_narrow_links.py
+++ b/tests/data_plane/test_bodies_on_narrow_links.py
@@ -41,7 +41,7 @@
     return None
 
 
-async def _asked_in_vain(link_megabits: float, body: bytes) -> tuple[int, bool]:
+async def _refused_call(link_megabits: float, body: bytes) -> tuple[int, bool]:
     """Return how many body bytes a refusing owner received, and if it got the call."""
     owner = FakeOwner(_refusing)
     edge = Node(seek_free_slots=True, link_megabits=link_megabits)
@@ -58,17 +58,17 @@
 
 def test_a_refusal_costs_no_byte_of_the_body() -> None:
     async def scene() -> None:
-        assert await _asked_in_vain(NARROW_MEGABITS, BODY) == (0, True)
+        assert await _refused_call(NARROW_MEGABITS, BODY) == (0, True)
 
     run(scene())
 
 
 @pytest.mark.parametrize(("link_megabits", "body"), [(0.0, BODY), (NARROW_MEGABITS, b"x")])
-def test_what_the_link_carries_at_once_goes_along(
+def test_a_body_that_the_link_carries_quickly_is_sent_with_the_call(
     link_megabits: float, body: bytes
 ) -> None:
     async def scene() -> None:
-        octets, was_asked = await _asked_in_vain(link_megabits, body)
+        octets, was_asked = await _refused_call(link_megabits, body)
         assert was_asked
         assert octets >= len(body)
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("length", [1, 4_000, 60_000, 300_000])
-def test_a_body_of_any_length_arrives_whole(length: int) -> None:
+def test_a_body_of_any_length_arrives_complete(length: int) -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         owner, edge, address = await _owner_and_edge(backend, 20)
@@ -102,7 +102,7 @@
     run(scene())
 
 
-async def _stalled(address: str) -> Caller:
+async def _stalled_request(address: str) -> Caller:
     """Start a request whose body stalls before its end."""
     caller = await Caller.connect(address)
     head = b"POST / HTTP/1.1\r\nhost: kassa\r\ncontent-length: 4000\r\n\r\n"
@@ -110,7 +110,7 @@
     return caller
 
 
-def test_a_body_on_its_way_holds_no_slot() -> None:
+def test_a_body_in_transit_holds_no_slot() -> None:
     """A stalled body does not keep another call from the only slot."""
 
     async def scene() -> None:
@@ -118,7 +118,7 @@
         owner, edge, address = await _owner_and_edge(backend, 1)
         own = owner.plane.calls.own
         assert own is not None
-        stalled = await _stalled(address)
+        stalled = await _stalled_request(address)
         await until(lambda: own.in_flight == 1)
         assert own.admission.in_flight == 0
         assert own.load("all").running == 1
@@ -139,7 +139,7 @@
     async def scene() -> None:
         backend = ScriptedBackend()
         owner, edge, address = await _owner_and_edge(backend, 1)
-        stalled = await _stalled(address)
+        stalled = await _stalled_request(address)
         answer = await stalled.answer("POST")
         assert (answer.status, answer.outcome) == (503, "not-run")
         own = owner.plane.calls.own
@@ -154,13 +154,13 @@
     run(scene())
 
 
-def test_an_owner_that_leaves_while_a_body_comes_refuses_it() -> None:
+def test_an_owner_that_leaves_during_a_body_refuses_the_call() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         owner, edge, address = await _owner_and_edge(backend, 1)
         own = owner.plane.calls.own
         assert own is not None
-        caller = await _stalled(address)
+        caller = await _stalled_request(address)
         await until(lambda: own.in_flight == 1)
         own.leave()
         caller.write(b"x" * 3_900)
@@ -176,7 +176,7 @@
     run(scene())
 
 
-def test_a_body_sent_past_its_credit_is_bounded_by_the_credit() -> None:
+def test_a_body_is_sent_no_further_than_its_credit() -> None:
     """The caller's node sends only as much of the body as it was granted credit for."""
 
     async def scene() -> None:
--- a/tests/data_plane/test_callers_leave_large_answers.py
+++ b/tests/data_plane/test_callers_leave_large_answers.py
@@ -16,10 +16,10 @@
 from peppershore.process.node.data.paced_answer import LargeTerms, PacedAnswer
 from peppershore.request.outcome import Failed
 
-MOST_SECONDS = 0.5
+MAX_OCCUPIED_SECONDS = 0.5
 """The bound promised to operators."""
 
-WAY_SECONDS = 0.0015
+PATH_SECONDS = 0.0015
 LEAVER_BYTES = 4_000_000
 OTHER_BYTES = 90_000
 READ_BYTES = 16 * 1024
@@ -27,7 +27,7 @@
 TERMS = LargeTerms("frames", 600.0, 0.0, elsewhere=False)
 
 
-class _Quiet:
+class _NoOp:
     """Empty implementations of the methods of attempts and sinks not needed here."""
 
     def send_data(self, data: bytes) -> None:
@@ -61,7 +61,7 @@
         raise AssertionError(failed)
 
 
-class BackEnd(_Quiet):
+class BackEnd(_NoOp):
     """Answers at once with ``octets`` bytes, as fast as they are read."""
 
     def __init__(self, octets: int, sink: AttemptSink) -> None:
@@ -92,7 +92,7 @@
         self._sink.answer_batch_ended()
 
 
-class OwnersLink(_Quiet):
+class OwnersLink(_NoOp):
     """An attempt of the caller's node, whose answer comes over the owner's link.
 
     The window of the caller's node bounds the bytes in transit. It grants credit for
@@ -104,7 +104,7 @@
         self._sink = sink
         self._left = octets
         self._room = edge.desk.window_bytes
-        self._credit_kept = 0
+        self._credit_withheld = 0
         self._is_paused = False
         self._is_owner_paused = False
         self.last_sent_at = 0.0
@@ -113,17 +113,17 @@
         )
 
     def start(self) -> None:
-        self._owner.clock.after(WAY_SECONDS, self._paced.start)
+        self._owner.clock.after(PATH_SECONDS, self._paced.start)
 
     def cancel(self) -> None:
-        self._owner.clock.after(WAY_SECONDS, self._paced.cancel)
+        self._owner.clock.after(PATH_SECONDS, self._paced.cancel)
 
     def pause_answer(self) -> None:
         self._is_paused = True
 
     def resume_answer(self) -> None:
         self._is_paused = False
-        self._give_credit(0)
+        self._grant_credit(0)
 
     # --- AttemptSink of the owner
 
@@ -145,14 +145,14 @@
             self._sink.answer_batch_ended()
         else:
             self._sink.answer_ended([])
-        self._give_credit(len(data))
+        self._grant_credit(len(data))
 
-    def _give_credit(self, octets: int) -> None:
-        self._credit_kept += octets
+    def _grant_credit(self, octets: int) -> None:
+        self._credit_withheld += octets
         if self._is_paused:
             return
-        credit, self._credit_kept = self._credit_kept, 0
-        self._owner.clock.after(2 * WAY_SECONDS, lambda: self._credited(credit))
+        credit, self._credit_withheld = self._credit_withheld, 0
+        self._owner.clock.after(2 * PATH_SECONDS, lambda: self._credited(credit))
 
     def _credited(self, octets: int) -> None:
         self._room += octets
@@ -161,7 +161,7 @@
             self._paced.resume_answer()
 
 
-class Caller(_Quiet):
+class Caller(_NoOp):
     """Requests an answer of ``octets`` bytes at the edge node, and may disconnect."""
 
     def __init__(self, owner: Wire, edge: Wire, octets: int) -> None:
@@ -182,15 +182,15 @@
 
     def answer_data(self, data: bytes) -> None:
         self.last_sent_at = self._edge.clock.now + self._edge.link.backlog_seconds
-        self._edge.link.carry(len(data), lambda: self._came(len(data)))
+        self._edge.link.carry(len(data), lambda: self._received(len(data)))
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        self._edge.link.carry(1, self._whole)
+        self._edge.link.carry(1, self._completed)
 
-    def _came(self, octets: int) -> None:
+    def _received(self, octets: int) -> None:
         self.got += octets
 
-    def _whole(self) -> None:
+    def _completed(self) -> None:
         self.ended_at = self._edge.clock.now
 
 
@@ -198,7 +198,7 @@
     ("owner_megabits", "edge_megabits"),
     [(1.0, 1.0), (3.9, 3.9), (6.0, 6.0), (6.0, 1.0), (1.0, 6.0)],
 )
-def test_a_caller_that_leaves_midway_keeps_no_link_for_long(
+def test_a_caller_that_leaves_midway_does_not_occupy_links_for_long(
     owner_megabits: float, edge_megabits: float
 ) -> None:
     clock = Clock()
@@ -211,17 +211,17 @@
     assert other.got == 0
     leaver.leave()
     clock.run(60.0)
-    assert leaver.last_sent_at <= LEAVES_AT + MOST_SECONDS
-    assert leaver.owners_link.last_sent_at <= LEAVES_AT + MOST_SECONDS
+    assert leaver.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
+    assert leaver.owners_link.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
     narrow = min(owner.desk.room.rate, edge.desk.room.rate)
     alone = OTHER_BYTES / narrow * 1.2
     assert other.got == OTHER_BYTES
-    assert other.ended_at <= LEAVES_AT + MOST_SECONDS + alone
+    assert other.ended_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS + alone
     for wire in (owner, edge):
         assert (wire.desk.room.transfers, wire.desk.room.held) == (0, 0)
 
 
-def test_an_answer_behind_another_costs_no_more_than_its_window_when_dropped() -> None:
+def test_a_dropped_answer_behind_another_costs_at_most_its_window() -> None:
     """It is sent only while the answer before it waits for credit."""
     clock = Clock()
     owner, edge = Wire(3.9, clock), Wire(3.9, clock)
--- a/tests/data_plane/test_calls_of_tenants.py
+++ b/tests/data_plane/test_calls_of_tenants.py
@@ -1,7 +1,7 @@
 """Callers' keys and tenant names on every path of a call.
 
-Covers callers that forge a tenant name in the headers or the trailers, pipelined calls, keys
-that are removed while their call waits, and back ends that make calls of their own.
+Covers callers that forge a tenant name in the headers or the trailers, pipelined calls,
+keys that are removed while their call waits, and back ends that make calls of their own.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_the_back_end_sees_the_name_and_no_key(way: str) -> None:
+def test_the_back_end_gets_the_tenant_name_and_no_key(way: str) -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, way)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_a_streamed_body_brings_neither_key_nor_name(way: str) -> None:
+def test_trailers_of_a_streamed_body_carry_neither_key_nor_tenant_name(way: str) -> None:
     async def scene() -> None:
         backend = ScriptedBackend(_read_to_the_end)
         stage = Stage(backend, way)
@@ -158,15 +158,15 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_calls_sent_ahead_have_their_own_tenants_each(way: str) -> None:
+def test_pipelined_calls_each_have_their_own_tenant(way: str) -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, way)
         caller = await Caller.connect(await stage.start())
-        shown = (ANNA_KEY, BOB_KEY, "key-of-nobody", ANNA_KEY)
-        for number, key in enumerate(shown):
+        keys = (ANNA_KEY, BOB_KEY, "key-of-nobody", ANNA_KEY)
+        for number, key in enumerate(keys):
             caller.request(f"/{number}", headers=showing(key))
-        statuses = [(await caller.answer()).status for _ in shown]
+        statuses = [(await caller.answer()).status for _ in keys]
         assert statuses == [200, 200, 401, 200]
         served = {each.target: each.headers["x-tenant"] for each in backend.requests}
         assert served == {"/0": "anna", "/1": "bob", "/3": "anna"}
@@ -185,7 +185,7 @@
         (showing("key-of-nobody"), "unknown-key"),
     ],
 )
-def test_who_has_no_key_is_told_so_and_no_key_is_written(
+def test_a_call_without_a_valid_key_is_refused_and_no_key_is_logged(
     headers: dict[str, str], reason: str
 ) -> None:
     async def scene() -> None:
@@ -197,20 +197,20 @@
         assert answer.headers["www-authenticate"] == "Bearer"
         assert backend.requests == []
         await call(address, headers=showing(ANNA_KEY))
-        line = _lines(stage.entry)[0]
+        line = _log_lines(stage.entry)[0]
         assert (line["status"], line["reason"], line["version"]) == (401, reason, 1)
-        assert _lines(stage.entry)[1]["tenant"] == "anna"
-        _assert_keys_are_nowhere(stage)
+        assert _log_lines(stage.entry)[1]["tenant"] == "anna"
+        _assert_no_key_is_logged(stage)
         await stage.stop()
 
     run(scene())
 
 
-def _lines(node: Node) -> list[dict[str, Any]]:
+def _log_lines(node: Node) -> list[dict[str, Any]]:
     return [msgspec.structs.asdict(each) for each in node.notices if each.is_call]
 
 
-def test_a_flood_of_wrong_keys_has_few_lines_and_each_call_is_counted() -> None:
+def test_a_flood_of_wrong_keys_has_few_log_lines_and_each_call_is_counted() -> None:
     async def scene() -> None:
         stage = Stage(ScriptedBackend(), "own")
         address = await stage.start()
@@ -219,14 +219,14 @@
             caller.request(headers=showing("key-of-nobody"))
             assert (await caller.answer()).status == 401
         assert (await call(address, headers=showing(ANNA_KEY))).status == 200
-        lines = _lines(stage.entry)
+        lines = _log_lines(stage.entry)
         refused = [line for line in lines if line["reason"] == "unknown-key"]
         assert 10 <= len(refused) < 200
-        assert lines[-1]["tenant"] == "anna", "calls with a key have their lines"
+        assert lines[-1]["tenant"] == "anna", "calls with a key are still logged"
         stage.entry.plane.calls.freshness.confirmed(-100.0)
         put_off = await call(address, headers=showing("key-of-nobody"))
         assert put_off.reason == "configuration-not-confirmed"
-        line = _lines(stage.entry)[-1]
+        line = _log_lines(stage.entry)[-1]
         assert (line["reason"], line["lines_left_out"]) == (put_off.reason, 0)
         caller.close()
         await stage.stop()
@@ -234,7 +234,7 @@
     run(scene())
 
 
-def _assert_keys_are_nowhere(stage: Stage) -> None:
+def _assert_no_key_is_logged(stage: Stage) -> None:
     for node in stage.nodes:
         written = repr(node.notices)
         assert "key-of" not in written
@@ -243,7 +243,7 @@
             assert repr(tenant.key_digests[0]) not in written
 
 
-def test_a_keyless_route_shows_no_key_and_no_tenant() -> None:
+def test_a_keyless_route_forwards_no_key_and_no_tenant() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "owner")
@@ -259,7 +259,7 @@
     run(scene())
 
 
-def test_an_owner_is_told_the_tenant_and_its_priority() -> None:
+def test_an_owner_receives_the_tenant_and_its_priority() -> None:
     owner = FakeOwner()
 
     async def scene() -> None:
@@ -288,7 +288,7 @@
     return [each for each in owner.received if isinstance(each, CallStarted)]
 
 
-class Held:
+class HeldBackEnd:
     """A back end that answers requests for ``path`` only after ``let_go`` is set."""
 
     def __init__(self, path: str) -> None:
@@ -301,10 +301,10 @@
         await answer_ok(request, writer)
 
 
-def test_a_key_that_goes_while_its_call_waits_in_line() -> None:
+def test_a_key_that_is_removed_while_its_call_is_queued() -> None:
     async def scene() -> None:
-        held = Held("/first")
-        backend = ScriptedBackend(held.script)
+        held_back_end = HeldBackEnd("/first")
+        backend = ScriptedBackend(held_back_end.script)
         stage = Stage(backend, "direct")
         address = await stage.start(slots=1)
         first, second, third = [await Caller.connect(address) for _ in range(3)]
@@ -316,7 +316,7 @@
         stage.use({"anna": ANNA})
         answer = await second.answer()
         assert (answer.status, answer.reason) == (401, "unknown-key")
-        held.let_go.set()
+        held_back_end.let_go.set()
         assert (await first.answer()).status == 200
         assert (await third.answer()).status == 200
         assert [each.target for each in backend.requests] == ["/first", "/third"]
@@ -326,16 +326,16 @@
     run(scene())
 
 
-def test_a_key_that_goes_while_its_call_runs_cuts_nothing() -> None:
+def test_a_key_that_is_removed_while_its_call_runs_cuts_nothing() -> None:
     async def scene() -> None:
-        held = Held("/first")
-        backend = ScriptedBackend(held.script)
+        held_back_end = HeldBackEnd("/first")
+        backend = ScriptedBackend(held_back_end.script)
         stage = Stage(backend, "owner")
         caller = await Caller.connect(await stage.start())
         caller.request("/first", headers=showing(BOB_KEY))
         await until(lambda: len(backend.requests) == 1)
         stage.use({"anna": ANNA})
-        held.let_go.set()
+        held_back_end.let_go.set()
         assert (await caller.answer()).status == 200
         caller.request("/again", headers=showing(BOB_KEY))
         assert (await caller.answer()).status == 401
@@ -353,7 +353,7 @@
 QUOTAS = QuotaSettings(window_seconds=5.0, overshoot=0.1, slack=20.0)
 
 
-class Asked:
+class RecordedRequests:
     """Records a node's requests for grants, and answers them only by ``answer``."""
 
     def __init__(self, node: Node) -> None:
@@ -367,31 +367,31 @@
             self._gate.answered(QuotaGranted(ask.number, grants, 400))
 
 
-def patient() -> dict[str, Any]:
+def long_time_out() -> dict[str, Any]:
     """Return a route with a long time-out, so that a slow machine refuses no call."""
     route = msgspec.structs.replace(PUBLIC_ROUTE, timeout_milliseconds=30_000)
     return {"route": route}
 
 
-def test_a_key_that_goes_while_its_call_waits_for_a_grant() -> None:
+def test_a_key_that_is_removed_while_its_call_waits_for_a_grant() -> None:
     """The grant goes to a call whose key is still valid."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "own", quotas=QUOTAS)
         address = await stage.start()
-        asked = Asked(stage.entry)
-        stage.use({"bob": TWO_KEYS}, **patient())
+        grant_requests = RecordedRequests(stage.entry)
+        stage.use({"bob": TWO_KEYS}, **long_time_out())
         first, second = [await Caller.connect(address) for _ in range(2)]
         first.request("/first", headers=showing(BOB_KEY))
         await until(lambda: stage.entry.plane.calls.in_flight == 1)
         second.request("/second", headers=showing(SECOND_KEY))
         await until(lambda: stage.entry.plane.calls.in_flight == 2)
         only = msgspec.structs.replace(TWO_KEYS, key_digests=TWO_KEYS.key_digests[1:])
-        stage.use({"bob": only}, **patient())
+        stage.use({"bob": only}, **long_time_out())
         answer = await first.answer()
         assert (answer.status, answer.reason) == (401, "unknown-key")
-        asked.answer(1)
+        grant_requests.answer(1)
         assert (await second.answer()).status == 200
         assert [each.target for each in backend.requests] == ["/second"]
         await stage.stop()
@@ -400,21 +400,21 @@
 
 
 @pytest.mark.parametrize("granted", [1, 0])
-def test_a_key_that_nobody_confirms_when_its_call_is_decided(granted: int) -> None:
+def test_a_key_that_is_not_confirmed_when_its_call_is_decided(granted: int) -> None:
     """No configuration came in the meantime; only the elapsed time shows it."""
 
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "own", fail_closed=True, quotas=QUOTAS)
         address = await stage.start()
-        asked = Asked(stage.entry)
-        stage.use({"bob": LIMITED}, **patient())
+        grant_requests = RecordedRequests(stage.entry)
+        stage.use({"bob": LIMITED}, **long_time_out())
         caller = await Caller.connect(address)
         caller.request("/first", headers=showing(BOB_KEY))
-        await until(lambda: len(asked.asks) >= 1)
+        await until(lambda: len(grant_requests.asks) >= 1)
         loop = asyncio.get_running_loop()
         stage.entry.plane.calls.freshness.confirmed(loop.time() - 60.0)
-        asked.answer(granted, wait=0 if granted else 500)
+        grant_requests.answer(granted, wait=0 if granted else 500)
         answer = await caller.answer()
         assert (answer.status, answer.reason) == (503, "keys-not-confirmed")
         assert backend.requests == []
@@ -423,7 +423,7 @@
     run(scene())
 
 
-def test_a_key_that_goes_before_another_try() -> None:
+def test_a_key_that_is_removed_before_a_retry() -> None:
     stopped = asyncio.Event()
 
     def busy(message: Message) -> Message | None:
@@ -458,7 +458,7 @@
     run(scene())
 
 
-class CallingOn:
+class CallingBackEnd:
     """A back end that makes a call through its local node before it answers."""
 
     def __init__(self, **headers: str) -> None:
@@ -477,12 +477,14 @@
 
 @pytest.mark.parametrize("way", ["own", "owner"])
 @pytest.mark.parametrize("hop", ["direct", "owner"])
-def test_a_back_end_calls_on_for_the_tenant_of_the_call_it_runs(way: str, hop: str) -> None:
+def test_a_call_of_a_back_end_has_the_tenant_of_the_call_it_runs(
+    way: str, hop: str
+) -> None:
     """Whatever path the route sets, the local node knows which tenant's call runs."""
 
     async def scene() -> None:
-        calling = CallingOn(**{"x-tenant": "anna"})
-        backend = ScriptedBackend(calling.script)
+        calling_back_end = CallingBackEnd(**{"x-tenant": "anna"})
+        backend = ScriptedBackend(calling_back_end.script)
         stage = Stage(backend, way)
         address = await stage.start()
         route = msgspec.structs.replace(PUBLIC_ROUTE, hop=hop)
@@ -490,10 +492,10 @@
         own.plane.use_endpoints((endpoint(backend.address),))
         for node in stage.nodes:
             node.plane.use_configuration(configuration(route, tenants=BOTH))
-        calling.outbound = own.addresses.callers
+        calling_back_end.outbound = own.addresses.callers
         headers = showing(BOB_KEY, **{"x-request-id": "aa"})
         assert (await call(address, "/outer", headers=headers)).status == 200
-        assert [each.status for each in calling.answers] == [200]
+        assert [each.status for each in calling_back_end.answers] == [200]
         served = [(each.target, each.headers["x-tenant"]) for each in backend.requests]
         assert served == [("/outer", "bob"), ("/inner", "bob")]
         await stage.stop()
@@ -501,7 +503,7 @@
     run(scene())
 
 
-def test_a_call_for_one_that_runs_no_more_is_not_run() -> None:
+def test_a_call_made_for_a_call_that_has_ended_is_refused() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "own")
@@ -518,7 +520,7 @@
     run(scene())
 
 
-def test_what_no_tenant_holds_is_refused_once_there_are_tenants() -> None:
+def test_calls_without_a_tenants_key_are_refused_once_there_are_tenants() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "owner")
@@ -536,7 +538,7 @@
     run(scene())
 
 
-def test_a_node_that_hears_nothing_puts_off_what_would_be_final() -> None:
+def test_a_node_without_updates_refuses_an_unknown_key_only_for_now() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "own")
@@ -551,7 +553,7 @@
     run(scene())
 
 
-def test_a_node_that_hears_nothing_admits_nobody_where_it_fails_closed() -> None:
+def test_a_node_without_updates_that_fails_closed_admits_no_key() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         stage = Stage(backend, "own", fail_closed=True)
--- a/tests/data_plane/test_fair_waiting.py
+++ b/tests/data_plane/test_fair_waiting.py
@@ -30,7 +30,7 @@
 }
 
 
-class HeldOnce:
+class HeldBackEnd:
     """A back end that answers "/held" only after ``let_go`` is set.
 
     For "/outer" it makes a call to "/inner" before it answers.
@@ -50,7 +50,7 @@
         await answer_ok(request, writer)
 
 
-def _waiting(stage: Stage) -> int:
+def _queued(stage: Stage) -> int:
     """Return the calls queued at all nodes; one queued at its owner counts only there."""
     own = stage.nodes[0].plane.calls.own
     assert own is not None
@@ -63,8 +63,8 @@
     way: str,
 ) -> None:
     async def scene() -> None:
-        held = HeldOnce()
-        backend = ScriptedBackend(held.script)
+        held_back_end = HeldBackEnd()
+        backend = ScriptedBackend(held_back_end.script)
         stage = Stage(backend, way)
         address = await stage.start(slots=1)
         for node in stage.nodes:
@@ -75,10 +75,10 @@
         callers = [await Caller.connect(address) for _ in range(7)]
         for number, caller in enumerate(callers[:6], 1):
             caller.request(f"/bob-{number}", headers=showing(BOB_KEY))
-            await until(lambda number=number: _waiting(stage) == number)  # type: ignore[misc]
+            await until(lambda number=number: _queued(stage) == number)  # type: ignore[misc]
         callers[6].request("/carl", headers=showing(CARL_KEY))
-        await until(lambda: _waiting(stage) == 7)
-        held.let_go.set()
+        await until(lambda: _queued(stage) == 7)
+        held_back_end.let_go.set()
         for caller in (first, *callers):
             assert (await caller.answer()).status == 200
         order = [each.target for each in backend.requests]
@@ -88,27 +88,27 @@
     run(scene())
 
 
-def test_what_a_back_end_calls_on_for_goes_before_first_sends_of_all_tenants() -> None:
+def test_a_call_made_by_a_running_call_goes_before_first_attempts_of_all_tenants() -> None:
     async def scene() -> None:
-        held = HeldOnce()
-        backend = ScriptedBackend(held.script)
+        held_back_end = HeldBackEnd()
+        backend = ScriptedBackend(held_back_end.script)
         stage = Stage(backend, "owner")
         address = await stage.start(slots=2)
         own = stage.nodes[0]
         own.plane.use_endpoints((endpoint(backend.address, slots=2),))
         for node in stage.nodes:
             node.plane.use_configuration(configuration(tenants=TENANTS))
-        held.outbound = own.addresses.callers
+        held_back_end.outbound = own.addresses.callers
         first = await Caller.connect(address)
         first.request("/held", headers=showing(ANNA_KEY))
         await until(lambda: len(backend.requests) == 1)
         callers = [await Caller.connect(address) for _ in range(3)]
         callers[0].request("/outer", headers=showing(BOB_KEY, **{"x-request-id": "aa"}))
-        await until(lambda: len(backend.requests) == 2 and _waiting(stage) == 1)
+        await until(lambda: len(backend.requests) == 2 and _queued(stage) == 1)
         for caller, key in zip(callers[1:], (ANNA_KEY, CARL_KEY), strict=True):
             caller.request("/waits", headers=showing(key))
-        await until(lambda: _waiting(stage) == 3)
-        held.let_go.set()
+        await until(lambda: _queued(stage) == 3)
+        held_back_end.let_go.set()
         for caller in (first, *callers):
             assert (await caller.answer()).status == 200
         order = [each.target for each in backend.requests]
--- a/tests/data_plane/test_large_answers.py
+++ b/tests/data_plane/test_large_answers.py
@@ -76,11 +76,11 @@
         return own
 
     @property
-    def desk(self) -> LargeAnswers:
+    def scheduler(self) -> LargeAnswers:
         """The scheduler of the large answers on the owner's link."""
-        desk = self.own.large_answers
-        assert desk is not None
-        return desk
+        scheduler = self.own.large_answers
+        assert scheduler is not None
+        return scheduler
 
     async def end(self) -> None:
         await self.edge.plane.close()
@@ -90,29 +90,34 @@
 
 @pytest.mark.parametrize("script", [_answer, _answer_in_chunks])
 @pytest.mark.parametrize("length", [0, 1, 4_096, 60_000, 300_000])
-def test_an_answer_of_any_length_arrives_whole(script: object, length: int) -> None:
+def test_an_answer_of_any_length_arrives_complete(script: object, length: int) -> None:
     async def scene() -> None:
         stage = Scene(script)
         await stage.begin()
         answer = await call(stage.address, f"/{length}")
         assert (answer.status, answer.body) == (200, _body(length))
-        await until(lambda: stage.desk.room.transfers == 0)
-        edge_desk = stage.edge.plane.calls.large_answers
-        assert edge_desk is not None
-        assert edge_desk.room.transfers == edge_desk.room.held == stage.desk.room.held == 0
+        await until(lambda: stage.scheduler.room.transfers == 0)
+        edge_scheduler = stage.edge.plane.calls.large_answers
+        assert edge_scheduler is not None
+        assert (
+            edge_scheduler.room.transfers
+            == edge_scheduler.room.held
+            == stage.scheduler.room.held
+            == 0
+        )
         await stage.end()
 
     run(scene())
 
 
-def test_the_own_nodes_callers_are_answered_by_the_same_room() -> None:
+def test_answers_to_callers_of_the_owner_use_the_same_scheduler() -> None:
     async def scene() -> None:
         stage = Scene()
         await stage.begin()
         stage.owner.plane.use_endpoints((endpoint(stage.backend.address, "k1"),))
         answer = await call(stage.owner.addresses.callers, "/100000")
         assert (answer.status, answer.body) == (200, _body(100_000))
-        assert stage.desk.room.size_of("all") == pytest.approx(100_000)
+        assert stage.scheduler.room.size_of("all") == pytest.approx(100_000)
         await stage.end()
 
     run(scene())
@@ -127,7 +132,7 @@
             caller.request("/40000")
         await until(lambda: len(stage.backend.requests) == 2)
         await until(lambda: stage.own.admission.in_flight == 0)
-        assert stage.desk.room.held > 0
+        assert stage.scheduler.room.held > 0
         for caller in callers:
             assert (await caller.answer()).body == _body(40_000)
             caller.close()
@@ -142,16 +147,16 @@
         await stage.begin()
         caller = await Caller.connect(stage.address)
         caller.request("/120000")
-        await until(lambda: stage.desk.room.held > 0)
+        await until(lambda: stage.scheduler.room.held > 0)
         caller.close()
-        await until(lambda: stage.desk.room.transfers == 0)
-        assert stage.desk.room.held == 0
+        await until(lambda: stage.scheduler.room.transfers == 0)
+        assert stage.scheduler.room.held == 0
         await stage.end()
 
     run(scene())
 
 
-def test_an_answer_that_would_be_late_is_refused_before_its_back_end_has_it() -> None:
+def test_a_call_whose_answer_would_be_late_is_refused_before_its_back_end_gets_it() -> None:
     async def scene() -> None:
         stage = Scene(megabits=1.0)
         await stage.begin()
@@ -175,7 +180,7 @@
     run(scene())
 
 
-def test_a_caller_that_does_not_read_keeps_nobody_back() -> None:
+def test_a_caller_that_does_not_read_does_not_delay_others() -> None:
     async def scene() -> None:
         stage = Scene()
         await stage.begin()
@@ -192,7 +197,7 @@
     run(scene())
 
 
-def test_a_refusal_for_the_link_is_tried_at_another_owner() -> None:
+def test_a_call_refused_for_a_full_link_is_retried_at_another_owner() -> None:
     async def scene() -> None:
         stage = Scene()
         await stage.begin()
@@ -218,7 +223,7 @@
     run(scene())
 
 
-def test_a_broken_answer_is_told_and_leaves_no_room_taken() -> None:
+def test_a_broken_answer_is_reported_and_releases_its_room() -> None:
     async def broken(request: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 90000\r\n\r\n" + b"x" * 1_000)
         writer.close()
@@ -228,7 +233,7 @@
         await stage.begin()
         answer = await call(stage.address, "/90000")
         assert answer.status != 200 or answer.broken
-        await until(lambda: stage.desk.room.transfers == 0)
+        await until(lambda: stage.scheduler.room.transfers == 0)
         await stage.end()
 
     run(scene())
@@ -248,7 +253,7 @@
     run(scene())
 
 
-def test_the_owner_hears_of_a_caller_that_left() -> None:
+def test_the_owner_is_notified_of_a_caller_that_left() -> None:
     async def scene() -> None:
         owner = FakeOwner()
         edge = Node(link_megabits=MEGABITS)
@@ -270,7 +275,7 @@
     run(scene())
 
 
-def test_without_a_links_rate_nothing_waits() -> None:
+def test_without_a_link_rate_answers_are_not_scheduled() -> None:
     async def scene() -> None:
         stage = Scene(megabits=0.0)
         await stage.begin()
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_they_go_one_after_the_other_and_keep_the_link_busy(megabits: float) -> None:
+def test_large_answers_are_sent_in_sequence_and_keep_the_link_busy(megabits: float) -> None:
     wire = Wire(megabits)
     senders = [Sender(wire, 90_000, 60.0) for _ in range(5)]
     wire.clock.run(60.0)
@@ -76,7 +76,9 @@
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_small_messages_go_on_while_they_alone_fill_the_link(megabits: float) -> None:
+def test_a_large_answer_proceeds_while_small_messages_fill_the_link(
+    megabits: float,
+) -> None:
     """Large answers still proceed, at the share of the link reserved for them."""
     wire = Wire(megabits)
     every = SMALL_BYTES / (wire.desk.room.rate * 0.9)
@@ -86,7 +88,7 @@
     assert sender.through_at
 
 
-def test_a_refusal_tells_when_there_may_be_room() -> None:
+def test_a_refusal_advises_when_to_retry() -> None:
     wire = Wire(6.0)
     senders = [Sender(wire, 90_000, 0.5) for _ in range(20)]
     refused = [sender.refusal for sender in senders if sender.refusal is not None]
@@ -96,7 +98,7 @@
     assert all(refusal.retry_after_milliseconds >= 100 for refusal in refused)
 
 
-def test_what_may_be_held_is_bounded_but_each_may_hold_a_little() -> None:
+def test_buffering_is_bounded_but_each_answer_may_buffer_a_little() -> None:
     wire = Wire(6.0)
     senders = [Sender(wire, 200_000, 60.0) for _ in range(5)]
     last = senders[-1]
@@ -110,14 +112,14 @@
     assert last.resumed_count == 1
 
 
-def test_the_window_of_an_answer_shrinks_with_those_under_way() -> None:
+def test_the_window_of_an_answer_shrinks_with_answers_in_progress() -> None:
     wire = Wire(6.0)
     alone = wire.desk.window_bytes
     Sender(wire, 90_000, 60.0)
     assert wire.desk.window_bytes == pytest.approx(alone / 2, rel=0.01)
 
 
-def test_the_told_wait_is_what_is_promised() -> None:
+def test_the_reported_wait_covers_the_accepted_answers() -> None:
     wire = Wire(6.0)
     assert wire.desk.wait_milliseconds == 0
     transfer = Sender(wire, 90_000, 60.0).transfer
--- a/tests/data_plane/test_listener_hand_over.py
+++ b/tests/data_plane/test_listener_hand_over.py
@@ -1,4 +1,4 @@
-"""A node process hands its callers' listener over to its successor without cutting calls."""
+"""A node process hands its callers' listener over to its successor and cuts no call."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         self._going = True
         self._tasks = [
             *(asyncio.create_task(self._new_connections()) for _ in range(CALLERS)),
-            *(asyncio.create_task(self._kept_connection()) for _ in range(CALLERS)),
+            *(asyncio.create_task(self._persistent_connection()) for _ in range(CALLERS)),
         ]
 
     async def enough(self, more: int) -> None:
@@ -73,7 +73,7 @@
         while self._going:
             self.answers.append(await call(self._address, method="POST", body=b"x"))
 
-    async def _kept_connection(self) -> None:
+    async def _persistent_connection(self) -> None:
         caller = await Caller.connect(self._address)
         while self._going:
             caller.request(method="POST", body=b"y")
@@ -114,7 +114,7 @@
     run(scene())
 
 
-def test_a_stop_has_a_bound_and_says_what_it_waited_for() -> None:
+def test_a_stop_is_bounded_and_reports_the_calls_it_waited_for() -> None:
     async def hang(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.reader.read(1)
         raise ConnectionError
@@ -129,7 +129,7 @@
         node.begin_stop()
         report = await node.stopped()
         assert (report["calls_at_start"], report["calls_cut"]) == (1, 1)
-        assert (await caller.answer()).broken, "cut, and visibly so"
+        assert (await caller.answer()).broken, "the answer must be visibly cut"
         backend.stop()
 
     run(scene())
@@ -143,7 +143,7 @@
             await Node(listen=address).plane.start()
         successor = Node(listen=address, take_over=True)
         assert (await successor.plane.start()).callers == address
-        assert not successor.plane.listening, "it holds no configuration yet"
+        assert not successor.plane.listening, "it has no configuration yet"
         successor.plane.use_configuration(configuration())
         await until(lambda: successor.plane.listening)
         for node in (first, successor):
--- a/tests/data_plane/test_own_back_end.py
+++ b/tests/data_plane/test_own_back_end.py
@@ -40,7 +40,7 @@
     run(scene())
 
 
-def test_another_life_keeps_the_calls_under_way_and_forgets_failures() -> None:
+def test_a_new_incarnation_keeps_running_calls_and_resets_failures() -> None:
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
         own = OwnBackend(known, ServiceSettings(), Randomness(1))
@@ -84,7 +84,7 @@
     return attempt
 
 
-def test_room_on_the_link_goes_to_the_newest_first_call_and_then_to_retries() -> None:
+def test_room_on_the_link_goes_to_the_newest_first_call_then_to_retries() -> None:
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
         transfers = BodyTransfers(link_megabits=1.0)
--- a/tests/data_plane/test_planned_stop.py
+++ b/tests/data_plane/test_planned_stop.py
@@ -18,7 +18,7 @@
     monkeypatch.setattr(data_plane, "LEAVING_SECONDS", 0.1)
 
 
-async def _beside(address: str, seconds: float) -> Caller:
+async def _connect_and_wait(address: str, seconds: float) -> Caller:
     """Open a connection, and wait some seconds before a request is sent on it."""
     caller = await Caller.connect(address)
     await asyncio.sleep(seconds)
@@ -58,7 +58,7 @@
     run(scene())
 
 
-def test_edge_answers_to_the_end_and_closes_kept_connections_in_order() -> None:
+def test_edge_answers_to_the_end_and_closes_persistent_connections_cleanly() -> None:
     async def scene() -> None:
         backend = ScriptedBackend(_slow)
         edge = Node()
@@ -69,7 +69,7 @@
         drained = asyncio.create_task(edge.plane.drained(5.0))
         await asyncio.sleep(0.01)
         late = await call(address, method="POST", body=b"late")
-        assert late.body == b"ok:late", "until neighbours know, callers are answered"
+        assert late.body == b"ok:late", "callers are answered until neighbours know"
         assert late.headers["connection"] == "close"
         assert (await busy.answer()).body == b"ok:a"
         assert await idle.reader.read() == b""
@@ -80,7 +80,7 @@
     run(scene())
 
 
-def test_drain_ends_at_its_bound_and_says_what_is_left() -> None:
+def test_drain_ends_at_its_bound_and_reports_the_calls_cut() -> None:
     async def hang(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.reader.read(1)
         raise ConnectionError
@@ -100,7 +100,7 @@
     run(scene())
 
 
-def test_probe_tells_when_the_back_end_comes_and_goes() -> None:
+def test_probe_reports_when_the_back_end_is_up_and_down() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         states: list[str] = []
@@ -124,7 +124,9 @@
 
         async def calls_on(request: Received, writer: asyncio.StreamWriter) -> None:
             await may_go_on.wait()
-            caller = await _beside(owner.addresses.callers, 5 * DRAIN_POLL_SECONDS)
+            caller = await _connect_and_wait(
+                owner.addresses.callers, 5 * DRAIN_POLL_SECONDS
+            )
             caller.request()
             inner.append((await caller.answer()).body.decode())
             await answer_ok(request, writer)
--- a/tests/data_plane/test_quarantined_requests.py
+++ b/tests/data_plane/test_quarantined_requests.py
@@ -19,7 +19,7 @@
     run,
     until,
 )
-from tests.data_plane.test_back_end_ends import ended, ends_on
+from tests.data_plane.test_back_end_ends import crash_notices, crash_on
 
 from peppershore.connection.http_head import RequestHead
 from peppershore.connection.messages.crashes import CrashRecord
@@ -53,9 +53,9 @@
         there = endpoint(self.backend.address, owner_address=self.owner.addresses.internal)
         self.callers = await self.edge.start(there, **changes)
 
-    def heed(self, told: CrashRecord, *nodes: Node) -> None:
+    def use_record(self, crash_record: CrashRecord, *nodes: Node) -> None:
         for node in nodes or (self.edge, self.owner):
-            node.plane.calls.quarantine.use((told,))
+            node.plane.calls.quarantine.use((crash_record,))
 
     async def close(self) -> None:
         await self.edge.plane.close()
@@ -67,7 +67,7 @@
     async def scene() -> None:
         pair = Pair()
         await pair.start()
-        pair.heed(record())
+        pair.use_record(record())
         answer = await call(pair.callers, MARKED)
         assert (answer.status, answer.outcome) == (503, "not-run")
         assert answer.reason == "quarantined"
@@ -79,11 +79,11 @@
     run(scene())
 
 
-def test_the_back_ends_own_node_refuses_what_the_callers_node_does_not_know_of() -> None:
+def test_the_local_node_refuses_a_held_request_unknown_to_the_callers_node() -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
-        pair.heed(record(), pair.owner)
+        pair.use_record(record(), pair.owner)
         answer = await call(pair.callers, MARKED)
         assert answer.reason == "quarantined"
         assert pair.backend.requests == []
@@ -92,11 +92,11 @@
     run(scene())
 
 
-def test_a_request_is_told_by_its_body_which_is_waited_for() -> None:
+def test_a_request_is_identified_by_its_body_which_is_awaited() -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
-        pair.heed(record(body=b"poison"))
+        pair.use_record(record(body=b"poison"))
         caller = await Caller.connect(pair.callers)
         head = f"POST {MARKED} HTTP/1.1\r\nhost: kassa\r\ncontent-length: 6\r\n\r\n"
         caller.write(head.encode())
@@ -111,11 +111,11 @@
     run(scene())
 
 
-def test_a_caller_that_waits_to_be_asked_for_its_body_is_asked() -> None:
+def test_a_caller_that_expects_100_continue_gets_it() -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
-        pair.heed(record(body=b"poison"))
+        pair.use_record(record(body=b"poison"))
         caller = await Caller.connect(pair.callers)
         head = f"POST {MARKED} HTTP/1.1\r\nhost: kassa\r\ncontent-length: 6\r\n"
         caller.write(f"{head}expect: 100-continue\r\n\r\n".encode())
@@ -128,7 +128,7 @@
     run(scene())
 
 
-def test_of_two_suspects_one_runs_at_a_time_and_others_run_beside() -> None:
+def test_of_two_suspects_one_runs_at_a_time_and_other_requests_run() -> None:
     async def scene() -> None:
         pair = Pair()
         release = asyncio.Event()
@@ -141,7 +141,7 @@
         pair.backend.script = hold
         await pair.start()
         for target in ("/first", "/second"):
-            pair.heed(record(target, ends=2))
+            pair.use_record(record(target, ends=2))
         first = await Caller.connect(pair.callers)
         first.request("/first")
         await until(lambda: len(pair.backend.requests) == 1)
@@ -157,15 +157,15 @@
 
 
 @pytest.mark.parametrize("ends", [2, 3])
-def test_a_refusal_for_the_requests_own_sake_says_nothing_of_the_back_end(
+def test_a_quarantine_refusal_is_not_held_against_the_back_end(
     ends: int,
 ) -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
-        pair.heed(record(ends=ends), pair.owner)
+        pair.use_record(record(ends=ends), pair.owner)
         other = record("/running", ends=2)
-        pair.heed(other, pair.owner)
+        pair.use_record(other, pair.owner)
         running = Fingerprint(other.identity)
         running.end()
         pair.owner.plane.calls.quarantine.began(running)
@@ -179,14 +179,14 @@
     run(scene())
 
 
-def test_a_good_end_clears_a_suspect() -> None:
+def test_an_answer_clears_a_suspect() -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
         cleared: list[bytes] = []
         pair.owner.plane.calls.quarantine.on_cleared = cleared.append
         suspect = record(ends=2)
-        pair.heed(suspect)
+        pair.use_record(suspect)
         assert (await call(pair.callers, MARKED)).status == 200
         assert cleared == [suspect.key]
         await pair.close()
@@ -194,29 +194,29 @@
     run(scene())
 
 
-def test_what_this_life_answered_before_is_not_suspected() -> None:
+def test_a_request_that_this_incarnation_answered_is_not_suspected() -> None:
     async def scene() -> None:
         pair = Pair()
         await pair.start()
         assert (await call(pair.callers, MARKED)).status == 200
-        ends_on(MARKED, pair.backend)
+        crash_on(MARKED, pair.backend)
         await call(pair.callers, MARKED)
-        await until(lambda: bool(ended(pair.owner)))
-        assert ended(pair.owner)[0].under == ()
+        await until(lambda: bool(crash_notices(pair.owner)))
+        assert crash_notices(pair.owner)[0].under == ()
         await pair.close()
 
     run(scene())
 
 
 @pytest.mark.parametrize(("known", "sent"), [(0, 2), (2, 1)])
-def test_after_two_ends_a_request_is_sent_to_no_other_back_end(
+def test_after_two_crashes_a_request_is_sent_to_no_other_back_end(
     known: int, sent: int
 ) -> None:
     async def scene() -> None:
         backends = [ScriptedBackend() for _ in range(3)]
         owners = [Node(f"k{i}", await each.start()) for i, each in enumerate(backends)]
         for owner, backend in zip(owners, backends, strict=True):
-            ends_on(MARKED, backend)
+            crash_on(MARKED, backend)
             await owner.start()
         edge = Node()
         endpoints = [
@@ -236,15 +236,15 @@
     run(scene())
 
 
-def test_what_may_run_once_is_unknown_after_an_end_and_then_refused_when_held() -> None:
+def test_a_request_that_may_run_once_is_unknown_after_a_crash_and_then_held() -> None:
     async def scene() -> None:
         pair = Pair()
-        ends_on(MARKED, pair.backend)
+        crash_on(MARKED, pair.backend)
         await pair.start(route=ONCE)
         answer = await call(pair.callers, MARKED, method="POST", body=b"pay")
         assert (answer.status, answer.outcome) == (502, "unknown")
         assert len(pair.backend.requests) == 1
-        pair.heed(record(body=b"pay"))
+        pair.use_record(record(body=b"pay"))
         again = await call(pair.callers, MARKED, method="POST", body=b"pay")
         assert (again.status, again.outcome) == (503, "not-run")
         await pair.close()
--- a/tests/data_plane/test_quota_gate.py
+++ b/tests/data_plane/test_quota_gate.py
@@ -46,7 +46,7 @@
         self.notices: list[Notice] = []
         self.gate = QuotaGate(quotas, loop, Randomness(1), self.notices.append)
         self.asks: list[QuotaAsked] = []
-        self.told: list[NotRun | None] = []
+        self.decisions: list[NotRun | None] = []
         self.gate.on_ask = self.asks.append
         tenants = {each.name: each for each in (LIMITED, FREE)}
         scope = Scope("edge", "pasila")
@@ -56,7 +56,7 @@
         self.gate.take(self.plan(tenant, patience=patience), self.decided)
 
     def decided(self, refusal: NotRun | None) -> bool:
-        self.told.append(refusal)
+        self.decisions.append(refusal)
         return True
 
     def plan(
@@ -94,41 +94,41 @@
     asyncio.run(begin())
 
 
-def test_without_the_setting_no_call_waits_and_nothing_is_asked() -> None:
+def test_without_the_setting_no_call_waits_and_no_grant_is_requested() -> None:
     def scene(stage: Stage) -> None:
         stage.take()
-        assert (stage.told, stage.asks) == ([None], [])
+        assert (stage.decisions, stage.asks) == ([None], [])
 
     play(scene, quotas=None)
 
 
-def test_calls_that_no_limit_counts_take_no_grant() -> None:
+def test_calls_without_a_limit_need_no_grant() -> None:
     def scene(stage: Stage) -> None:
         stage.take("free")
         stage.take("")
         stage.gate.take(stage.plan("studio", is_counted=False), stage.decided)
-        assert (stage.told, stage.asks) == ([None, None, None], [])
+        assert (stage.decisions, stage.asks) == ([None, None, None], [])
 
     play(scene)
 
 
-def test_a_counted_call_runs_when_it_is_granted() -> None:
+def test_a_call_with_a_limit_runs_when_granted() -> None:
     def scene(stage: Stage) -> None:
         stage.take()
-        assert stage.told == []
+        assert stage.decisions == []
         stage.answer(1)
-        assert stage.told == [None]
+        assert stage.decisions == [None]
 
     play(scene)
 
 
-def test_beyond_the_limit_a_call_is_refused_at_once_with_advice() -> None:
+def test_beyond_the_limit_a_call_is_refused_at_once_with_retry_advice() -> None:
     def scene(stage: Stage) -> None:
         stage.take()
         stage.answer(0, wait=700)
         stage.take()
         assert len(stage.asks) == 1
-        for refusal in stage.told:
+        for refusal in stage.decisions:
             assert refusal is not None
             assert (refusal.status, refusal.reason) == (429, "over-limit")
             assert 600 <= refusal.retry_after_milliseconds <= 5_000
@@ -136,24 +136,24 @@
     play(scene)
 
 
-def test_a_grant_of_a_call_that_is_over_goes_to_the_next() -> None:
+def test_a_grant_of_a_call_that_has_ended_goes_to_the_next() -> None:
     def scene(stage: Stage) -> None:
         stage.gate.take(stage.plan("studio"), lambda refusal: False)
         stage.take()
         stage.answer(1)
-        assert stage.told == [None]
+        assert stage.decisions == [None]
 
     play(scene)
 
 
-def test_a_call_that_nobody_answers_is_refused_as_retryable() -> None:
+def test_a_call_whose_request_for_a_grant_is_not_answered_is_refused_as_retryable() -> None:
     async def scene() -> None:
         stage = Stage()
         stage.take(patience=SHORT_SECONDS)
         async with asyncio.timeout(LONG_SECONDS):
-            while not stage.told:  # noqa: ASYNC110
+            while not stage.decisions:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
-        (refusal,) = stage.told
+        (refusal,) = stage.decisions
         assert refusal is not None
         assert (refusal.status, refusal.reason) == (503, "limit-not-known")
         assert refusal.retryable
@@ -163,7 +163,7 @@
     asyncio.run(scene())
 
 
-def test_a_call_waits_long_enough_for_an_ask_to_be_made_again() -> None:
+def test_a_call_waits_long_enough_for_a_request_for_grants_to_be_retried() -> None:
     """Its wait time-out for a slot may be far shorter: 80 ms at an objective of 400 ms."""
 
     def scene(stage: Stage) -> None:
@@ -182,7 +182,7 @@
     play(scene)
 
 
-def test_a_refusal_has_a_line_with_what_decided_and_further_ones_have_none() -> None:
+def test_a_refusal_is_logged_with_its_cause_and_further_ones_are_not() -> None:
     def scene(stage: Stage) -> None:
         stage.take()
         stage.answer(0, wait=700)
@@ -202,7 +202,7 @@
     play(scene)
 
 
-def test_granted_calls_are_counted_and_have_no_line() -> None:
+def test_granted_calls_are_counted_and_not_logged() -> None:
     def scene(stage: Stage) -> None:
         stage.gate.take(stage.plan("studio"), lambda refusal: False)
         stage.take()
@@ -214,7 +214,7 @@
     play(scene)
 
 
-def test_lines_of_refusals_are_bound_for_a_tenant_and_for_all() -> None:
+def test_log_lines_of_refusals_are_bounded_for_each_tenant_and_overall() -> None:
     lines = RefusalLines()
     assert lines.refused("studio", 100.0) == 0
     assert [lines.refused("studio", 101.0) for _ in range(3)] == [None] * 3
@@ -226,7 +226,7 @@
     assert lines.refused("t59", 111.0 + LINE_SECONDS) == 0
 
 
-def test_series_of_tenants_are_bound_however_many_there_are() -> None:
+def test_series_of_tenants_are_bounded_however_many_there_are() -> None:
     figures = QuotaMetrics()
     for number in range(3 * MAX_LABELLED_TENANTS):
         figures.decided(f"t{number}", "granted")
@@ -246,13 +246,13 @@
     }
 
 
-def test_a_tenant_whose_limit_is_lifted_is_counted_no_more() -> None:
+def test_a_tenant_whose_limit_is_removed_is_no_longer_counted() -> None:
     def scene(stage: Stage) -> None:
         lifted = msgspec.structs.replace(LIMITED, rate_per_second=0.0)
         scope = Scope("edge", "pasila")
         changed = ActiveConfiguration(scope, 2, 2, (), {}, {}, {"studio": lifted})
         stage.gate.use_configuration(changed)
         stage.take()
-        assert (stage.told, stage.asks) == ([None], [])
+        assert (stage.decisions, stage.asks) == ([None], [])
 
     play(scene)
--- a/tests/data_plane/test_refusal_lines.py
+++ b/tests/data_plane/test_refusal_lines.py
@@ -9,13 +9,13 @@
     RefusalLines,
 )
 
-FLOOD_A_SECOND = 500
+FLOOD_PER_SECOND = 500
 SECONDS = 4
 
 
-def test_a_flood_has_few_lines_and_none_is_lost_count_of() -> None:
+def test_a_flood_has_few_log_lines_and_each_call_is_counted() -> None:
     lines = RefusalLines()
-    calls = [number / FLOOD_A_SECOND for number in range(FLOOD_A_SECOND * SECONDS)]
+    calls = [number / FLOOD_PER_SECOND for number in range(FLOOD_PER_SECOND * SECONDS)]
     taken = [lines.take("unknown-key", now) for now in calls]
     written = [each for each in taken if each is not None]
     assert len(written) <= BURST + LINES_PER_SECOND * SECONDS
@@ -24,13 +24,13 @@
     assert sum(written) + len(written) + last == len(calls)
 
 
-def test_calls_far_apart_have_a_line_each() -> None:
+def test_calls_far_apart_are_each_logged() -> None:
     lines = RefusalLines()
     moments = [number / LINES_PER_SECOND for number in range(100)]
     assert {lines.take("no-key", now) for now in moments} == {0}
 
 
-def test_one_reason_takes_no_lines_of_another() -> None:
+def test_each_reason_has_a_budget_of_its_own() -> None:
     lines = RefusalLines()
     for reason in KEY_REASONS:
         assert lines.take(reason, 1.0) == 0
@@ -38,6 +38,6 @@
             pass
 
 
-def test_other_reasons_are_not_bounded() -> None:
+def test_other_reasons_are_not_limited() -> None:
     lines = RefusalLines()
     assert {lines.take("no-route", 1.0) for _ in range(1_000)} == {0}
--- a/tests/data_plane/test_streamed_bodies.py
+++ b/tests/data_plane/test_streamed_bodies.py
@@ -85,7 +85,7 @@
     return answer
 
 
-def test_a_streamed_body_goes_whole_to_another_back_end() -> None:
+def test_a_streamed_body_is_sent_completely_to_another_back_end() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         answer = await _call_past_a_busy_owner(STREAMED, backend)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("length", [0, 1, len(LARGE_BODY), len(LARGER_BODY)])
-def test_a_streamed_body_of_any_length_arrives_whole(length: int) -> None:
+def test_a_streamed_body_of_any_length_arrives_complete(length: int) -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         owner = Node("k1", await backend.start())
@@ -126,7 +126,7 @@
     run(scene())
 
 
-def test_a_body_that_no_back_end_takes_is_not_sent_and_never_held_whole() -> None:
+def test_a_body_that_no_back_end_accepts_is_not_sent_and_not_read_completely() -> None:
     """No more is read from the caller than is retained for a retry."""
 
     async def scene() -> None:
@@ -249,7 +249,7 @@
     return own, address, stalled
 
 
-def test_a_narrow_link_takes_two_bodies_and_others_when_those_are_in() -> None:
+def test_a_narrow_link_receives_two_bodies_at_a_time() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         own, address, stalled = await _node_with_two_stalled_bodies(backend, STREAMED)
@@ -272,8 +272,11 @@
     run(scene())
 
 
-def test_a_narrow_link_takes_two_bodies_of_other_nodes_too() -> None:
-    """Nearly all bodies come through other nodes; once only a node's own callers counted."""
+def test_a_narrow_link_receives_two_bodies_at_a_time_from_other_nodes_too() -> None:
+    """The bound must cover bodies from other nodes, through which nearly all come.
+
+    It once covered only those of the node's own callers.
+    """
 
     async def scene() -> None:
         backend = ScriptedBackend()
@@ -317,7 +320,7 @@
     run(scene())
 
 
-def test_a_body_that_stalls_keeps_others_out_for_a_bounded_time(
+def test_a_stalled_body_blocks_others_for_a_bounded_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(own_attempt, "MOST_SECONDS", 0.05)
--- a/tests/data_plane/test_told_loads.py
+++ b/tests/data_plane/test_told_loads.py
@@ -43,7 +43,7 @@
 SLOTS = 5
 
 
-def tells(figures: str) -> Script:
+def reporting(figures: str) -> Script:
     """Return a script that answers 200 with these figures as the reported load."""
 
     async def script(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -89,10 +89,10 @@
         return own
 
 
-def test_the_field_is_read_and_passed_on() -> None:
+def test_the_reported_load_is_read_and_forwarded() -> None:
     async def scene() -> None:
-        async with Pair(tells("1,0,5,250")) as pair:
-            _hears(pair.own, b"1,0,5,100", times=3)
+        async with Pair(reporting("1,0,5,250")) as pair:
+            _report(pair.own, b"1,0,5,100", times=3)
             answer = await pair.call()
             assert answer.headers[LOAD] == "1,0,5,250"
             assert pair.own.report.pace_percent == 250
@@ -104,9 +104,9 @@
 
 
 @pytest.mark.parametrize("figures", ["", "x", "-1,0,5,250", "1,0", "1,0,0", "9999999,0,5"])
-def test_calls_go_on_whatever_the_field_says(figures: str) -> None:
+def test_calls_are_served_whatever_the_field_contains(figures: str) -> None:
     async def scene() -> None:
-        async with Pair(tells(figures)) as pair:
+        async with Pair(reporting(figures)) as pair:
             for _ in range(5):
                 assert (await pair.call()).status == 200
             assert pair.own.load("all").running == 0
@@ -115,9 +115,9 @@
     run(scene())
 
 
-def test_work_of_others_is_told_as_running() -> None:
+def test_work_of_others_is_reported_as_running() -> None:
     async def scene() -> None:
-        async with Pair(tells("3,0,5,100")) as pair:
+        async with Pair(reporting("3,0,5,100")) as pair:
             for _ in range(3):
                 assert (await pair.call()).status == 200
             assert pair.own.load("all").running == 2
@@ -125,21 +125,21 @@
     run(scene())
 
 
-def test_a_back_end_that_says_too_much_is_still_given_calls_one_by_one() -> None:
+def test_a_back_end_that_reports_too_much_load_still_gets_calls_one_by_one() -> None:
     async def scene() -> None:
-        async with Pair(tells("8,0,5,100")) as pair:
+        async with Pair(reporting("8,0,5,100")) as pair:
             answers = await asyncio.gather(*(pair.call() for _ in range(6)))
             assert {answer.status for answer in answers} == {200}
 
     run(scene())
 
 
-def test_a_slow_machine_is_asked_for_a_free_slot_in_vain_and_still_serves() -> None:
+def test_a_slow_machine_refuses_probes_for_a_free_slot_and_still_serves() -> None:
     """The only back end accepts the call once the call may wait."""
 
     async def scene() -> None:
-        async with Pair(tells("1,0,5,250"), seek_free_slots=True) as pair:
-            _hears(pair.own, b"1,0,5,100", times=3)
+        async with Pair(reporting("1,0,5,250"), seek_free_slots=True) as pair:
+            _report(pair.own, b"1,0,5,100", times=3)
             assert (await pair.call()).status == 200
             pair.edge.plane.calls.admissions.state_of("kassa", "k1").passed_over_until = 0.0  # type: ignore[union-attr]
             assert (await pair.call()).status == 200
@@ -178,7 +178,7 @@
     )
 
 
-def _hears(own: OwnBackend, figures: bytes, times: int = 2) -> None:
+def _report(own: OwnBackend, figures: bytes, times: int = 2) -> None:
     for _ in range(times):
         own.heard(figures, own.life.name)
 
@@ -186,23 +186,23 @@
 def test_calls_that_may_go_elsewhere_are_refused_while_the_machine_is_slow() -> None:
     async def scene() -> None:
         own = _own()
-        _hears(own, b"0,0,5,100", times=3)
-        _hears(own, b"0,0,5,250")
+        _report(own, b"0,0,5,100", times=3)
+        _report(own, b"0,0,5,250")
         refusal = own.admit(SilentAttempt(), _request(may_wait=False))
         assert isinstance(refusal, NotRun)
         assert (refusal.reason, refusal.retryable) == (SLOW_NOW, True)
         assert not isinstance(own.admit(SilentAttempt(), _request(may_wait=True)), NotRun)
-        _hears(own, b"1,0,5,100")
+        _report(own, b"1,0,5,100")
         assert not isinstance(own.admit(SilentAttempt(), _request(may_wait=False)), NotRun)
         own.close()
 
     run(scene())
 
 
-def test_slots_that_others_take_are_not_given_and_come_back_when_the_word_is_old() -> None:
+def test_slots_used_by_others_are_withheld_until_the_report_expires() -> None:
     async def scene() -> None:
         own = _own()
-        _hears(own, b"3,0,5,100")
+        _report(own, b"3,0,5,100")
         asks = [own.admit(SilentAttempt(), _request(may_wait=False)) for _ in range(3)]
         assert [isinstance(ask, NotRun) for ask in asks] == [False, False, True]
         await asyncio.sleep(COUNT_SECONDS)
@@ -213,11 +213,11 @@
     run(scene())
 
 
-def test_another_life_begins_without_figures() -> None:
+def test_a_new_incarnation_starts_without_reported_load() -> None:
     async def scene() -> None:
         own = _own()
         before = own.life.name
-        _hears(own, b"5,9,5,250")
+        _report(own, b"5,9,5,250")
         own.use_view(BackEndView("i-2", STATE_READY, SLOTS, 0), 1.0)
         own.heard(b"5,9,5,250", before)
         assert own.load("all") == msgspec.structs.replace(
@@ -228,9 +228,7 @@
     run(scene())
 
 
-async def never_answers_what_it_cannot_queue(
-    request: Received, writer: asyncio.StreamWriter
-) -> None:
+async def never_answers(request: Received, writer: asyncio.StreamWriter) -> None:
     """Never answer on this connection."""
     del writer
     await request.reader.read()
@@ -238,7 +236,7 @@
 
 def test_a_call_at_a_back_end_that_never_answers_ends_at_its_deadline() -> None:
     async def scene() -> None:
-        async with Pair(never_answers_what_it_cannot_queue) as pair:
+        async with Pair(never_answers) as pair:
             answer = await call(
                 pair.callers, headers={"peppershore-deadline-milliseconds": "300"}
             )
@@ -250,11 +248,11 @@
     run(scene())
 
 
-def test_figures_fade_within_the_time_for_which_a_pace_lasts() -> None:
+def test_a_reported_pace_expires() -> None:
     async def scene() -> None:
         own = _own()
-        _hears(own, b"0,0,5,100", times=3)
-        _hears(own, b"0,0,5,250")
+        _report(own, b"0,0,5,100", times=3)
+        _report(own, b"0,0,5,250")
         await asyncio.sleep(PACE_SECONDS)
         assert not isinstance(own.admit(SilentAttempt(), _request(may_wait=False)), NotRun)
         own.close()
