--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -29,7 +29,7 @@
 
 HOLD_ANSWER_BYTES = 64 * 1024
 HOLD_SECONDS = 0.05
-"""An answer without a content length is buffered for so long after it began."""
+"""An answer without a content length is buffered for this long after it began."""
 
 BEARER_CHALLENGE = (b"www-authenticate", b"Bearer")
 """Header that tells a caller refused with 401 how to send its key (RFC 9110, 11.6.1)."""
--- a/src/peppershore/process/node/data/back_end_pools.py
+++ b/src/peppershore/process/node/data/back_end_pools.py
@@ -7,7 +7,7 @@
 
 
 class BackEndPools:
-    """A connection pool for each back end; on lent slots the loan sets its limit."""
+    """A connection pool for each back end; the loan limits the pool if slots are lent."""
 
     def __init__(self) -> None:
         """Start without pools."""
@@ -15,7 +15,7 @@
         self._borrowed: dict[str, ConnectionPool] = {}
 
     def pool(self, endpoint: Endpoint) -> ConnectionPool:
-        """Return the pool of a back end, limited only by the endpoint's own setting."""
+        """Return the pool of a back end whose connections no owner limits."""
         pool = self._pools.get(endpoint.address)
         if pool is None:
             pool = ConnectionPool(endpoint.address, endpoint.connections)
--- a/src/peppershore/process/node/data/crash_watch.py
+++ b/src/peppershore/process/node/data/crash_watch.py
@@ -22,11 +22,11 @@
 their latency objective."""
 
 ExitSink = Callable[[bool], None]
-"""Receives whether the process has ended."""
+"""Receives whether the process has exited."""
 
 
 class CrashWatch:
-    """Watches one back end for crashes by the calls that break off there."""
+    """Detects crashes of one back end from the calls that break off there."""
 
     def __init__(self, node: str, address: str) -> None:
         """Watch the process at ``address`` ("IP:port"), co-located with this node."""
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -27,7 +27,7 @@
 that, reading from the back ends pauses."""
 
 MIN_BUFFERED_BYTES = 32 * 1024
-"""Each answer may have so many bytes buffered, however much the others have."""
+"""Each answer may have this many bytes buffered, however many the others have."""
 
 MIN_WINDOW_BYTES = 4 * 1024
 MIN_RETRY_AFTER_MILLISECONDS = 100
@@ -94,7 +94,7 @@
 
     @property
     def wait_milliseconds(self) -> int:
-        """Time until one more answer would be through the link; 0 if there is no other."""
+        """Time until one more answer would be sent completely; 0 if there is no other."""
         if not self._room.transfers:
             return 0
         now = self._loop.time()
@@ -110,10 +110,10 @@
     def offer(
         self, route: str, due: float, work: float, sender: LargeSender
     ) -> Transfer | NotRun:
-        """Accept one more answer, or refuse it if it would not be through in time.
+        """Accept one more answer, or refuse it if it could not be sent completely in time.
 
-        ``due``: when it should be through (monotonic seconds); ``work``: seconds until its
-        first bytes are expected.
+        ``due``: when it should be sent completely (monotonic seconds); ``work``: seconds
+        until its first bytes are expected.
         """
         now = self._loop.time()
         self._measure_traffic(now)
@@ -197,7 +197,7 @@
 
 
 def link_full(seconds_late: float) -> NotRun:
-    """Return the refusal of a call whose answer would be through ``seconds_late`` late."""
+    """Return the refusal of a call whose answer would be sent ``seconds_late`` too late."""
     advice = max(MIN_RETRY_AFTER_MILLISECONDS, math.ceil(seconds_late * MILLISECONDS))
     return NotRun(STATUS_UNAVAILABLE, LINK_FULL, advice, retryable=True)
 
--- a/src/peppershore/process/node/data/link_guard.py
+++ b/src/peppershore/process/node/data/link_guard.py
@@ -24,7 +24,7 @@
         self._allowed: set[tuple[str, type[Message]]] = set()
 
     def allows(self, link: Link, message: Message) -> bool:
-        """Return whether the peer may send this; if not, the caller closes the link."""
+        """Return whether the peer may send this message; a refused one ends its link."""
         kind = (link.peer_identity, type(message))
         if kind in self._allowed:
             return True
--- a/src/peppershore/process/node/data/notices.py
+++ b/src/peppershore/process/node/data/notices.py
@@ -32,7 +32,7 @@
 
 
 class BackendStateSeen(Notice, frozen=True):
-    """The state of this node's local back end changed, by its probe or a drain."""
+    """The state of this node's local back end changed, as seen by its probe or a drain."""
 
     state: str
 
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -232,7 +232,7 @@
         self.refuse_waiting()
 
     def ended_well(self, fingerprint: Fingerprint) -> None:
-        """Record that the back end answered such a request, so it does not crash by it."""
+        """Record that the back end answered such a request: it causes no crash."""
         self.crashes.ended_well(fingerprint)
         self.quarantine.ended_well(fingerprint)
 
@@ -342,7 +342,7 @@
             attempt.transfer_begun()
 
     def _next_transfer(self) -> WaitingAttempt:
-        """Return the newest first try, or the newest client retry if there is none.
+        """Return the newest attempt that is no client retry, else the newest retry.
 
         More bodies arrive than the link carries only under overload. The attempt that
         waited longest would then be late by the time its body is complete, and so would
@@ -368,7 +368,10 @@
         self.start_waiting()
 
     def start_waiting(self) -> None:
-        """Start the waiting attempts that can get a slot now; refuse the hopeless ones."""
+        """Start the waiting attempts that can get a slot now.
+
+        Those that cannot be served in time any more are refused first.
+        """
         if not self.admission.waiting:
             return
         now = asyncio.get_running_loop().time()
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -22,11 +22,11 @@
 from peppershore.request.slot_loans import Borrower
 
 GREETING_SECONDS = 1.0
-"""An owner that accepts a link and sends nothing for so long is considered lost."""
+"""An owner that accepts a link and sends nothing for this long is considered lost."""
 
 SILENCE_SECONDS = 2.0
-"""An owner that does not answer a probe for so long, with calls on its link, is considered
-lost: the outcome of the calls sent to it is unknown, and it is sent nothing more."""
+"""An owner that does not answer a probe for this long, with calls on its link, is
+considered lost: the outcome of the calls sent to it is unknown, and it is sent no more."""
 
 
 LoadSink = Callable[[str, OwnerLoad, str], None]
@@ -119,7 +119,7 @@
             self.on_allowance(address, owner.borrower.allowance(now))
 
     def keep_only(self, addresses: frozenset[str]) -> None:
-        """Close the links to owners not in ``addresses`` once they are idle.
+        """Close the idle links to owners that are not in ``addresses``.
 
         A link is idle if it has no stream open and no borrowed slot in use.
         """
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -26,8 +26,8 @@
 class LargeTerms(msgspec.Struct, frozen=True):
     """What is known of a large answer before the attempt starts.
 
-    ``due``: when it should be through (monotonic seconds); ``work``: seconds until its
-    first bytes, 0 if unknown; ``elsewhere``: whether a call that is refused here may be
+    ``due``: when it should be sent completely (monotonic seconds); ``work``: seconds until
+    its first bytes, 0 if unknown; ``elsewhere``: whether a call that is refused here may be
     accepted at another back end.
     """
 
@@ -108,7 +108,7 @@
     def settle(self) -> bool:
         """Stop at the deadline; report whether the attempt will still send the outcome.
 
-        False once the answer is complete here: then nobody knows more of the call.
+        False once the answer is complete here: the attempt has nothing more to report.
         """
         return not self._ended and self._attempt.settle()
 
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -36,9 +36,9 @@
 """Part of a call's wait time-out for a slot that it may wait for a grant."""
 
 LEAST_WAIT_SECONDS = 0.3
-"""A call may wait so long in any case, if its deadline allows. A request for grants, of the
-node or of a relay, may be lost once or be late; it is retried within this time. The wait
-time-out for slots may be much shorter."""
+"""A call may wait this long in any case, if its deadline allows. A request for grants, of
+the node or of a relay, may be lost once or be late; it is retried within this time. The
+wait time-out for slots may be much shorter."""
 
 DEADLINE_SHARE = 0.5
 """Part of the time to its deadline that a call may wait for a grant; the rest is for
--- a/src/peppershore/process/node/data/refusal_lines.py
+++ b/src/peppershore/process/node/data/refusal_lines.py
@@ -9,8 +9,8 @@
 from peppershore.process.log_output import LineBudget
 
 KEY_REASONS = frozenset({"no-key", "unknown-key", "configuration-not-confirmed"})
-"""Reasons for refusing a call whose key belongs to no tenant. The last one stands while the
-node's configuration is too old to be sure of it."""
+"""Reasons for refusing a call whose key belongs to no known tenant. The last one is used
+while that is uncertain because the node's configuration is not confirmed."""
 
 LINES_PER_SECOND = 10.0
 """Limit for each reason; all reasons together have less than a third of the log lines that
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -123,7 +123,7 @@
         self._attempt.start()
 
     def _new_attempt(self, backend: OwnBackend, request: AttemptRequest) -> Attempt:
-        """Return the attempt; a large answer is scheduled on this node's link by it."""
+        """Return the attempt: a ``PacedAnswer`` if its answer is expected to be large."""
 
         def make_attempt(sink: AttemptSink) -> OwnAttempt:
             self._own_attempt = OwnAttempt(backend, request, sink, self._fetch_body)
@@ -198,8 +198,8 @@
         """Report to the peer how the call failed.
 
         A refusal of a call that may not wait, for want of a free slot, is not logged here:
-        it is a step in the log line of the caller's node. Under load 17 in 20 log lines
-        were of this kind and displaced others.
+        the caller's node logs it as a step of the call. Under load 17 in 20 log lines were
+        of this kind and displaced others.
         """
         self._finished = True
         if self._link is not None:
