--- a/src/peppershore/process/node/data/gauges.py
+++ b/src/peppershore/process/node/data/gauges.py
@@ -28,7 +28,7 @@
     metrics.gauge(
         "calls_sent_on",
         "Calls refused since the back end's machine was slow, to go elsewhere.",
-        lambda: 0 if plane.calls.own is None else plane.calls.own.sent_on,
+        lambda: 0 if plane.calls.own is None else plane.calls.own.refused_while_slow,
     )
     metrics.gauge(
         "back_end_pace_percent",
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -85,7 +85,7 @@
         self.transfers = transfers or BodyTransfers()
         self.evidence = VersionEvidence()
         self.report = OwnReport()
-        self.sent_on = 0
+        self.refused_while_slow = 0
         """Number of calls refused because the machine was slow, to be sent elsewhere."""
         self._warm_at = 0.0
         self._prefetches = BodiesAhead()
@@ -316,7 +316,7 @@
             return NotRun(STATUS_UNAVAILABLE, "back-end-leaving", advice, True)
         now = asyncio.get_running_loop().time()
         if not request.may_wait and self.report.is_slow(now):
-            self.sent_on += 1
+            self.refused_while_slow += 1
             return NotRun(STATUS_UNAVAILABLE, SLOW_NOW, SLOW_RETRY_AFTER_MILLISECONDS, True)
         return None
 
--- a/tests/data_plane/test_told_loads.py
+++ b/tests/data_plane/test_told_loads.py
@@ -143,7 +143,7 @@
             assert (await pair.call()).status == 200
             pair.edge.plane.calls.admissions.state_of("kassa", "k1").passed_over_until = 0.0  # type: ignore[union-attr]
             assert (await pair.call()).status == 200
-            assert pair.own.sent_on == 1
+            assert pair.own.refused_while_slow == 1
             assert len(pair.backend.requests) == 2
 
     run(scene())
