--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -58,7 +58,7 @@
         keep: bool,
         names: WireNames = OWN_NAMES,
     ) -> None:
-        """With ``keep`` the answer is also stored, to be returned again to a resend."""
+        """With ``keep`` the answer is also stored, to be sent again to a resent call."""
         self._names = names
         self._release_timer: asyncio.TimerHandle | None = None
         self._held_bytes = 0
@@ -161,7 +161,7 @@
         self._kept_bytes = 0
 
     def give_kept(self, answer: KeptAnswer, head_request: bool) -> None:
-        """Send the stored answer of the first attempt to a resend."""
+        """Answer a call that was resent with the stored answer to the first one."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
@@ -211,7 +211,7 @@
         )
 
     def give_up(self) -> None:
-        """Stop the timer, as the caller no longer waits for the answer."""
+        """Stop the timer that releases the answer: the caller no longer waits for it."""
         self._stop_release_timer()
 
     def _release_held(self) -> None:
--- a/src/peppershore/process/node/data/back_end_pools.py
+++ b/src/peppershore/process/node/data/back_end_pools.py
@@ -7,7 +7,7 @@
 
 
 class BackEndPools:
-    """A connection pool for each back end; the loan limits the pool if slots are lent."""
+    """A connection pool for each back end; a pool for lent slots is limited by the loan."""
 
     def __init__(self) -> None:
         """Start without pools."""
--- a/src/peppershore/process/node/data/backend_probe.py
+++ b/src/peppershore/process/node/data/backend_probe.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, address: str, on_state: Callable[[str], None]) -> None:
-        """``address`` is "IP:port"; ``on_state`` is called with each changed state."""
+        """``address`` is "IP:port"; ``on_state`` is called with each new state."""
         self._address = address
         self._on_state = on_state
         self._state = STATE_WARMING
--- a/src/peppershore/process/node/data/checked_claims.py
+++ b/src/peppershore/process/node/data/checked_claims.py
@@ -1,4 +1,4 @@
-"""Claims whose keys are checked as well: their form and their age.
+"""Claims whose keys are checked as well: their length, their characters and their age.
 
 A key that carries a time is refused before the claims group is asked if it is so old that
 no group could still have a record of it. It is refused after the grant if this group
@@ -52,7 +52,7 @@
         return claimed
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Store the answer for resends."""
+        """Store the answer for resends of the call; None if it is too long to store."""
         self._claims.complete(key, attempt, answer)
 
     def release(self, key: str, attempt: str) -> None:
--- a/src/peppershore/process/node/data/claim_desk.py
+++ b/src/peppershore/process/node/data/claim_desk.py
@@ -30,7 +30,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Store the answer of a claimed call; None if there is none to store."""
+        """Store the answer of a claimed call; None if it is too long to store."""
         if self.client is not None:
             self.client.complete(key, attempt, answer)
 
--- a/src/peppershore/process/node/data/crash_watch.py
+++ b/src/peppershore/process/node/data/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether the back end's process exited, or only a connection to it.
+"""Distinguishes the exit of a back end's process from the loss of one connection to it.
 
 When a call breaks off, its back end is probed with a new connection: a running process
 accepts it, and the address of one that has exited refuses it. The outcome of the call is
@@ -54,7 +54,7 @@
         self._is_leaving = True
 
     def broke_off(self, life: str, fingerprint: Fingerprint, sink: ExitSink) -> None:
-        """Report to ``sink`` whether the process exited, since a call to it broke off.
+        """Report to ``sink`` whether the process exited, after a call to it broke off.
 
         False is reported at once if ``life`` is not the current incarnation.
         """
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -94,7 +94,7 @@
 
     @property
     def wait_milliseconds(self) -> int:
-        """Time until one more answer would be sent completely; 0 if there is no other."""
+        """Time until one more answer, ready now, would be sent; 0 if there is no other."""
         if not self._room.transfers:
             return 0
         now = self._loop.time()
@@ -137,20 +137,20 @@
         return self._room.held <= self._max_buffered or transfer.held <= MIN_BUFFERED_BYTES
 
     def pause_until_room(self, sender: LargeSender) -> None:
-        """Call ``sender.resume_reading`` once more may be read."""
+        """Register ``sender``: its ``resume_reading`` is called once more may be read."""
         self._paused_senders.add(sender)
 
     def send_due(self) -> None:
-        """Send what is due: an answer got bytes to send, or its receiver accepts more."""
+        """Send what is due, after an answer got bytes to send or its receiver resumed."""
         if self._timer is None and not self._is_sending:
             self._send()
 
-    def finished(self, transfer: Transfer, is_whole: bool) -> None:
-        """Remove an answer that is complete (``is_whole``) or was given up."""
+    def finished(self, transfer: Transfer, is_complete: bool) -> None:
+        """Remove an answer that is complete (``is_complete``) or was given up."""
         sender = self._senders.pop(transfer.number, None)
         if sender is not None:
             self._paused_senders.discard(sender)
-        self._room.over(transfer, is_whole)
+        self._room.over(transfer, is_complete)
 
     def close(self) -> None:
         """Stop sending."""
@@ -197,7 +197,7 @@
 
 
 def link_full(seconds_late: float) -> NotRun:
-    """Return the refusal of a call whose answer would be sent ``seconds_late`` too late."""
+    """Return the refusal of a call whose answer would be ``seconds_late`` too late."""
     advice = max(MIN_RETRY_AFTER_MILLISECONDS, math.ceil(seconds_late * MILLISECONDS))
     return NotRun(STATUS_UNAVAILABLE, LINK_FULL, advice, retryable=True)
 
--- a/src/peppershore/process/node/data/notices.py
+++ b/src/peppershore/process/node/data/notices.py
@@ -59,7 +59,7 @@
 
 
 class OverLimit(Notice, frozen=True):
-    """A call was refused by its tenant's limit, or because the rest of it is not known.
+    """A call was refused: its tenant's limit is used up, or what is left is not known.
 
     ``rate_per_second`` and ``burst`` are the limit as this node has it. ``knowledge`` is
     the cause: "used-up" or "nobody-answered". ``knowledge_age_milliseconds`` is the time
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -86,7 +86,7 @@
         self.evidence = VersionEvidence()
         self.report = OwnReport()
         self.refused_while_slow = 0
-        """Number of calls refused because the machine was slow, to be sent elsewhere."""
+        """Number of calls refused while the machine was slow, so that they go elsewhere."""
         self._warm_at = 0.0
         self._prefetches = BodiesAhead()
         self._awaiting_transfer: dict[WaitingAttempt, None] = {}
@@ -161,7 +161,7 @@
 
     @property
     def terms(self) -> BackEndTerms:
-        """Header names, instance and name of the incarnation to which calls are sent."""
+        """Header names for calls to the back end, and its instance and incarnation."""
         life = self._life
         return BackEndTerms(self._names, life.instance.encode("latin-1"), life.name)
 
@@ -245,7 +245,11 @@
             self.on_not_there(life)
 
     def use_settings(self, settings: ServiceSettings) -> None:
-        """Apply new settings, which may lower the number of slots but not raise it."""
+        """Apply new settings.
+
+        They may lower the slots below the number that the back end offers, not raise them
+        above it. The slots that a back end reports itself are not changed.
+        """
         self.evidence.use_settings(settings)
         if not self._life.instance:
             self.slots = min(self._offered_slots, settings.slots)
@@ -258,7 +262,7 @@
         self._apply_limit()
 
     def start_ramp(self) -> None:
-        """Start the slow start of a back end that has come up: its calls rise gradually."""
+        """Ramp up a back end that has come up: the rate of its calls rises gradually."""
         self.crashes.begin_incarnation(self._life.name)
         state = self.admission.state(self._node)
         if state is not None:
@@ -295,9 +299,10 @@
         return ticket
 
     def begin_body(self, request: AttemptRequest) -> bool:
-        """Report whether the body of a call without a slot is to be prefetched now.
+        """Return whether the body of a call without a slot is to be prefetched now.
 
-        It is if the call will probably get a slot soon; ``body_ended`` must follow then.
+        True if the call is likely to have a slot by the time its body is complete. The
+        caller must then call ``body_ended`` once.
         """
         if self._refusal(request) is not None:
             return False
@@ -334,7 +339,7 @@
         return tuple(self._awaiting_transfer)
 
     def transfer_ended(self) -> None:
-        """Release the room of a body that is complete or given up; start the next one."""
+        """Release the room of a body that is complete or given up; start those that fit."""
         self.transfers.end()
         while self._awaiting_transfer and self.transfers.begin():
             attempt = self._next_transfer()
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -97,7 +97,11 @@
         return taken
 
     def give_back(self, address: str) -> None:
-        """Release a slot taken by ``borrow``."""
+        """Release a slot taken by ``borrow``.
+
+        If the loan had shrunk below the slots in use, this confirms to the owner how many
+        are still in use.
+        """
         owner = self._owner(address)
         kept = owner.borrower.give_back()
         self.on_allowance(address, self.allowance(address))
@@ -208,7 +212,7 @@
 
         link = CallLink(
             opened,
-            _refuse_calls,
+            _ignore_calls,
             other_message,
             self._link_lost,
             self._guard.allows,
@@ -249,6 +253,6 @@
         return None
 
 
-def _refuse_calls(link: CallLink, message: Message) -> None:
+def _ignore_calls(link: CallLink, message: Message) -> None:
     """Ignore calls: an owner sends none on a link that it accepted."""
     del link, message
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -102,13 +102,14 @@
 
     def cancel(self) -> None:
         """Cancel the attempt and discard the buffered answer, so others get the link."""
-        self._finish(is_whole=False)
+        self._finish(is_complete=False)
         self._attempt.cancel()
 
     def settle(self) -> bool:
-        """Stop at the deadline; report whether the attempt will still send the outcome.
+        """Stop at the deadline; return whether the sink will still receive the outcome.
 
-        False once the answer is complete here: the attempt has nothing more to report.
+        False if not; the attempt must then be cancelled. Always False once the answer is
+        complete here: the attempt has nothing more to report.
         """
         return not self._ended and self._attempt.settle()
 
@@ -165,7 +166,7 @@
         """Discard the buffered answer and forward the failure."""
         if self._finished:
             return
-        self._finish(is_whole=False)
+        self._finish(is_complete=False)
         self._sink.attempt_failed(failed)
 
     def sending_paused(self) -> None:
@@ -191,7 +192,7 @@
         if data:
             self._sink.answer_data(data)
         if self._ended and not transfer.held:
-            self._finish(is_whole=True)
+            self._finish(is_complete=True)
             self._sink.answer_ended(self._trailers)
         else:
             self._sink.answer_batch_ended()
@@ -221,11 +222,11 @@
             taken.append(piece)
         return b"".join(taken)
 
-    def _finish(self, *, is_whole: bool) -> None:
+    def _finish(self, *, is_complete: bool) -> None:
         if self._finished:
             return
         self._finished = True
         self._pieces.clear()
         if self._transfer is not None:
-            self._scheduler.finished(self._transfer, is_whole)
+            self._scheduler.finished(self._transfer, is_complete)
             self._transfer = None
--- a/src/peppershore/process/node/data/quarantine_gate.py
+++ b/src/peppershore/process/node/data/quarantine_gate.py
@@ -1,8 +1,9 @@
 """Refuses requests during which back ends crashed before.
 
+After some crashes a request is a suspect; after more it is held: refused for a time.
 At the caller's node a held request is refused before it is sent. At the back end's local
-node it is refused as well, in case the caller's node has not yet received the record. Of
-the suspected requests, which are not held yet, one at a time runs at a back end.
+node it is refused as well, in case the caller's node has not yet received the crash record.
+Of the suspects, one at a time runs at a back end.
 """
 
 from __future__ import annotations
@@ -54,11 +55,11 @@
     # --- at the caller's node
 
     def awaits_body(self, fingerprint: Fingerprint) -> bool:
-        """Return whether the body is needed to decide if a request has a record."""
+        """Return whether the body is needed to decide if a request has a crash record."""
         return not fingerprint.is_known and self._quarantine.concerns(fingerprint.identity)
 
     def concerns(self, fingerprint: Fingerprint) -> bool:
-        """Return whether there is a record for this head; its body may still differ."""
+        """Return whether a crash record has this request's head; its body may differ."""
         return self._quarantine.concerns(fingerprint.identity)
 
     def refusal(self, fingerprint: Fingerprint) -> NotRun | None:
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -33,7 +33,7 @@
 MILLISECONDS = 1_000
 
 WAIT_SHARE = 0.6
-"""Part of a call's wait time-out for a slot that it may wait for a grant."""
+"""A call may wait for a grant for this part of its wait time-out for a slot."""
 
 LEAST_WAIT_SECONDS = 0.3
 """A call may wait this long in any case, if its deadline allows. A request for grants, of
@@ -61,15 +61,15 @@
 NEVER_ANSWERED = -1
 
 NOT_KNOWN_MILLISECONDS = 300
-"""Retry advice of a refusal because the limit is not known: by then another relay is found
-or another leader elected in most cases."""
+"""Retry advice of a refusal because the limit is not known: another relay is found or
+another leader elected soon."""
 
 LEAST_TIMER_SECONDS = 0.001
 """Shortest timer: a shorter one could, by rounding, fire before its work is due."""
 
 DecisionSink = Callable[[NotRun | None], bool]
-"""Receives the refusal, or None if the call may run; returns whether the call still waited
-for the decision."""
+"""Receives the refusal, or None if the call may run. Returns False if the call
+made no use of it, because it has ended or its key is no longer valid."""
 
 
 def wait_until(plan: CallPlan, now: float) -> float:
@@ -117,7 +117,7 @@
     def take(self, plan: CallPlan, decided: DecisionSink) -> None:
         """Admit or refuse a call by calling ``decided``, at once or as soon as it is known.
 
-        Used once for each call, before its first attempt: its retries are the same call.
+        Called once for each call, before its first attempt: its retries are the same call.
         """
         if self._grants is None or not plan.is_counted or plan.tenant not in self._limited:
             decided(None)
--- a/src/peppershore/process/node/data/refusal_lines.py
+++ b/src/peppershore/process/node/data/refusal_lines.py
@@ -1,7 +1,7 @@
 """Limits the log lines of calls without a valid key.
 
 Anybody can send such calls, as many as a link carries. Their log lines must not displace
-those of other calls, and the next line of the same reason says as much as one left out.
+those of other calls, and the next log line of the same reason says as much as one left out.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from peppershore.process.log_output import LineBudget
 
 KEY_REASONS = frozenset({"no-key", "unknown-key", "configuration-not-confirmed"})
-"""Reasons for refusing a call whose key belongs to no known tenant. The last one is used
-while that is uncertain because the node's configuration is not confirmed."""
+"""Reasons for refusing a call whose key belongs to no known tenant. The reason
+"configuration-not-confirmed" is used while that is uncertain."""
 
 LINES_PER_SECOND = 10.0
 """Limit for each reason; all reasons together have less than a third of the log lines that
--- a/src/peppershore/process/node/data/request_body.py
+++ b/src/peppershore/process/node/data/request_body.py
@@ -14,12 +14,12 @@
 """No more than this is read from the caller before the body can be forwarded."""
 
 LARGEST_READ_BYTES = 256 * 1024
-"""Most bytes that asyncio's transports read from a socket at a time."""
+"""Maximum number of bytes that asyncio's transports read from a socket at a time."""
 
 STREAMED_REPLAY_BYTES = STREAM_WINDOW_BYTES + LARGEST_READ_BYTES
 """A streamed body is retained up to this size: the bytes that may be in transit to the
-owner before it accepts them, plus one read from the caller. So a call that an owner
-refuses for want of a slot can be retried: its body went no further than that owner."""
+owner before it accepts any, plus one read from the caller. So a call that an owner refuses
+for want of a slot can always be retried: its body went no further than that owner."""
 
 
 class RequestBody:
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -155,9 +155,9 @@
                 pass
 
     def stream_lost(self, reason: str) -> None:
-        """Cancel the call of a peer that was lost, unless it must run to its end.
+        """Cancel the call of a peer that was lost, unless its answer is stored elsewhere.
 
-        A call that is not cancellable goes on once it has begun and its body is complete.
+        Such a call is not cancellable: it goes on if it has begun and its body is complete.
         """
         del reason
         self._link = None
@@ -197,9 +197,9 @@
     def attempt_failed(self, failed: Failed) -> None:
         """Report to the peer how the call failed.
 
-        A refusal of a call that may not wait, for want of a free slot, is not logged here:
-        the caller's node logs it as a step of the call. Under load 17 in 20 log lines were
-        of this kind and displaced others.
+        A call that may not wait and is refused for want of a free slot, or because the
+        machine is slow, is not logged here: the caller's node logs the refusal as a step of
+        the call. Under load 17 in 20 log lines were of this kind and displaced others.
         """
         self._finished = True
         if self._link is not None:
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -126,9 +126,10 @@
         return self._settings.waits_at_owners
 
     def waits_at_once(self, plan: CallPlan) -> bool:
-        """Return whether a call is to wait in a queue without probing for a slot.
+        """Return whether a call is to wait in a queue without probing for a free slot.
 
-        True after recent probes were refused or while every back end is saturated.
+        True for a while after probes were refused, or if a moment ago every back end was
+        out of free slots or refused for load. False if this node does not probe at all.
         """
         admission = self._admission(plan.target)
         if admission is None or not self.looks_for_free_slots:
@@ -222,7 +223,7 @@
         return 0.0 if admission is None else admission.told_work(plan.route)
 
     def state_of(self, service: str, node: str) -> EndpointState | None:
-        """Return this node's own observations of one back end; None if there are none."""
+        """Return what this node knows of the state of one back end; None if nothing."""
         admission = self._admissions.get(service)
         return None if admission is None else admission.state(node)
 
@@ -289,7 +290,7 @@
                 admission.note_load(node, load, route, now)
 
     def _note_local_load(self, admission: Admission, plan: CallPlan, now: float) -> None:
-        """Rate the local back end by the load that this node would report to others."""
+        """Record the local back end's load as reported to other nodes, for comparison."""
         if self.own is not None and plan.target == self.own.service:
             load = self.own.load(plan.route)
             admission.note_load(self._settings.node, load, plan.route, now)
--- a/tests/data_plane/test_callers_leave_large_answers.py
+++ b/tests/data_plane/test_callers_leave_large_answers.py
@@ -103,13 +103,13 @@
         self._owner = owner
         self._sink = sink
         self._left = octets
-        self._room = edge.desk.window_bytes
+        self._room = edge.scheduler.window_bytes
         self._credit_withheld = 0
         self._is_paused = False
         self._is_owner_paused = False
         self.last_sent_at = 0.0
         self._paced = PacedAnswer(
-            owner.desk, TERMS, self, lambda paced: BackEnd(octets, paced)
+            owner.scheduler, TERMS, self, lambda paced: BackEnd(octets, paced)
         )
 
     def start(self) -> None:
@@ -174,7 +174,7 @@
             self.owners_link = OwnersLink(owner, edge, octets, sink)
             return self.owners_link
 
-        self._paced = PacedAnswer(edge.desk, TERMS, self, over_owner)
+        self._paced = PacedAnswer(edge.scheduler, TERMS, self, over_owner)
         self._paced.start()
 
     def leave(self) -> None:
@@ -213,12 +213,12 @@
     clock.run(60.0)
     assert leaver.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
     assert leaver.owners_link.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
-    narrow = min(owner.desk.room.rate, edge.desk.room.rate)
+    narrow = min(owner.scheduler.room.rate, edge.scheduler.room.rate)
     alone = OTHER_BYTES / narrow * 1.2
     assert other.got == OTHER_BYTES
     assert other.ended_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS + alone
     for wire in (owner, edge):
-        assert (wire.desk.room.transfers, wire.desk.room.held) == (0, 0)
+        assert (wire.scheduler.room.transfers, wire.scheduler.room.held) == (0, 0)
 
 
 def test_a_dropped_answer_behind_another_costs_at_most_its_window() -> None:
@@ -226,7 +226,7 @@
     clock = Clock()
     owner, edge = Wire(3.9, clock), Wire(3.9, clock)
     first = Caller(owner, edge, OTHER_BYTES)
-    window = edge.desk.window_bytes
+    window = edge.scheduler.window_bytes
     leaver = Caller(owner, edge, LEAVER_BYTES)
     clock.run(0.01)
     leaver.leave()
--- a/tests/data_plane/test_calls_of_tenants.py
+++ b/tests/data_plane/test_calls_of_tenants.py
@@ -271,8 +271,8 @@
         for caller, key in zip(callers, (ANNA_KEY, BOB_KEY), strict=True):
             caller.request(headers=showing(key))
         await until(lambda: len(_started(owner)) == len(BOTH))
-        told = {each.tenant: each.priority for each in _started(owner)}
-        assert told == {"anna": 0, "bob": PUBLIC_ROUTE.priority}
+        received = {each.tenant: each.priority for each in _started(owner)}
+        assert received == {"anna": 0, "bob": PUBLIC_ROUTE.priority}
         for started in _started(owner):
             assert (b"x-tenant", started.tenant.encode()) in started.headers
             assert 0 <= started.patience_milliseconds <= 1_000
@@ -368,7 +368,10 @@
 
 
 def long_time_out() -> dict[str, Any]:
-    """Return a route with a long time-out, so that a slow machine refuses no call."""
+    """Return a configuration change: a route with a long time-out.
+
+    So only the test decides a call, and no slow machine lets it wait until its time-out.
+    """
     route = msgspec.structs.replace(PUBLIC_ROUTE, timeout_milliseconds=30_000)
     return {"route": route}
 
@@ -512,8 +515,8 @@
         answer = await call(address, headers={"x-request-id": "aa.1"})
         assert (answer.status, answer.outcome) == (503, "not-run")
         assert answer.reason == "parent-not-known"
-        beside = await call(address, headers={"x-request-id": "bb"})
-        assert (beside.status, beside.reason) == (401, "no-key")
+        unrelated = await call(address, headers={"x-request-id": "bb"})
+        assert (unrelated.status, unrelated.reason) == (401, "no-key")
         assert len(backend.requests) == 1
         await stage.stop()
 
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -27,23 +27,23 @@
         self.left = octets
         self.through_at = 0.0
         self.resumed_count = 0
-        offered = wire.desk.offer("frames", due, 0.0, self)
+        offered = wire.scheduler.offer("frames", due, 0.0, self)
         self.refusal = offered if isinstance(offered, NotRun) else None
         self.transfer: Transfer | None = None
         if isinstance(offered, Transfer):
             self.transfer = offered
-            wire.desk.room.sized(offered, octets)
-            wire.desk.received(offered, octets)
-            wire.desk.send_due()
+            wire.scheduler.room.sized(offered, octets)
+            wire.scheduler.received(offered, octets)
+            wire.scheduler.send_due()
 
     def send_up_to(self, octets: int) -> None:
         assert self.transfer is not None
         octets = min(octets, self.left)
         self.left -= octets
-        self.wire.desk.forwarded(self.transfer, octets)
+        self.wire.scheduler.forwarded(self.transfer, octets)
         self.wire.link.carry(octets, self._arrived)
         if not self.left:
-            self.wire.desk.finished(self.transfer, is_whole=True)
+            self.wire.scheduler.finished(self.transfer, is_complete=True)
 
     def resume_reading(self) -> None:
         self.resumed_count += 1
@@ -70,7 +70,7 @@
     wire.clock.run(60.0)
     ends = [sender.through_at for sender in senders]
     assert ends == sorted(ends)
-    one = 90_000 / wire.desk.room.rate
+    one = 90_000 / wire.scheduler.room.rate
     for earlier, later in zip(ends, ends[1:], strict=False):
         assert later - earlier == pytest.approx(one, rel=0.1)
 
@@ -81,7 +81,7 @@
 ) -> None:
     """Large answers still proceed, at the share of the link reserved for them."""
     wire = Wire(megabits)
-    every = SMALL_BYTES / (wire.desk.room.rate * 0.9)
+    every = SMALL_BYTES / (wire.scheduler.room.rate * 0.9)
     sender = Sender(wire, 30_000, 600.0)
     wire.send_small(every, 60.0)
     wire.clock.run(60.0)
@@ -103,26 +103,28 @@
     senders = [Sender(wire, 200_000, 60.0) for _ in range(5)]
     last = senders[-1]
     assert last.transfer is not None
-    assert not wire.desk.may_buffer_more(last.transfer)
-    wire.desk.pause_until_room(last)
-    little = wire.desk.offer("frames", 60.0, 0.0, last)
+    assert not wire.scheduler.may_buffer_more(last.transfer)
+    wire.scheduler.pause_until_room(last)
+    little = wire.scheduler.offer("frames", 60.0, 0.0, last)
     assert isinstance(little, Transfer)
-    assert wire.desk.may_buffer_more(little)
+    assert wire.scheduler.may_buffer_more(little)
     wire.clock.run(60.0)
     assert last.resumed_count == 1
 
 
 def test_the_window_of_an_answer_shrinks_with_answers_in_progress() -> None:
     wire = Wire(6.0)
-    alone = wire.desk.window_bytes
+    alone = wire.scheduler.window_bytes
     Sender(wire, 90_000, 60.0)
-    assert wire.desk.window_bytes == pytest.approx(alone / 2, rel=0.01)
+    assert wire.scheduler.window_bytes == pytest.approx(alone / 2, rel=0.01)
 
 
 def test_the_reported_wait_covers_the_accepted_answers() -> None:
     wire = Wire(6.0)
-    assert wire.desk.wait_milliseconds == 0
+    assert wire.scheduler.wait_milliseconds == 0
     transfer = Sender(wire, 90_000, 60.0).transfer
     assert transfer is not None
-    expected = (transfer.left + wire.desk.room.size_of("frames")) / wire.desk.room.rate
-    assert wire.desk.wait_milliseconds == pytest.approx(expected * 1_000, rel=0.1)
+    expected = (
+        transfer.left + wire.scheduler.room.size_of("frames")
+    ) / wire.scheduler.room.rate
+    assert wire.scheduler.wait_milliseconds == pytest.approx(expected * 1_000, rel=0.1)
--- a/tests/data_plane/test_planned_stop.py
+++ b/tests/data_plane/test_planned_stop.py
@@ -58,7 +58,7 @@
     run(scene())
 
 
-def test_edge_answers_to_the_end_and_closes_persistent_connections_cleanly() -> None:
+def test_edge_answers_to_the_end_and_closes_kept_connections_in_order() -> None:
     async def scene() -> None:
         backend = ScriptedBackend(_slow)
         edge = Node()
--- a/tests/data_plane/wire.py
+++ b/tests/data_plane/wire.py
@@ -30,7 +30,7 @@
         self.clock = clock or Clock()
         self.link = Pipe(self.clock, megabits)
         self.waits: list[float] = []
-        self.desk = LargeAnswers(megabits, lambda: self.link.octets, self)
+        self.scheduler = LargeAnswers(megabits, lambda: self.link.octets, self)
 
     def time(self) -> float:
         return self.clock.now
