--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_lanes.py
@@ -1,9 +1,10 @@
-"""Which back ends a call may go to while its service's software is rolled out.
+"""Version routing: which back ends a call may go to during a roll-out.
 
-Each call is drawn once, whatever becomes of its attempts: the part of the roll-out goes
-to back ends of the new version, all others to the others.  A call of the old ones never
-goes over to a new one for want of room, so that what a bad version gets is bounded by
-the share; the other way it may, until all calls are the new version's.
+The version of each call is chosen once at random, whatever becomes of its attempts: the
+roll-out's share of calls goes to back ends of the new version, all others to the rest. A
+call of the old version never moves to the new version for lack of capacity, so that the
+calls that a faulty version gets are bounded by the share. A call of the new version may
+move to the old one, until all calls are the new version's.
 """
 
 from __future__ import annotations
@@ -21,20 +22,21 @@
 LANES: tuple[Lane, ...] = ("any", "new", "old")
 State = TypeVar("State")
 
-FEW_UNTIL = ALL_CALLS // 2
-"""Below this share the new version's calls go to few of its back ends: what is bad only
-under load shows there, and costs the fewest callers."""
+SUBSET_BELOW_SHARE = ALL_CALLS // 2
+"""Below this share, the calls of the new version go to few of its back ends: a fault that
+shows only under load is found there, at the cost of the fewest callers."""
 
-LEAST_FEW = 3
-"""With fewer, one slow or failing machine would speak for the version."""
+MIN_SUBSET = 3
+"""With fewer back ends, one slow or failing machine would decide how the version is
+rated."""
 
-ROOM = 2.0
-"""So many times the back ends that the share alone would need take it: the new version
-has a load like that of the old one, and room for what comes at the same time."""
+SUBSET_HEADROOM = 2.0
+"""The subset has this many times the back ends that the share alone would need: the new
+version gets a load like that of the old one, and has room for concurrent calls."""
 
 
 def draw_lane(settings: ServiceSettings, random: RandomSource) -> Lane:
-    """Draw the version for one call."""
+    """Choose the version for one call at random."""
     if settings.rollout_state != RUNNING:
         return "any"
     if random.below(float(ALL_CALLS)) < settings.rollout_share:
@@ -42,12 +44,12 @@
     return "old"
 
 
-def split_lanes(
+def group_by_version(
     states: dict[str, State], versions: dict[str, str], settings: ServiceSettings
 ) -> dict[Lane, tuple[dict[str, State], ...]]:
-    """Give for each lane the back ends to try, one group after the other.
+    """Return for each version group the back ends to try, one set after the other.
 
-    ``versions`` names the software of each.
+    ``versions`` is the software version of each node.
     """
     if not settings.rollout_state:
         return dict.fromkeys(LANES, (states,))
@@ -68,20 +70,20 @@
 ) -> dict[Lane, tuple[dict[str, State], ...]]:
     if share >= ALL_CALLS:
         return dict.fromkeys(LANES, (new or old,))
-    few = _few_of(new, share)
+    few = _subset_of(new, share)
     return {"any": (old,), "new": (few, old), "old": (old,)}
 
 
-def _few_of(new: dict[str, State], share: int) -> dict[str, State]:
-    if share >= FEW_UNTIL:
+def _subset_of(new: dict[str, State], share: int) -> dict[str, State]:
+    if share >= SUBSET_BELOW_SHARE:
         return new
-    wanted = max(LEAST_FEW, math.ceil(len(new) * share / ALL_CALLS * ROOM))
+    wanted = max(MIN_SUBSET, math.ceil(len(new) * share / ALL_CALLS * SUBSET_HEADROOM))
     return {node: new[node] for node in sorted(new, key=_place)[:wanted]}
 
 
 def _place(node: str) -> int:
-    """Give a node's place among those of its service: by chance, the same everywhere.
+    """Return a node's sort key within its service: random, and the same everywhere.
 
-    By their names, the first ones would be of one zone.
+    If they were sorted by name, the first ones would all be in one zone.
     """
     return xxhash.xxh3_64_intdigest(node.encode())
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -1,6 +1,7 @@
-"""Beside large answers a small message waits no longer than the bound, on any link.
+"""While large answers are sent, a small message waits no longer than its bound on any link.
 
-Virtual time; the link's queue stands for the buffers of the system and of the network.
+Runs in virtual time; the link's queue models the buffers of the operating system and of the
+network.
 """
 
 from __future__ import annotations
@@ -19,33 +20,33 @@
 
 
 class Sender:
-    """A large answer that is here whole."""
+    """A large answer that is completely buffered."""
 
     def __init__(self, wire: Wire, octets: int, due: float) -> None:
         self.wire = wire
         self.left = octets
         self.through_at = 0.0
-        self.reads_on = 0
-        offered = wire.desk.offer("frames", due, 0.0, self)
+        self.resumed_count = 0
+        offered = wire.scheduler.offer("frames", due, 0.0, self)
         self.refusal = offered if isinstance(offered, NotRun) else None
         self.transfer: Transfer | None = None
         if isinstance(offered, Transfer):
             self.transfer = offered
-            wire.desk.room.sized(offered, octets)
-            wire.desk.came(offered, octets)
-            wire.desk.kick()
+            wire.scheduler.room.sized(offered, octets)
+            wire.scheduler.received(offered, octets)
+            wire.scheduler.send_due()
 
-    def send_some(self, octets: int) -> None:
+    def send_up_to(self, octets: int) -> None:
         assert self.transfer is not None
         octets = min(octets, self.left)
         self.left -= octets
-        self.wire.desk.went(self.transfer, octets)
+        self.wire.scheduler.forwarded(self.transfer, octets)
         self.wire.link.carry(octets, self._arrived)
         if not self.left:
-            self.wire.desk.over(self.transfer, is_whole=True)
+            self.wire.scheduler.finished(self.transfer, is_complete=True)
 
-    def read_on(self) -> None:
-        self.reads_on += 1
+    def resume_reading(self) -> None:
+        self.resumed_count += 1
 
     def _arrived(self) -> None:
         if not self.left and not self.through_at:
@@ -63,29 +64,31 @@
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_they_go_one_after_the_other_and_keep_the_link_busy(megabits: float) -> None:
+def test_large_answers_are_sent_in_sequence_and_keep_the_link_busy(megabits: float) -> None:
     wire = Wire(megabits)
     senders = [Sender(wire, 90_000, 60.0) for _ in range(5)]
     wire.clock.run(60.0)
     ends = [sender.through_at for sender in senders]
     assert ends == sorted(ends)
-    one = 90_000 / wire.desk.room.rate
+    one = 90_000 / wire.scheduler.room.rate
     for earlier, later in zip(ends, ends[1:], strict=False):
         assert later - earlier == pytest.approx(one, rel=0.1)
 
 
 @pytest.mark.parametrize("megabits", RATES)
-def test_small_messages_go_on_while_they_alone_fill_the_link(megabits: float) -> None:
-    """Large answers still move, at the share that is kept for them."""
+def test_a_large_answer_proceeds_while_small_messages_fill_the_link(
+    megabits: float,
+) -> None:
+    """Large answers still proceed, at the share of the link reserved for them."""
     wire = Wire(megabits)
-    every = SMALL_BYTES / (wire.desk.room.rate * 0.9)
+    every = SMALL_BYTES / (wire.scheduler.room.rate * 0.9)
     sender = Sender(wire, 30_000, 600.0)
     wire.send_small(every, 60.0)
     wire.clock.run(60.0)
     assert sender.through_at
 
 
-def test_a_refusal_tells_when_there_may_be_room() -> None:
+def test_a_refusal_advises_when_to_retry() -> None:
     wire = Wire(6.0)
     senders = [Sender(wire, 90_000, 0.5) for _ in range(20)]
     refused = [sender.refusal for sender in senders if sender.refusal is not None]
@@ -95,31 +98,33 @@
     assert all(refusal.retry_after_milliseconds >= 100 for refusal in refused)
 
 
-def test_what_may_be_held_is_bounded_but_each_may_hold_a_little() -> None:
+def test_buffering_is_bounded_but_each_answer_may_buffer_a_little() -> None:
     wire = Wire(6.0)
     senders = [Sender(wire, 200_000, 60.0) for _ in range(5)]
     last = senders[-1]
     assert last.transfer is not None
-    assert not wire.desk.may_hold_more(last.transfer)
-    wire.desk.hold_back(last)
-    little = wire.desk.offer("frames", 60.0, 0.0, last)
+    assert not wire.scheduler.may_buffer_more(last.transfer)
+    wire.scheduler.pause_until_room(last)
+    little = wire.scheduler.offer("frames", 60.0, 0.0, last)
     assert isinstance(little, Transfer)
-    assert wire.desk.may_hold_more(little)
+    assert wire.scheduler.may_buffer_more(little)
     wire.clock.run(60.0)
-    assert last.reads_on == 1
+    assert last.resumed_count == 1
 
 
-def test_the_window_of_an_answer_shrinks_with_those_under_way() -> None:
+def test_the_window_of_an_answer_shrinks_with_answers_in_progress() -> None:
     wire = Wire(6.0)
-    alone = wire.desk.window_bytes
+    alone = wire.scheduler.window_bytes
     Sender(wire, 90_000, 60.0)
-    assert wire.desk.window_bytes == pytest.approx(alone / 2, rel=0.01)
+    assert wire.scheduler.window_bytes == pytest.approx(alone / 2, rel=0.01)
 
 
-def test_the_told_wait_is_what_is_promised() -> None:
+def test_the_reported_wait_covers_the_accepted_answers() -> None:
     wire = Wire(6.0)
-    assert wire.desk.wait_milliseconds == 0
+    assert wire.scheduler.wait_milliseconds == 0
     transfer = Sender(wire, 90_000, 60.0).transfer
     assert transfer is not None
-    expected = (transfer.left + wire.desk.room.size_of("frames")) / wire.desk.room.rate
-    assert wire.desk.wait_milliseconds == pytest.approx(expected * 1_000, rel=0.1)
+    expected = (
+        transfer.left + wire.scheduler.room.size_of("frames")
+    ) / wire.scheduler.room.rate
+    assert wire.scheduler.wait_milliseconds == pytest.approx(expected * 1_000, rel=0.1)
