--- a/src/peppershore/process/control/__init__.py
+++ b/src/peppershore/process/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control replica: accepts edits, keeps the tree, serves relays and operators."""
+"""The control replica: accepts edits, stores the tree, serves relays and operators."""
--- a/src/peppershore/process/control/change_ids.py
+++ b/src/peppershore/process/control/change_ids.py
@@ -1,12 +1,12 @@
-"""Change ids: how a resend is recognised, also when the table has forgotten it.
-
-The sender puts the version it saw into the id: ``v1234-UNIQUE``.  An outcome
-under that id can only stand in the log after version 1234.  Once outcomes up
-to a horizon have been dropped, an id whose version is not beyond the horizon
-may have been answered before and is refused; an id beyond it is either still
-in the table or new.  An id without a version tells nothing; past the first
-dropped outcome it is taken only with an expected revision that no second run
-of the same edit could meet.
+"""Change ids: recognise a resent edit even after its outcome has been dropped.
+
+The sender puts the newest version it had seen into the id: ``v1234-UNIQUE``. An outcome
+under that id can only be in the log after version 1234. Outcomes up to a horizon version
+are dropped from the table. An id with a version below the horizon may have been answered
+before, so it is refused; an id with a later version is either still in the table or new. An
+id without a version gives no such information. Once the first outcome has been dropped,
+such an edit is accepted only with an expected revision that would make a second run of the
+same edit fail.
 """
 
 from __future__ import annotations
@@ -35,31 +35,36 @@
 
 
 def new_change_id(seen_version: Version, unique: str) -> str:
-    """Make an id for an edit composed after seeing ``seen_version``."""
+    """Return an id for an edit composed after seeing ``seen_version``."""
     return f"v{seen_version}-{unique}"
 
 
 def version_in(change_id: str) -> Version | None:
-    """The version that the sender saw, if the id tells it."""
+    """Return the version that the sender had seen, or None if the id has none."""
     found = _WITH_VERSION.fullmatch(change_id)
     return int(found.group(1)) if found else None
 
 
 def may_have_run_before(edit: Edit, horizon_version: Version) -> bool:
-    """Whether an id that is not in the table may stand before its horizon.
+    """Report whether an unknown id may belong to an outcome already dropped.
 
-    A whole configuration can't run twice: the numbers of releases only rise.
+    ``edit`` has an id that is not in the table of outcomes. An edit of a complete
+    configuration can't run twice, because the numbers of releases only rise.
     """
     if horizon_version == 0 or edit.release:
         return False
     seen = version_in(edit.change_id)
     if seen is not None:
         return seen < horizon_version
-    return not _a_second_run_would_conflict(edit)
+    return not _rerun_would_conflict(edit)
 
 
-def _a_second_run_would_conflict(edit: Edit) -> bool:
-    """The first run gave a touched subject a revision that never comes again."""
+def _rerun_would_conflict(edit: Edit) -> bool:
+    """Report whether the expected revisions of an edit make a second run fail.
+
+    The first run gave every touched subject a new revision, so a revision that was expected
+    then never comes back.
+    """
     touched = {_subject_of(operation) for operation in edit.operations}
     return any(each.revision > 0 and each.subject in touched for each in edit.expected)
 
--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -1,4 +1,4 @@
-"""The core of a control replica: takes edits, serves relays and operators."""
+"""The core of a control replica: accepts edits, serves relays and operators."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 from peppershore.process.control.notices import edit_refused
 from peppershore.process.control.progress import ProgressTable
 from peppershore.process.control.progress_sharing import ProgressSharing
-from peppershore.process.control.quota_desk import QuotaDesk
+from peppershore.process.control.quota_desk import QuotaService
 from peppershore.process.control.redaction import edits_without_material, without_material
 from peppershore.process.control.releases import (
     Releases,
@@ -86,8 +86,8 @@
 from peppershore.version.rollout import touches_rollout
 
 WATCH_TIMER = "control-watch"
-WATCH_SECONDS = 0.005
-"""Changes of progress within this time are shown to watchers together."""
+WATCH_BATCH_SECONDS = 0.005
+"""Changes of progress within this time are sent to watching operators together."""
 
 MAX_WAITING_EDITS = 10_000
 BUSY_RETRY_MILLISECONDS = 500
@@ -100,7 +100,7 @@
 
 DISK_REFUSED = "the disk refuses writes"
 
-NOT_YOURS = Problem(
+ROLLOUT_NOT_EDITABLE = Problem(
     "rollout", "is the control group's own", "an order, see `peppershore rollout`"
 )
 
@@ -114,24 +114,24 @@
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A client's request that waits for a confirmed read."""
+    """A client's request that waits for a read to be confirmed by a quorum."""
 
     link: LinkId
     request: ConfirmRequest | TreeQuery
 
 
 class ControlCore(ReplicaCore):
-    """Control replica: replicated edits on one side, relays and operators on the other."""
+    """Control replica: replicates edits and serves relays and operators."""
 
     def __init__(self, settings: ControlSettings, stored: StoredState) -> None:
-        """Take up a stored state; nothing happens before ``Started``."""
+        """Load a stored state; the replica does nothing before ``Started``."""
         self.state = ControlState(
             settings.cluster, settings.change_id_horizon, HISTORY_CAPACITY
         )
         super().__init__(replica_settings(settings), stored, self.state)
         self._intake = EditIntake(self.state)
         self._followers = Followers(self.state)
-        self._quotas = QuotaDesk(self, settings.quotas)
+        self._quotas = QuotaService(self, settings.quotas)
         self._progress = ProgressTable()
         self._sharing = ProgressSharing(self._progress)
         self._rotation: RotationBarrier | None = None
@@ -149,26 +149,30 @@
     # --- events --------------------------------------------------------------
 
     def on_event(self, event: events.Event) -> None:
-        """Take the shell's observation of the wall clock, and whole configurations."""
+        """Handle clock observations, release and roll-out requests, and new seeds."""
         if isinstance(event, ClockObserved):
             self._clock.observe(event, self.now)
         elif isinstance(event, ReleaseSubmitted):
             self._releases.submit(event)
         elif isinstance(event, ReleaseWanted):
-            self._releases.want(event)
+            self._releases.read_newest(event)
         elif isinstance(event, RolloutOrdered | RolloutAborted | RolloutWanted):
-            self._rollout_orders.ask(event)
+            self._rollout_orders.handle_request(event)
         elif isinstance(event, SeedsChanged):
             self.joining.use_seeds(event.seeds)
 
     def on_timer(self, timer: str) -> None:
-        """Show the newest progress to watchers."""
+        """Send the newest status to watching operators."""
         if timer == WATCH_TIMER:
             self._watch_timer_set = False
-            self._show_watchers()
+            self._notify_watchers()
 
     def on_tick(self) -> None:
-        """Forget silent relays; let rotations go on whose barrier is passed."""
+        """Handle time-outs, share progress and continue roll-outs and rotations.
+
+        Silent relays expire here. The leader promotes the keys of rotations whose barrier
+        is passed and reports those that are overdue.
+        """
         self._releases.tick()
         self._rollout_orders.tick()
         self._quotas.tick()
@@ -186,18 +190,18 @@
             self._submit(INTERNAL_LINK, edit)
 
     def on_link_opened(self, link: LinkId, identity: str) -> None:
-        """Remember who the certificate says is there."""
+        """Store the identity from the client's certificate."""
         self._identities[link] = identity
 
     def on_link_closed(self, link: LinkId) -> None:
-        """Forget a client."""
+        """Drop everything held for the client of a closed link."""
         self._identities.pop(link, None)
         self._watchers.pop(link, None)
         self._followers.leave(link)
-        self._quotas.closed(link)
+        self._quotas.link_closed(link)
 
     def may_be_replica(self, link: LinkId, name: str) -> bool:
-        """Whether the certificate on this link is that replica's."""
+        """Report whether the certificate on this link permits that replica name."""
         identity = self._identities.get(link, "")
         if not identity:
             return True
@@ -219,11 +223,11 @@
         elif isinstance(message, (ConfirmRequest, TreeQuery)):
             self._ask_read(link, message)
         elif isinstance(message, ProgressReported):
-            self._take_progress(message)
+            self._accept_progress(message)
         elif isinstance(message, EvidenceShared):
-            self.rollouts.take(message.evidence)
+            self.rollouts.add_evidence(message.evidence)
         elif isinstance(message, QuotaAsked | TenantUsageQuery):
-            self._quotas.take_client(link, message)
+            self._quotas.handle_client(link, message)
         elif isinstance(message, HistoryQuery):
             self.send(link, self._history(message))
         elif isinstance(message, StatusQuery):
@@ -238,22 +242,22 @@
             self.send(link, Refused("unexpected", type(message).__name__))
 
     def on_peer_message(self, peer: str, message: Message) -> None:
-        """Take what another replica heard of a relay, or an edit that it worked out."""
+        """Handle reports, quota messages and edits sent by another replica."""
         if isinstance(message, SubmitEdit):
             self.submit_internally(message.edit)
         elif isinstance(message, EvidencePassed):
-            self.rollouts.take(message.evidence)
+            self.rollouts.add_evidence(message.evidence)
         elif isinstance(message, ProgressShared):
-            self._take_shared(message)
+            self._accept_shared(message)
         elif isinstance(message, ProgressTableShared) and peer == self.consensus.leader:
             for each in message.shared:
-                if not self._sharing.hears(each.report.relay, self.now):
-                    self._take_shared(each)
+                if not self._sharing.has_recent_report(each.report.relay, self.now):
+                    self._accept_shared(each)
         elif isinstance(message, ProgressWanted):
-            self._sharing.wanted(peer, self.now)
+            self._sharing.note_table_request(peer, self.now)
             self._share_progress()
         elif isinstance(message, QuotaForwarded | QuotaReturned):
-            self._quotas.take(peer, message)
+            self._quotas.handle_peer(peer, message)
 
     def _allowed(self, link: LinkId, message: Message) -> bool:
         identity = self._identities.get(link, "")
@@ -270,7 +274,9 @@
             self._answer(link, NotLeader(self.leader_address))
             return
         if link != INTERNAL_LINK and touches_rollout(edit.operations):
-            self._answer(link, EditAnswered(EditInvalid(edit.change_id, (NOT_YOURS,))))
+            self._answer(
+                link, EditAnswered(EditInvalid(edit.change_id, (ROLLOUT_NOT_EDITABLE,)))
+            )
             return
         known = self._intake.known_outcome(edit)
         if known is not None:
@@ -282,14 +288,18 @@
             self._intake.submit(link, edit, stamp, self.next_index, self._propose)
 
     def submit_to_leader(self, edit: Edit) -> None:
-        """Have the leader propose an edit of the group's own, wherever it is."""
+        """Propose an edit of the control group itself, through the leader if needed."""
         if self.leads:
             self.submit_internally(edit)
         else:
             self.send_to_peer(self.consensus.leader, SubmitEdit(edit))
 
     def submit_internally(self, edit: Edit) -> None:
-        """Propose an edit of the group's own; whoever waits for it sees it applied."""
+        """Propose an edit of the control group itself.
+
+        No answer is sent: a component that waits for the edit is notified when it is
+        applied.
+        """
         self._submit(INTERNAL_LINK, edit)
 
     def _answer_known(self, link: LinkId, outcome: EditOutcome) -> None:
@@ -309,7 +319,7 @@
         if request.cluster != self.settings.cluster:
             self.send(link, Refused("other-cluster", self.settings.cluster))
             return
-        self._quotas.followed(link, request.relay)
+        self._quotas.relay_followed(link, request.relay)
         for command in self._followers.follow(link, request):
             self.command(command)
 
@@ -320,10 +330,14 @@
         self._pending_reads[self.read()] = PendingRead(link, request)
 
     def on_read(self, request: int, confirmed: bool) -> None:
-        """Answer a read that a quorum confirmed; a failed one says who may know."""
-        if self._releases.take_read(request, confirmed):
+        """Answer the request that waited for this read.
+
+        If the read was not confirmed by a quorum, a tree query is redirected to the leader,
+        and a relay's request for confirmation stays unanswered.
+        """
+        if self._releases.handle_read(request, confirmed):
             return
-        if self._rollout_orders.take_read(request, confirmed):
+        if self._rollout_orders.handle_read(request, confirmed):
             return
         pending = self._pending_reads.pop(request, None)
         if pending is None:
@@ -347,11 +361,11 @@
         self.send(link, TreeAnswered(without_material(tree)))
 
     def _history(self, query: HistoryQuery) -> HistoryAnswered:
-        """The newest ``limit`` edits after the version asked for."""
+        """Return the newest ``limit`` retained edits after the version asked for."""
         edits = self.state.history.edits_after(query.after_version)
         newest = edits[-query.limit :] if query.limit > 0 else ()
-        kept = self.state.history.all_kept()
-        first = kept[0].version if kept else 0
+        retained = self.state.history.retained_edits()
+        first = retained[0].version if retained else 0
         return HistoryAnswered(edits_without_material(newest), first)
 
     def _change_membership(self, link: LinkId, change: MembershipChange) -> None:
@@ -363,7 +377,7 @@
     # --- replication ---------------------------------------------------------
 
     def on_applied(self) -> None:
-        """Answer outcomes and send accepted edits to relays."""
+        """Answer the applied edits and send the accepted ones to relays."""
         self._quotas.tree_changed()
         edits = self.state.take_new_edits()
         outcomes = self.state.take_new_outcomes()
@@ -394,14 +408,18 @@
                 self.report(edit_refused(outcome, self.name))
 
     def on_state_installed(self) -> None:
-        """The state jumped ahead: relays get the whole tree."""
+        """Send relays the complete tree after a snapshot replaced the state."""
         for command in self._followers.state_replaced():
             self.command(command)
         self._quotas.tree_changed()
         self._releases.state_installed()
 
     def on_leadership_gained(self) -> None:
-        """Judge edits on the newest tree, and rotations on new reports, from now on."""
+        """Start to lead.
+
+        Edits are validated on the newest tree from now on, and rotations wait for new
+        reports.
+        """
         if self._rotation is not None:
             self._rotation.restart(self.now)
         self._intake.begin()
@@ -409,61 +427,74 @@
         self.rollouts.leadership_gained()
 
     def on_leadership_lost(self) -> None:
-        """Edits under way may commit: who waits asks again with the same change id."""
+        """Stop leading and redirect the senders of unanswered edits.
+
+        Those edits may still be committed: the senders retry with the same change id.
+        """
         self._quotas.leadership_lost()
         for link in self._intake.end():
             self._answer(link, NotLeader(self.leader_address, undecided=True))
 
     def on_disk_refused(self) -> None:
-        """Send the relays to other replicas, which learn of new edits."""
+        """Send the relays to other replicas, which still receive new edits.
+
+        Relays of the only replica stay.
+        """
         if len(self.consensus.membership.members) == 1:
             return
         for link in self._followers.links():
             self.send(link, Goodbye(DISK_REFUSED))
 
     def has_unanswered(self) -> bool:
-        """Whether an edit waits for its outcome."""
+        """Report whether an edit waits for its outcome."""
         return self._intake.waiting_edits > 0
 
     def client_links(self) -> tuple[LinkId, ...]:
-        """Following relays and watching operators."""
+        """Return the links of following relays and of watching operators."""
         return tuple(dict.fromkeys((*self._followers.links(), *self._watchers)))
 
     # --- progress and status -------------------------------------------------
 
     @property
     def in_force(self) -> Version:
-        """The version that all nodes hold, as far as their relays told."""
+        """The version that all nodes hold, as far as their relays have reported."""
         return self._progress.in_force
 
     @property
     def unix_milliseconds(self) -> int:
-        """The wall clock, for people and for what outlives a start."""
+        """Wall-clock time, in milliseconds since the Unix epoch.
+
+        It is for display and for times that must stay meaningful across a restart.
+        """
         return self._clock.unix_milliseconds(self.now)
 
-    def _take_progress(self, report: ProgressReported) -> None:
-        self._sharing.heard(report, self.now)
-        if self._progress.take(report, self.now, self.now):
+    def _accept_progress(self, report: ProgressReported) -> None:
+        self._sharing.add_direct_report(report, self.now)
+        if self._progress.add_report(report, self.now, self.now):
             self._progress_changed()
         self._share_progress()
 
-    def _take_shared(self, shared: ProgressShared) -> None:
+    def _accept_shared(self, shared: ProgressShared) -> None:
         reported_at = self.now - shared.age_milliseconds / MILLISECONDS_PER_SECOND
-        if self._progress.take(shared.report, reported_at, self.now):
+        if self._progress.add_report(shared.report, reported_at, self.now):
             self._progress_changed()
         self._share_with_watchers()
 
     def _share_progress(self) -> None:
-        """Tell the leader what is due; a leader tells the other replicas."""
+        """Send the progress messages that are due.
+
+        A follower sends its relays' reports to the leader; a leader sends its table of
+        reports to the other replicas.
+        """
         if self.consensus.leadership is None:
             leader = self.consensus.leader
-            for shared in self._sharing.for_leader(leader, self.now):
+            for shared in self._sharing.reports_for_leader(leader, self.now):
                 self.send_to_peer(leader, shared)
-            if leader and self._watchers and self._sharing.asks_leader(self.now):
+            if leader and self._watchers and self._sharing.table_request_due(self.now):
                 self.send_to_peer(leader, ProgressWanted())
             return
         self._share_with_watchers()
-        table = self._sharing.for_followers(self.now)
+        table = self._sharing.table_for_followers(self.now)
         if table is None:
             return
         for member in self.consensus.membership.members:
@@ -471,8 +502,8 @@
                 self.send_to_peer(member.name, table)
 
     def _share_with_watchers(self) -> None:
-        """Let replicas at which operators watch hear of changes at once."""
-        found = None if not self.leads else self._sharing.for_watchers(self.now)
+        """Send changes at once to replicas at which operators watch."""
+        found = None if not self.leads else self._sharing.table_for_watchers(self.now)
         if found is not None:
             names, table = found
             for name in names:
@@ -481,9 +512,9 @@
     def _progress_changed(self) -> None:
         if self._watchers and not self._watch_timer_set:
             self._watch_timer_set = True
-            self.command(SetTimer(WATCH_TIMER, WATCH_SECONDS))
+            self.command(SetTimer(WATCH_TIMER, WATCH_BATCH_SECONDS))
 
-    def _show_watchers(self) -> None:
+    def _notify_watchers(self) -> None:
         status = self.status()
         for link, version in list(self._watchers.items()):
             self.send(link, status)
@@ -491,7 +522,7 @@
                 del self._watchers[link]
 
     def status(self) -> StatusAnswered:
-        """The cluster as this replica sees it."""
+        """Return the status of the cluster as this replica sees it."""
         rotations: tuple[str, ...] = ()
         if self._rotation is not None:
             rotations = self._rotation.descriptions(self.state.tree, self.now)
--- a/src/peppershore/process/control/edit_intake.py
+++ b/src/peppershore/process/control/edit_intake.py
@@ -1,4 +1,4 @@
-"""How the leader takes edits: first outcomes, horizon, validation, proposal."""
+"""How the leader accepts edits: known outcomes, horizon, validation, proposal."""
 
 from __future__ import annotations
 
@@ -32,24 +32,27 @@
 Propose = Callable[[ControlCommand], int | None]
 
 INTERNAL_LINK: LinkId = 0
-"""Stands for the control group itself as the sender of an edit."""
+"""Link number that stands for the control group itself as the sender of an edit."""
 
 
 class EditIntake:
-    """Edits under way on the leader, judged on the tree that they will meet."""
+    """Edits in progress on the leader.
+
+    Each is validated on the tree as it will be after the edits proposed before it.
+    """
 
     def __init__(self, state: ControlState) -> None:
-        """Take nothing before ``begin``."""
+        """Start without edits; ``submit`` may be used after ``begin``."""
         self._state = state
         self._tree: Tree = state.tree
         self._waiting: dict[str, list[LinkId]] = {}
 
     def begin(self) -> None:
-        """This replica leads: everything in the log before now is applied."""
+        """Start to accept edits; all log entries before this leadership are applied."""
         self._tree = self._state.tree
 
     def end(self) -> list[LinkId]:
-        """This replica leads no more; give who waits without an outcome."""
+        """Stop accepting edits; return the links that still wait for an outcome."""
         links = [link for waiting in self._waiting.values() for link in waiting]
         self._waiting.clear()
         self._state.forget_prepared()
@@ -57,11 +60,15 @@
 
     @property
     def waiting_edits(self) -> int:
-        """Edits without outcome."""
+        """Number of edits without an outcome."""
         return len(self._waiting)
 
     def known_outcome(self, edit: Edit) -> EditOutcome | None:
-        """An outcome that needs no new entry in the log."""
+        """Return an outcome that needs no new log entry, or None.
+
+        It is a recorded one, a refusal because the change id may have been used before the
+        horizon, or a refusal because the change id is empty or too long.
+        """
         recorded = self._state.outcomes.find(edit.change_id)
         if recorded is not None:
             return recorded
@@ -82,7 +89,11 @@
         next_index: Version,
         propose: Propose,
     ) -> None:
-        """Propose an edit, or its refusal, once; the outcome comes when applied."""
+        """Propose an edit, or the record of its refusal.
+
+        An edit under the same change id that is already in progress is not proposed again.
+        The outcome follows when the log entry is applied.
+        """
         waiting = self._waiting.get(edit.change_id)
         if waiting is not None:
             if link not in waiting:
@@ -103,5 +114,5 @@
         self._state.prepare(index, applied)
 
     def links_waiting_for(self, change_id: str) -> list[LinkId]:
-        """Who waits for this outcome; they wait no more."""
+        """Remove and return the links that wait for the outcome of ``change_id``."""
         return self._waiting.pop(change_id, [])
--- a/src/peppershore/process/control/followers.py
+++ b/src/peppershore/process/control/followers.py
@@ -16,8 +16,8 @@
 
 MAX_EDITS_IN_MESSAGE = 200
 MAX_EDITS_TO_CATCH_UP = 50
-"""A relay that lacks more gets the whole tree: taking edits one by one costs it some
-milliseconds each, just when its nodes wait for it."""
+"""A relay that lacks more edits is sent the complete tree: applying edits one by one costs
+it some milliseconds each, just when its nodes wait for it."""
 
 
 class Followers:
@@ -29,7 +29,7 @@
         self._sent: dict[LinkId, Version] = {}
 
     def follow(self, link: LinkId, request: FollowRequest) -> list[Command]:
-        """Bring a relay up to date and keep it so."""
+        """Add a relay and return the messages that bring it up to date."""
         version = self._state.tree.version
         after = request.after_version
         self._sent[link] = max(after, version)
@@ -43,11 +43,15 @@
         return [SendMessage(link, message) for message in _messages(edits)]
 
     def leave(self, link: LinkId) -> None:
-        """The relay's link is gone."""
+        """Remove the relay on a closed link."""
         self._sent.pop(link, None)
 
     def advance(self, edits: list[CommittedEdit]) -> list[Command]:
-        """Send newly accepted edits to all relays that lack them."""
+        """Return the messages that send newly accepted edits to all relays that lack them.
+
+        A relay that has received nothing yet is sent the complete tree instead of several
+        edits.
+        """
         if not edits:
             return []
         commands: list[Command] = []
@@ -66,7 +70,7 @@
         return commands
 
     def state_replaced(self) -> list[Command]:
-        """The state jumped ahead by a snapshot: relays behind get the whole tree."""
+        """Return the complete tree for each relay behind a newly installed snapshot."""
         version = self._state.tree.version
         behind = [link for link, sent in self._sent.items() if sent < version]
         for link in behind:
@@ -74,7 +78,7 @@
         return [SendMessage(link, TreeState(self._state.tree)) for link in behind]
 
     def links(self) -> tuple[LinkId, ...]:
-        """Links of all followers."""
+        """Return the links of all followers."""
         return tuple(self._sent)
 
 
--- a/src/peppershore/process/control/history.py
+++ b/src/peppershore/process/control/history.py
@@ -1,4 +1,4 @@
-"""Accepted edits that are kept, and the older trees they lead back to."""
+"""Accepted edits that are retained, and the older trees that they lead back to."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from peppershore.version.model import Edit, Secret, Tenant, Tree, TreeNode, Version, Zone
 from peppershore.version.tree import AppliedEdit
 
-_Kept = TypeVar("_Kept")
+_Value = TypeVar("_Value")
 
 
 class TreeReversal(msgspec.Struct, frozen=True, array_like=True):
-    """What stood in the tree before an edit where the edit changed it; None: nothing."""
+    """Former values of what an edit changed in the tree; None: it did not exist."""
 
     version: Version
     nodes: dict[str, TreeNode | None]
@@ -26,7 +26,7 @@
 
 
 class KeptEdit(msgspec.Struct, frozen=True, array_like=True):
-    """An accepted edit, its version, and the way back to the tree before it."""
+    """An accepted edit, its version, and what restores the tree before it."""
 
     version: Version
     edit: Edit
@@ -37,35 +37,35 @@
     """The newest accepted edits, oldest first."""
 
     def __init__(self, capacity: int) -> None:
-        """Keep up to ``capacity`` edits."""
-        self._kept: deque[KeptEdit] = deque(maxlen=capacity)
+        """Retain up to ``capacity`` edits."""
+        self._retained: deque[KeptEdit] = deque(maxlen=capacity)
         self._base_version: Version = 0
-        """Version of the oldest tree that can still be given."""
+        """Version of the oldest tree that can still be restored."""
 
     @property
     def base_version(self) -> Version:
-        """Edits after this version are all kept."""
+        """All edits after this version are retained."""
         return self._base_version
 
     def add(self, edit: Edit, before: Tree, applied: AppliedEdit) -> None:
-        """Keep the edit that made ``applied`` from ``before``."""
-        if len(self._kept) == self._kept.maxlen:
-            self._base_version = self._kept[0].version
+        """Add the edit that changed the tree ``before`` into ``applied``."""
+        if len(self._retained) == self._retained.maxlen:
+            self._base_version = self._retained[0].version
         reversal = _reversal(before, applied)
-        self._kept.append(KeptEdit(applied.tree.version, edit, reversal))
+        self._retained.append(KeptEdit(applied.tree.version, edit, reversal))
 
     def edits_after(self, version: Version) -> tuple[CommittedEdit, ...]:
-        """All kept edits after ``version``, oldest first."""
+        """Return all retained edits after ``version``, oldest first."""
         found: list[CommittedEdit] = []
-        for kept in reversed(self._kept):
-            if kept.version <= version:
+        for retained in reversed(self._retained):
+            if retained.version <= version:
                 break
-            found.append(CommittedEdit(kept.version, kept.edit))
+            found.append(CommittedEdit(retained.version, retained.edit))
         found.reverse()
         return tuple(found)
 
     def tree_at(self, current: Tree, version: Version) -> Tree | None:
-        """The tree as it was at ``version``; None if that is not kept."""
+        """Return the tree as it was at ``version``, or None if that is not retained."""
         if not self._base_version <= version <= current.version:
             return None
         nodes = dict(current.nodes)
@@ -74,25 +74,25 @@
         tenants = dict(current.tenants)
         reached = current.version
         release = current.release
-        for kept in reversed(self._kept):
-            if kept.version <= version:
+        for retained in reversed(self._retained):
+            if retained.version <= version:
                 break
-            _put_back(nodes, kept.reversal.nodes)
-            _put_back(secrets, kept.reversal.secrets)
-            _put_back(zones, kept.reversal.zones)
-            _put_back(tenants, kept.reversal.tenants)
-            reached = kept.reversal.version
-            release = kept.reversal.release
+            _restore_values(nodes, retained.reversal.nodes)
+            _restore_values(secrets, retained.reversal.secrets)
+            _restore_values(zones, retained.reversal.zones)
+            _restore_values(tenants, retained.reversal.tenants)
+            reached = retained.reversal.version
+            release = retained.reversal.release
         return Tree(current.cluster, reached, zones, nodes, secrets, release, tenants)
 
-    def all_kept(self) -> tuple[KeptEdit, ...]:
-        """Everything kept, oldest first."""
-        return tuple(self._kept)
+    def retained_edits(self) -> tuple[KeptEdit, ...]:
+        """Return all retained edits, oldest first."""
+        return tuple(self._retained)
 
-    def restore(self, base_version: Version, kept: tuple[KeptEdit, ...]) -> None:
-        """Replace the history by one that was encoded before."""
+    def restore(self, base_version: Version, retained: tuple[KeptEdit, ...]) -> None:
+        """Replace the history by one from a snapshot."""
         self._base_version = base_version
-        self._kept = deque(kept, maxlen=self._kept.maxlen)
+        self._retained = deque(retained, maxlen=self._retained.maxlen)
 
 
 def _reversal(before: Tree, applied: AppliedEdit) -> TreeReversal:
@@ -106,7 +106,7 @@
     )
 
 
-def _put_back(values: dict[str, _Kept], former: dict[str, _Kept | None]) -> None:
+def _restore_values(values: dict[str, _Value], former: dict[str, _Value | None]) -> None:
     for name, value in former.items():
         if value is None:
             values.pop(name, None)
--- a/src/peppershore/process/control/notices.py
+++ b/src/peppershore/process/control/notices.py
@@ -1,7 +1,7 @@
 """What a control replica reports of edits to logs and metrics.
 
-Only the leader reports.  A new leader reports again what its predecessor may
-have reported just before it was lost: readers go by the version or change id.
+Only the leader reports. A new leader may report again what its predecessor reported just
+before it was lost; readers drop such duplicates by the version or the change id.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class EditRefused(Notice, frozen=True):
-    """An edit changed nothing.
+    """An edit was refused and changed nothing.
 
-    ``reason`` is a stable word: "invalid", "conflict" or "expired".
+    ``reason`` is one of the fixed words "invalid", "conflict" and "expired".
     """
 
     change_id: str
@@ -36,7 +36,7 @@
 def edit_refused(
     outcome: EditInvalid | EditConflict | EditExpired, replica: str
 ) -> EditRefused:
-    """Give the notice of a refusal."""
+    """Return the notice of a refusal."""
     reason, detail = _refusal(outcome)
     return EditRefused(outcome.change_id, reason, detail, replica)
 
@@ -56,7 +56,7 @@
 
 
 class ReleaseJudged(Notice, frozen=True):
-    """A whole configuration was taken, refused, or left undecided for now."""
+    """A complete configuration was accepted, refused, or left undecided for now."""
 
     replica: str
     release: Version
@@ -68,7 +68,10 @@
 
 
 class ReleaseShown(Notice, frozen=True):
-    """The newest configuration was read; ``release`` 0 with the reason if it was not."""
+    """An operator's request for the newest configuration was answered.
+
+    If it could not be read, ``release`` is 0 and ``reason`` says why.
+    """
 
     level: ClassVar[str] = "debug"
     replica: str
@@ -78,7 +81,7 @@
 
 
 class RolloutJudged(Notice, frozen=True):
-    """An operator's order about a roll-out was taken, refused, or left undecided."""
+    """An operator's roll-out order was accepted, refused, or left undecided."""
 
     replica: str
     service: str
@@ -90,8 +93,9 @@
 class RolloutDecided(Notice, frozen=True):
     """The leader takes the next step of a roll-out, or ends it.
 
-    ``share`` is that of before, in parts of 10,000; ``calls`` ran at the new version's
-    ``back_ends`` since the order, of ``all_calls``; ``routes`` has the figures of both.
+    ``share`` is the share of calls before the step, in parts of 10,000. Since the order,
+    ``calls`` of ``all_calls`` ran at the ``back_ends`` of the new version. ``routes`` lists
+    the statistics of both versions by route.
     """
 
     service: str
@@ -107,7 +111,7 @@
 
 
 class TenantLimitBegan(Notice, frozen=True):
-    """A tenant's limit refuses calls from now on, as nodes told the leader."""
+    """A tenant's limit has begun to refuse calls, by the nodes' reports to the leader."""
 
     tenant: str
     rate_per_second: float
@@ -115,9 +119,10 @@
 
 
 class TenantLimitEnded(Notice, frozen=True):
-    """A tenant's limit refused nothing for 5 s; it did so for the time before those.
+    """A tenant's limit has refused nothing for 5 s.
 
-    ``granted`` and ``refused`` are the calls of that time, as far as nodes told.
+    ``milliseconds`` is how long it refused calls before those 5 s. ``granted`` and
+    ``refused`` count the calls of that time, as far as nodes have reported them.
     """
 
     tenant: str
--- a/src/peppershore/process/control/progress_sharing.py
+++ b/src/peppershore/process/control/progress_sharing.py
@@ -1,8 +1,9 @@
-"""How replicas tell one another what relays report, without a message for each pair.
+"""How replicas share the reports of relays, without a message for each pair of replicas.
 
-A replica passes the reports of its own relays to the leader; the leader tells the others
-its whole table now and then.  Reports that change often are passed on at a bounded rate,
-those that stay as they are now and then, so that a quiet group says next to nothing.
+A replica sends the reports of its own relays to the leader; the leader sends its complete
+table to the others from time to time. Reports that change often are sent at a bounded rate.
+Unchanged ones are repeated at a long interval, so that a group without changes sends very
+few messages.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from peppershore.connection.messages.consensus import ProgressShared, ProgressTableShared
 from peppershore.connection.messages.relay import ProgressReported
 from peppershore.process.control.progress import (
-    RELAY_FORGOTTEN_SECONDS,
+    RELAY_EXPIRY_SECONDS,
     ProgressTable,
     RelayProgress,
     same_progress,
@@ -20,149 +21,165 @@
 from peppershore.process.token_bucket import TokenBucket
 
 SHARES_PER_SECOND = 4.0
-"""A relay whose progress changes all the time has so many reports passed on."""
+"""Bound on the rate at which changed reports of one relay are sent to the leader."""
 
 SHARE_BURST = 6.0
-"""So many are passed on at once: one edit makes two, an operator watches a few."""
+"""Number of changed reports sent without delay: one edit causes two, and an operator
+watches a few edits."""
 
-KEPT_SECONDS = 3.0
-"""A report that stays as it is is passed on again after so long: well within the time
-after which a relay counts as silent."""
+UNCHANGED_REPORT_SECONDS = 3.0
+"""An unchanged report is sent again after this time, well within the time after which a
+relay counts as silent."""
 
-TABLE_SECONDS = 2.0
-"""The leader tells a table that changed to the other replicas so often."""
+CHANGED_TABLE_SECONDS = 2.0
+"""Interval at which the leader sends a changed table to the other replicas."""
 
-TABLE_KEPT_SECONDS = 4.0
-"""It tells one that stays as it is so often."""
+UNCHANGED_TABLE_SECONDS = 4.0
+"""Interval at which the leader sends an unchanged table."""
 
-WANTED_SECONDS = 2.0
-"""A replica at which operators watch asks the leader so often."""
+TABLE_REQUEST_SECONDS = 2.0
+"""Interval at which a replica where operators watch sends the leader its request."""
 
-WATCHED_SECONDS = 3 * WANTED_SECONDS
-"""For so long after it asked, a replica is told of every change at once."""
+TABLE_REQUEST_VALID_SECONDS = 3 * TABLE_REQUEST_SECONDS
+"""For this long after its request, a replica is sent every change at once."""
 
-SHOWN_NODES = 3
-"""Nodes of each kind that the table names of a relay; its own replica knows more."""
+MAX_SHOWN_NODES = 3
+"""Nodes of each kind that the table lists for a relay; the replica that the relay reports
+to has more."""
 
 MILLISECONDS_PER_SECOND = 1_000
 
 
-class _Heard:
-    """The newest report of one relay that follows this replica."""
+class _RelayReport:
+    """The newest report of one relay that reports to this replica directly."""
 
     def __init__(self, report: ProgressReported, at: float) -> None:
         self.report = report
         self.at = at
-        self.told: ProgressReported | None = None
-        self.told_at = 0.0
+        self.sent: ProgressReported | None = None
+        self.sent_at = 0.0
         self.bucket = TokenBucket(SHARES_PER_SECOND, SHARE_BURST)
 
     def is_due(self, now: float) -> bool:
-        """Whether the leader should hear the newest report now."""
-        if self.told is None or now - self.told_at >= KEPT_SECONDS:
+        """Report whether the newest report should be sent to the leader now."""
+        if self.sent is None or now - self.sent_at >= UNCHANGED_REPORT_SECONDS:
             return True
-        return not same_progress(self.told, self.report) and self.bucket.admit(now)
+        return not same_progress(self.sent, self.report) and self.bucket.admit(now)
 
 
 class ProgressSharing:
-    """What one replica passes on; it sends nothing itself."""
+    """Decides which reports one replica passes on; it sends nothing itself."""
 
     def __init__(self, table: ProgressTable) -> None:
-        """Begin without reports."""
+        """Start without reports."""
         self._table = table
-        self._heard: dict[str, _Heard] = {}
-        self._told_leader = ""
-        self._table_told: tuple[ProgressReported, ...] = ()
-        self._table_told_at = 0.0
-        self._wanted_by: dict[str, float] = {}
-        self._watchers_told: tuple[ProgressReported, ...] = ()
-        self._asked_at = -WANTED_SECONDS
-
-    def heard(self, report: ProgressReported, now: float) -> None:
-        """A relay reported to this replica itself."""
-        known = self._heard.get(report.relay)
+        self._relay_reports: dict[str, _RelayReport] = {}
+        self._reported_leader = ""
+        self._sent_table: tuple[ProgressReported, ...] = ()
+        self._table_sent_at = 0.0
+        self._watching_until: dict[str, float] = {}
+        self._sent_to_watchers: tuple[ProgressReported, ...] = ()
+        self._requested_at = -TABLE_REQUEST_SECONDS
+
+    def add_direct_report(self, report: ProgressReported, now: float) -> None:
+        """Store a report that a relay sent to this replica directly."""
+        known = self._relay_reports.get(report.relay)
         if known is None:
-            self._heard[report.relay] = _Heard(report, now)
+            self._relay_reports[report.relay] = _RelayReport(report, now)
             return
         known.report = report
         known.at = now
 
-    def hears(self, relay: str, now: float) -> bool:
-        """Whether the relay reports to this replica itself."""
-        known = self._heard.get(relay)
-        return known is not None and now - known.at < KEPT_SECONDS
-
-    def for_leader(self, leader: str, now: float) -> list[ProgressShared]:
-        """Give the reports that this leader should hear now; a new one hears all."""
-        if leader != self._told_leader:
-            self._told_leader = leader
-            for known in self._heard.values():
-                known.told = None
+    def has_recent_report(self, relay: str, now: float) -> bool:
+        """Report whether the relay reports to this replica directly."""
+        known = self._relay_reports.get(relay)
+        return known is not None and now - known.at < UNCHANGED_REPORT_SECONDS
+
+    def reports_for_leader(self, leader: str, now: float) -> list[ProgressShared]:
+        """Return the reports due for this leader; a new leader is sent all of them."""
+        if leader != self._reported_leader:
+            self._reported_leader = leader
+            for known in self._relay_reports.values():
+                known.sent = None
         if not leader:
             return []
         self._forget(now)
         return [
-            self._share(known, now) for known in self._heard.values() if known.is_due(now)
+            self._share(known, now)
+            for known in self._relay_reports.values()
+            if known.is_due(now)
         ]
 
-    def for_followers(self, now: float) -> ProgressTableShared | None:
-        """Give the leader's table if the others should hear it now."""
-        waited = now - self._table_told_at
-        if waited < TABLE_SECONDS:
+    def table_for_followers(self, now: float) -> ProgressTableShared | None:
+        """Return the leader's table if it is due for the other replicas, else None."""
+        waited = now - self._table_sent_at
+        if waited < CHANGED_TABLE_SECONDS:
             return None
         relays = self._table.relays()
         reports = tuple(each.report for each in relays)
-        if waited < TABLE_KEPT_SECONDS and not _table_changed(self._table_told, reports):
+        if waited < UNCHANGED_TABLE_SECONDS and not _table_changed(
+            self._sent_table, reports
+        ):
             return None
-        self._table_told = reports
-        self._table_told_at = now
+        self._sent_table = reports
+        self._table_sent_at = now
         return self._shared_table(now)
 
-    def asks_leader(self, now: float) -> bool:
-        """Whether this replica, at which operators watch, should ask the leader again."""
-        if now - self._asked_at < WANTED_SECONDS:
+    def table_request_due(self, now: float) -> bool:
+        """Report whether to ask the leader now for changes, and count that as done.
+
+        Called on a replica at which operators watch.
+        """
+        if now - self._requested_at < TABLE_REQUEST_SECONDS:
             return False
-        self._asked_at = now
+        self._requested_at = now
         return True
 
-    def wanted(self, replica: str, now: float) -> None:
-        """Operators watch at another replica, which asks to be told of changes soon."""
-        self._wanted_by[replica] = now + WATCHED_SECONDS
-        self._watchers_told = ()
+    def note_table_request(self, replica: str, now: float) -> None:
+        """Note that operators watch at ``replica``, which asked for changes at once."""
+        self._watching_until[replica] = now + TABLE_REQUEST_VALID_SECONDS
+        self._sent_to_watchers = ()
+
+    def table_for_watchers(
+        self, now: float
+    ) -> tuple[list[str], ProgressTableShared] | None:
+        """Return the watched replicas and the table for them, if it changed.
 
-    def for_watchers(self, now: float) -> tuple[list[str], ProgressTableShared] | None:
-        """Give the table, and to whom, if replicas where operators watch lack changes."""
-        if not self._wanted_by:
+        Return None if no replica asked for changes or the table is the one sent last.
+        """
+        if not self._watching_until:
             return None
         reports = tuple(each.report for each in self._table.relays())
-        if not _table_changed(self._watchers_told, reports):
+        if not _table_changed(self._sent_to_watchers, reports):
             return None
-        self._watchers_told = reports
-        until = self._wanted_by
-        self._wanted_by = {name: until[name] for name in until if now < until[name]}
-        return list(self._wanted_by), self._shared_table(now)
+        self._sent_to_watchers = reports
+        until = self._watching_until
+        self._watching_until = {name: until[name] for name in until if now < until[name]}
+        return list(self._watching_until), self._shared_table(now)
 
     def _shared_table(self, now: float) -> ProgressTableShared:
         relays = self._table.relays()
         return ProgressTableShared(tuple(_for_table(each, now) for each in relays))
 
     @staticmethod
-    def _share(known: _Heard, now: float) -> ProgressShared:
-        known.told = known.report
-        known.told_at = now
+    def _share(known: _RelayReport, now: float) -> ProgressShared:
+        known.sent = known.report
+        known.sent_at = now
         return ProgressShared(known.report, _age_milliseconds(known.at, now))
 
     def _forget(self, now: float) -> None:
-        """Forget relays that follow another replica by now, or none."""
-        for relay, known in list(self._heard.items()):
-            if now - known.at >= RELAY_FORGOTTEN_SECONDS:
-                del self._heard[relay]
+        """Drop relays that report to another replica by now, or to none."""
+        for relay, known in list(self._relay_reports.items()):
+            if now - known.at >= RELAY_EXPIRY_SECONDS:
+                del self._relay_reports[relay]
 
 
 def _for_table(progress: RelayProgress, now: float) -> ProgressShared:
     report = progress.report
     shortened = msgspec.structs.replace(
-        report, lagging=report.lagging[:SHOWN_NODES], silent=report.silent[:SHOWN_NODES]
+        report,
+        lagging=report.lagging[:MAX_SHOWN_NODES],
+        silent=report.silent[:MAX_SHOWN_NODES],
     )
     return ProgressShared(shortened, _age_milliseconds(progress.at, now))
 
--- a/src/peppershore/process/control/quota_desk.py
+++ b/src/peppershore/process/control/quota_desk.py
@@ -1,4 +1,7 @@
-"""How a control replica answers asks for calls: as the leader, or through it."""
+"""Answers requests for shares of tenants' limits, as the leader or through the leader.
+
+A relay asks for a number of calls that its nodes may let through.
+"""
 
 from __future__ import annotations
 
@@ -28,76 +31,80 @@
 if TYPE_CHECKING:
     from peppershore.process.control.core import ControlCore
 
-MILLISECONDS = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 
-NOTHING_READ: Version = -1
+NO_VERSION_READ: Version = -1
 
 
-class QuotaDesk:
-    """Takes asks of relays that follow this replica, and what other replicas forward.
+class QuotaService:
+    """Handles quota requests of relays that follow this replica or another one.
 
-    Only a leader whose lease proves that no other can lead yet grants anything; it holds
-    its buckets for one leadership and begins the next with empty ones.
+    Only a leader grants calls, and only while its lease proves that no other replica can
+    lead yet. It holds its buckets for one leadership and starts the next with empty ones.
     """
 
     def __init__(self, replica: ControlCore, quotas: QuotaSettings | None) -> None:
-        """Without ``quotas`` nothing is granted, and nothing is asked for either."""
+        """Without ``quotas`` nothing is granted, and no relay asks for anything."""
         self._replica = replica
         self._quotas = quotas
         self._decider: Decider | None = None
-        self._read: Version = NOTHING_READ
-        self._names: dict[LinkId, str] = {}
-        self._links: dict[str, LinkId] = {}
+        self._limits_version: Version = NO_VERSION_READ
+        self._relay_names: dict[LinkId, str] = {}
+        self._requester_links: dict[str, LinkId] = {}
 
     # --- relays
 
-    def followed(self, link: LinkId, relay: str) -> None:
-        """A relay follows this replica on that link."""
-        self._names[link] = relay
+    def relay_followed(self, link: LinkId, relay: str) -> None:
+        """Store the name of the relay that follows this replica on that link."""
+        self._relay_names[link] = relay
 
-    def closed(self, link: LinkId) -> None:
-        """A link is gone."""
-        if self._names.pop(link, None) is not None:
-            self._links = {asker: at for asker, at in self._links.items() if at != link}
+    def link_closed(self, link: LinkId) -> None:
+        """Drop the relay and the requests of a closed link."""
+        if self._relay_names.pop(link, None) is not None:
+            self._requester_links = {
+                requester: at
+                for requester, at in self._requester_links.items()
+                if at != link
+            }
 
-    def take_client(self, link: LinkId, message: QuotaAsked | TenantUsageQuery) -> None:
+    def handle_client(self, link: LinkId, message: QuotaAsked | TenantUsageQuery) -> None:
         """Answer a relay or an operator."""
         if isinstance(message, QuotaAsked):
-            self._asked(link, message)
+            self._answer_request(link, message)
         else:
-            self._usage_asked(link)
+            self._answer_usage_query(link)
 
-    def _asked(self, link: LinkId, message: QuotaAsked) -> None:
-        """Answer a relay, or let the leader do it."""
-        asker = f"{self._names.get(link, link)}/{message.life}"
+    def _answer_request(self, link: LinkId, message: QuotaAsked) -> None:
+        """Answer a relay, or forward its request to the leader."""
+        requester = f"{self._relay_names.get(link, link)}/{message.life}"
         replica = self._replica
         if replica.consensus.leadership is not None:
-            replica.send(link, self._decide(asker, message.number, message))
+            replica.send(link, self._decide(requester, message.number, message))
             return
         leader = replica.consensus.leader
         if not leader or replica.peers.link_to(leader) is None:
-            replica.send(link, _unknown(message.number))
+            replica.send(link, _unknown_grant(message.number))
             return
-        self._links[asker] = link
-        forwarded = QuotaForwarded(asker, message.number, message.asks)
+        self._requester_links[requester] = link
+        forwarded = QuotaForwarded(requester, message.number, message.asks)
         replica.send_to_peer(leader, forwarded)
 
     # --- the other replicas
 
-    def take(self, peer: str, message: Message) -> None:
-        """Take what another replica forwards or returns."""
+    def handle_peer(self, peer: str, message: Message) -> None:
+        """Handle a request or an answer that another replica forwards."""
         if isinstance(message, QuotaForwarded):
             granted = self._decide(message.relay, message.number, message)
             self._replica.send_to_peer(peer, QuotaReturned(message.relay, granted))
         elif isinstance(message, QuotaReturned):
-            link = self._links.get(message.relay)
+            link = self._requester_links.get(message.relay)
             if link is not None:
                 self._replica.send(link, message.granted)
 
     # --- operators
 
-    def _usage_asked(self, link: LinkId) -> None:
-        """Tell an operator how tenants use their limits, or who knows."""
+    def _answer_usage_query(self, link: LinkId) -> None:
+        """Send an operator the tenants' usage of their limits, or the leader's address."""
         replica = self._replica
         if not replica.leads:
             replica.send(link, NotLeader(replica.leader_address))
@@ -111,7 +118,7 @@
         replica.send(link, answer)
 
     def tick(self) -> None:
-        """Tell of limits that began and ended to refuse calls."""
+        """Report limits that have begun or ceased to refuse calls."""
         if self._decider is None:
             return
         for change in self._decider.limit_changes(self._replica.now):
@@ -120,36 +127,39 @@
     # --- leadership
 
     def leadership_gained(self) -> None:
-        """Begin with empty buckets: the former leader may have granted all of its own."""
+        """Start with empty buckets.
+
+        The former leader may have granted all that its buckets held.
+        """
         if self._quotas is None:
             return
         replica = self._replica
         self._decider = Decider(self._quotas, replica.consensus.term, replica.now)
-        self._read = NOTHING_READ
+        self._limits_version = NO_VERSION_READ
         self.tree_changed()
 
     def leadership_lost(self) -> None:
-        """Another may grant now."""
+        """Stop granting: another replica may grant from now on."""
         self._decider = None
 
     def tree_changed(self) -> None:
-        """Go by the limits of the newest committed tree at once."""
+        """Apply the limits of the newest committed tree at once."""
         tree = self._replica.state.tree
-        if self._decider is None or tree.version == self._read:
+        if self._decider is None or tree.version == self._limits_version:
             return
-        self._read = tree.version
+        self._limits_version = tree.version
         self._decider.use_limits(tenant_limits(tree), self._replica.now)
 
     def _decide(
-        self, asker: str, number: int, message: QuotaAsked | QuotaForwarded
+        self, requester: str, number: int, message: QuotaAsked | QuotaForwarded
     ) -> QuotaGranted:
         replica = self._replica
         leadership = replica.consensus.leadership
         if self._decider is None or leadership is None:
-            return _unknown(number)
+            return _unknown_grant(number)
         if not leadership.announced or not leadership.lease_valid(replica.now):
-            return _unknown(number)
-        return self._decider.answer(asker, number, message.asks, replica.now)
+            return _unknown_grant(number)
+        return self._decider.answer(requester, number, message.asks, replica.now)
 
 
 def _notice(change: LimitChange, limit: Limit) -> Notice:
@@ -157,11 +167,11 @@
         return notices.TenantLimitBegan(change.tenant, limit.rate, limit.burst)
     return notices.TenantLimitEnded(
         change.tenant,
-        int(change.seconds * MILLISECONDS),
+        int(change.seconds * MILLISECONDS_PER_SECOND),
         change.granted,
         change.refused,
     )
 
 
-def _unknown(number: int) -> QuotaGranted:
+def _unknown_grant(number: int) -> QuotaGranted:
     return QuotaGranted(number, (), 0, is_known=False)
--- a/src/peppershore/process/control/recovery.py
+++ b/src/peppershore/process/control/recovery.py
@@ -1,9 +1,9 @@
-"""Makes a new control group from one replica's store, when a majority is lost for good.
+"""Makes a new control group from one replica's store after permanent loss of a majority.
 
-The store's replica becomes the only member.  What other replicas accepted and this
-store lacks is lost, so versions jump ahead of any that a proxy may hold: no proxy
-has to go back, and each takes the recovered tree as a newer one.  The group gets
-another identity, so that a lost replica that turns up again is refused.
+The store's replica becomes the only member. What other replicas accepted and this store
+lacks is lost, so the recovered tree gets a version above any that a proxy may hold: no
+proxy has to go back, and each accepts the recovered tree as a newer one. The group gets
+another identity, so that a lost replica that comes back is refused.
 """
 
 from __future__ import annotations
@@ -33,20 +33,21 @@
 from peppershore.version.model import Version
 
 SKIPPED_VERSIONS = 1_000_000
-"""More than are accepted in the age of any store that one would recover from:
+"""More versions than are accepted during the age of any store that one would recover from:
 71 days at 14,000 a day."""
 
 
 class NothingToRecover(msgspec.Struct, frozen=True):
-    """The store can't become a group of its own."""
+    """The store can't become a control group."""
 
     reason: str
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """A store that was made a group of its own.
+    """A store that was made a new control group.
 
-    ``kept_version`` is the newest edit in it, ``version`` what its tree counts as.
+    ``kept_version`` is the newest edit in the store, ``version`` the new version of its
+    tree.
     """
 
     replica: str
@@ -59,7 +60,7 @@
 
 def recover_store(settings: ControlSettings) -> Result[Recovered, RecoveryRefused]:
     """Make the stopped replica of these settings the only member of a new group."""
-    address = _own_address(settings)
+    address = _listed_address(settings)
     if not address:
         reason = f"the settings list no address of {settings.replica} in [[replicas]]"
         return Failure(NothingToRecover(reason))
@@ -70,9 +71,9 @@
     try:
         if stored.group_id == 0:
             return Failure(NothingToRecover("the store is blank"))
-        state = _replayed(settings, stored)
+        state = _replay(settings, stored)
         kept_version = state.tree.version
-        written = store.write(_records(settings.replica, address, stored, state))
+        written = store.write(_recovery_records(settings.replica, address, stored, state))
         if isinstance(written, Failure):
             return Failure(written.failure())
     finally:
@@ -80,13 +81,13 @@
     return Success(Recovered(settings.replica, kept_version, state.tree.version))
 
 
-def _own_address(settings: ControlSettings) -> str:
+def _listed_address(settings: ControlSettings) -> str:
     found = [each for each in settings.replicas if each.name == settings.replica]
     return found[0].address if found else ""
 
 
-def _replayed(settings: ControlSettings, stored: StoredState) -> ControlState:
-    """All that the store holds, also what it can't know to be committed."""
+def _replay(settings: ControlSettings, stored: StoredState) -> ControlState:
+    """Return the state after all stored entries, even if not known to be committed."""
     state = ControlState(settings.cluster, settings.change_id_horizon, HISTORY_CAPACITY)
     applied = 0
     if stored.snapshot is not None:
@@ -98,7 +99,7 @@
     return state
 
 
-def _records(
+def _recovery_records(
     replica: str, address: str, stored: StoredState, state: ControlState
 ) -> list[Record]:
     index = _last_index(stored) + SKIPPED_VERSIONS
@@ -107,7 +108,7 @@
     membership = Membership((ReplicaMember(replica, address, stored.identity),))
     parts = (SnapshotPart(1, state.snapshot()),)
     return [
-        SaveGroup(_next_group(stored.group_id, membership)),
+        SaveGroup(_new_group_id(stored.group_id, membership)),
         SaveHardState(HardState(term)),
         InstallSnapshot(StateSnapshot(index, term, membership, parts)),
     ]
@@ -116,10 +117,10 @@
 def _last_index(stored: StoredState) -> int:
     if stored.entries:
         return stored.entries[-1].index
-    assert stored.snapshot is not None, "a store of a group holds its founding"
+    assert stored.snapshot is not None, "a store of a group holds entries or a snapshot"
     return stored.snapshot.index
 
 
-def _next_group(former: int, membership: Membership) -> int:
-    """Another identity than the former group's, also if that had one member."""
+def _new_group_id(former: int, membership: Membership) -> int:
+    """Return an identity other than the former group's, even if that had one member."""
     return (group_id_of(membership) ^ (former >> 1)) | 1
--- a/src/peppershore/process/control/redaction.py
+++ b/src/peppershore/process/control/redaction.py
@@ -1,4 +1,4 @@
-"""What operators see of secrets and tenants' keys: never key material."""
+"""Hides the key material of secrets and tenants from operators."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def without_material(tree: Tree) -> Tree:
-    """The tree with every secret's material and every tenant's keys replaced."""
-    secrets = {name: _hide(secret) for name, secret in tree.secrets.items()}
-    tenants = {name: _hide_keys(tenant) for name, tenant in tree.tenants.items()}
+    """Return the tree with every secret's material and every tenant's keys replaced."""
+    secrets = {name: _redact_secret(secret) for name, secret in tree.secrets.items()}
+    tenants = {name: _redact_tenant(tenant) for name, tenant in tree.tenants.items()}
     return msgspec.structs.replace(tree, secrets=secrets, tenants=tenants)
 
 
 def edits_without_material(edits: tuple[CommittedEdit, ...]) -> tuple[CommittedEdit, ...]:
-    """Edits with the material of new generations, and tenants' keys, replaced."""
-    return tuple(CommittedEdit(each.version, _hide_in_edit(each.edit)) for each in edits)
+    """Return the edits with the material of secrets and the keys of tenants replaced."""
+    return tuple(CommittedEdit(each.version, _redact_edit(each.edit)) for each in edits)
 
 
-def _hide(secret: Secret) -> Secret:
+def _redact_secret(secret: Secret) -> Secret:
     generations = tuple(
         msgspec.structs.replace(generation, material=HIDDEN_MATERIAL)
         for generation in secret.generations
@@ -41,16 +41,16 @@
     return msgspec.structs.replace(secret, generations=generations)
 
 
-def _hide_keys(tenant: Tenant) -> Tenant:
+def _redact_tenant(tenant: Tenant) -> Tenant:
     return msgspec.structs.replace(tenant, keys=hidden_keys(tenant.keys))
 
 
-def _hide_in_edit(edit: Edit) -> Edit:
-    operations = tuple(_hide_in_operation(each) for each in edit.operations)
+def _redact_edit(edit: Edit) -> Edit:
+    operations = tuple(_redact_operation(each) for each in edit.operations)
     return msgspec.structs.replace(edit, operations=operations)
 
 
-def _hide_in_operation(operation: Operation) -> Operation:
+def _redact_operation(operation: Operation) -> Operation:
     if isinstance(operation, PutSecret):
         return PutSecret(operation.name, HIDDEN_MATERIAL)
     if isinstance(operation, SetTenant | ChangeTenantKeys) and operation.keys is not UNSET:
--- a/src/peppershore/process/control/releases.py
+++ b/src/peppershore/process/control/releases.py
@@ -1,9 +1,9 @@
-"""Whole configurations: taken at any replica, judged on what a quorum confirms.
+"""Releases: complete configurations, submitted to or read from any replica.
 
-A replica that is given a configuration first has a read confirmed, so that it judges
-the newest state, then works out the edit and has the leader propose it.  The outcome
-shows when the edit, or its refusal, is applied here.  Nothing is refused by a replica
-that may be behind, and what was taken once is acknowledged for ever.
+A replica that receives a configuration first has a read confirmed by a quorum, so that it
+decides on the newest state. Then it composes the edit and has the leader propose it. It
+answers when the edit, or its refusal, is applied here. A replica that may be behind refuses
+nothing, and a configuration that was accepted once is acknowledged at every later request.
 """
 
 from __future__ import annotations
@@ -36,29 +36,29 @@
     from peppershore.process.control.core import ControlCore
 
 ANSWER_SECONDS = 0.85
-"""A request without outcome by then is answered as undecided: callers move on after
-a second without a response."""
+"""A request without an outcome by then is answered as undecided, because callers go to
+another replica after a second without a response."""
 
-BASE_SECONDS = 0.4
-"""A configuration whose base is not in place yet waits so long for it: several may be
-under way at once and overtake each other."""
+BASE_WAIT_SECONDS = 0.4
+"""A configuration whose base release is not in place yet waits this long for it: several
+may be in progress at once and overtake each other."""
 
-SEND_AGAIN_SECONDS = 0.25
-"""How often an edit is handed to the leader again while its outcome is not known."""
+RETRY_SECONDS = 0.25
+"""Interval at which an edit without a known outcome is sent to the leader again."""
 
 NO_QUORUM = "no-quorum"
 UNDECIDED = "undecided"
-NOTHING_TAKEN = "no-configuration"
+NO_CONFIGURATION = "no-configuration"
 
 
 class ReleaseTaken(msgspec.Struct, frozen=True):
-    """The configuration is accepted, now or before, under its number."""
+    """The configuration is accepted under its number, by this request or an earlier one."""
 
     release: Version
 
 
 class ReleaseConflict(msgspec.Struct, frozen=True):
-    """Another release than its base is in place; nothing changed."""
+    """A release other than the base is in place; nothing changed."""
 
     current: Version
 
@@ -70,7 +70,7 @@
 
 
 class ReleaseUndecided(msgspec.Struct, frozen=True):
-    """Nothing is known: send it again, here or elsewhere."""
+    """The outcome is unknown: the caller should retry, here or at another replica."""
 
     reason: str
 
@@ -85,7 +85,7 @@
 
 
 class ReleaseSubmitted(Event, frozen=True):
-    """An operator sent a whole configuration; ``request`` names the question."""
+    """An operator sent a complete configuration; ``request`` numbers the request."""
 
     request: int
     configuration: WholeConfiguration
@@ -98,169 +98,174 @@
 
 
 class ReleaseAnswered(Command, frozen=True):
-    """Answer the question of that number."""
+    """Command to the shell: answer the request of that number."""
 
     request: int
     outcome: ReleaseOutcome | ReleaseRead
 
 
-class _Question:
-    """A question without answer.  Times are monotonic seconds."""
+class _PendingRequest:
+    """A request that is not answered yet. Times are monotonic seconds."""
 
-    __slots__ = ("asked_at", "change_id", "configuration", "is_judged", "sent_at")
+    __slots__ = ("received_at", "change_id", "configuration", "is_proposed", "sent_at")
 
-    def __init__(self, asked_at: float, configuration: WholeConfiguration | None) -> None:
-        self.asked_at = asked_at
+    def __init__(
+        self, received_at: float, configuration: WholeConfiguration | None
+    ) -> None:
+        self.received_at = received_at
         self.configuration = configuration
         self.change_id = "" if configuration is None else change_id_of(configuration)
-        self.is_judged = False
-        """The edit was worked out on a confirmed state and handed to the leader."""
+        self.is_proposed = False
+        """Whether the edit was composed on a confirmed state and sent to the leader."""
         self.sent_at = 0.0
 
 
 class Releases:
-    """The whole configurations under way at one replica."""
+    """The release requests in progress at one replica."""
 
     def __init__(self, replica: ControlCore) -> None:
-        """Begin without questions."""
+        """Start without requests."""
         self._replica = replica
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._reads: dict[int, int] = {}
-        self._shown: tuple[Tree, WholeConfiguration] | None = None
+        self._cached: tuple[Tree, WholeConfiguration] | None = None
 
-    # --- questions -----------------------------------------------------------
+    # --- requests ------------------------------------------------------------
 
     def submit(self, event: ReleaseSubmitted) -> None:
-        """Take a configuration; the answer follows."""
-        question = _Question(self._replica.now, event.configuration)
+        """Start to process a configuration; the answer follows as a command."""
+        pending = _PendingRequest(self._replica.now, event.configuration)
         problems = find_problems(event.configuration)
         if problems:
-            self._answer(event.request, question, ReleaseInvalid(problems))
+            self._answer(event.request, pending, ReleaseInvalid(problems))
             return
-        self._questions[event.request] = question
-        if not self._answer_known(event.request, question):
-            self._ask_read(event.request)
+        self._pending[event.request] = pending
+        if not self._answer_known(event.request, pending):
+            self._start_read(event.request)
 
-    def want(self, event: ReleaseWanted) -> None:
-        """Take a question for the newest configuration."""
-        self._questions[event.request] = _Question(self._replica.now, None)
-        self._ask_read(event.request)
+    def read_newest(self, event: ReleaseWanted) -> None:
+        """Start to read the newest configuration; the answer follows as a command."""
+        self._pending[event.request] = _PendingRequest(self._replica.now, None)
+        self._start_read(event.request)
 
-    # --- what the replica learns ---------------------------------------------
+    # --- confirmed reads and applied edits -----------------------------------
 
-    def take_read(self, number: int, confirmed: bool) -> bool:
-        """Take the outcome of a read; False if it is none of these questions'."""
+    def handle_read(self, number: int, confirmed: bool) -> bool:
+        """Handle the outcome of a read; return False if another component started it."""
         request = self._reads.pop(number, None)
         if request is None:
             return False
-        question = self._questions.get(request)
-        if question is not None and confirmed:
-            self._confirmed(request, question)
+        pending = self._pending.get(request)
+        if pending is not None and confirmed:
+            self._handle_confirmed_read(request, pending)
         return True
 
     def applied(self, outcomes: list[EditOutcome]) -> None:
-        """Answer the questions whose outcome is applied here now."""
+        """Answer the requests whose outcome has been applied here."""
         known = {outcome.change_id for outcome in outcomes}
-        for request, question in list(self._questions.items()):
-            if question.change_id in known:
-                self._answer_known(request, question)
-            elif question.configuration is not None and not question.is_judged:
-                self._judge_again(request, question)
+        for request, pending in list(self._pending.items()):
+            if pending.change_id in known:
+                self._answer_known(request, pending)
+            elif pending.configuration is not None and not pending.is_proposed:
+                self._retry_with_new_base(request, pending)
 
     def state_installed(self) -> None:
-        """The state jumped ahead: outcomes may have come with it."""
-        for request, question in list(self._questions.items()):
-            self._answer_known(request, question)
+        """Answer the requests whose outcome came with an installed snapshot."""
+        for request, pending in list(self._pending.items()):
+            self._answer_known(request, pending)
 
     def tick(self) -> None:
-        """End what takes too long; ask again where nobody answered."""
+        """Answer requests that time out as undecided; retry reads and proposals."""
         now = self._replica.now
         reading = set(self._reads.values())
-        for request, question in list(self._questions.items()):
-            waited = now - question.asked_at
+        for request, pending in list(self._pending.items()):
+            waited = now - pending.received_at
             if waited >= ANSWER_SECONDS:
-                reason = UNDECIDED if question.is_judged else NO_QUORUM
-                self._answer(request, question, ReleaseUndecided(reason))
-            elif question.is_judged:
-                if now - question.sent_at >= SEND_AGAIN_SECONDS:
-                    self._propose(question)
+                reason = UNDECIDED if pending.is_proposed else NO_QUORUM
+                self._answer(request, pending, ReleaseUndecided(reason))
+            elif pending.is_proposed:
+                if now - pending.sent_at >= RETRY_SECONDS:
+                    self._propose(pending)
             elif request not in reading:
-                self._ask_read(request)
+                self._start_read(request)
 
-    # --- inside --------------------------------------------------------------
+    # --- internals -----------------------------------------------------------
 
-    def _ask_read(self, request: int) -> None:
+    def _start_read(self, request: int) -> None:
         self._reads[self._replica.read()] = request
 
-    def _confirmed(self, request: int, question: _Question) -> None:
-        if question.configuration is not None:
-            if not self._answer_known(request, question):
-                self._judge(request, question, question.configuration)
+    def _handle_confirmed_read(self, request: int, pending: _PendingRequest) -> None:
+        if pending.configuration is not None:
+            if not self._answer_known(request, pending):
+                self._decide(request, pending, pending.configuration)
             return
         tree = self._replica.state.tree
         if tree.release == 0:
-            self._answer(request, question, ReleaseUndecided(NOTHING_TAKEN))
+            self._answer(request, pending, ReleaseUndecided(NO_CONFIGURATION))
         else:
-            self._answer(request, question, ReleaseRead(self._show(tree)))
+            self._answer(request, pending, ReleaseRead(self._cached_configuration(tree)))
 
-    def _judge_again(self, request: int, question: _Question) -> None:
-        """The state moved on: the base may be in place now."""
-        assert question.configuration is not None
-        if self._replica.state.tree.release == question.configuration.base:
-            self._ask_read(request)
+    def _retry_with_new_base(self, request: int, pending: _PendingRequest) -> None:
+        """Read again if the newly applied state has the configuration's base in place."""
+        assert pending.configuration is not None
+        if self._replica.state.tree.release == pending.configuration.base:
+            self._start_read(request)
 
-    def _judge(
-        self, request: int, question: _Question, configuration: WholeConfiguration
+    def _decide(
+        self, request: int, pending: _PendingRequest, configuration: WholeConfiguration
     ) -> None:
-        """Judge on a state that a quorum confirmed after the question came."""
+        """Decide on a configuration and propose its edit.
+
+        The state is one that a quorum confirmed after the request came.
+        """
         current = self._replica.state.tree.release
-        waited = self._replica.now - question.asked_at
-        if configuration.base > current and waited < BASE_SECONDS:
+        waited = self._replica.now - pending.received_at
+        if configuration.base > current and waited < BASE_WAIT_SECONDS:
             return
         if configuration.base != current or configuration.version <= current:
-            self._answer(request, question, ReleaseConflict(current))
+            self._answer(request, pending, ReleaseConflict(current))
             return
-        question.is_judged = True
-        self._propose(question)
+        pending.is_proposed = True
+        self._propose(pending)
 
-    def _propose(self, question: _Question) -> None:
-        """Have the leader propose the edit, again and again: it is taken once."""
-        assert question.configuration is not None
+    def _propose(self, pending: _PendingRequest) -> None:
+        """Have the leader propose the edit; it is accepted once even if repeated."""
+        assert pending.configuration is not None
         replica = self._replica
-        question.sent_at = replica.now
-        if replica.state.tree.release != question.configuration.base:
+        pending.sent_at = replica.now
+        if replica.state.tree.release != pending.configuration.base:
             return
-        replica.submit_to_leader(edit_of(replica.state.tree, question.configuration))
+        replica.submit_to_leader(edit_of(replica.state.tree, pending.configuration))
 
-    def _answer_known(self, request: int, question: _Question) -> bool:
-        """Answer from the table of outcomes; False if it has none."""
-        if not question.change_id:
+    def _answer_known(self, request: int, pending: _PendingRequest) -> bool:
+        """Answer from the table of outcomes; return False if it has none."""
+        if not pending.change_id:
             return False
-        outcome = self._replica.state.outcomes.find(question.change_id)
+        outcome = self._replica.state.outcomes.find(pending.change_id)
         if outcome is None:
             return False
-        self._answer(request, question, _as_release(outcome, question))
+        self._answer(request, pending, _release_outcome(outcome, pending))
         return True
 
     def _answer(
-        self, request: int, question: _Question, outcome: ReleaseOutcome | ReleaseRead
+        self, request: int, pending: _PendingRequest, outcome: ReleaseOutcome | ReleaseRead
     ) -> None:
-        self._questions.pop(request, None)
+        self._pending.pop(request, None)
         self._replica.command(ReleaseAnswered(request, outcome))
-        waited = round((self._replica.now - question.asked_at) * 1_000)
-        self._replica.report(_notice(self._replica.name, question, outcome, waited))
+        waited = round((self._replica.now - pending.received_at) * 1_000)
+        self._replica.report(_notice(self._replica.name, pending, outcome, waited))
 
-    def _show(self, tree: Tree) -> WholeConfiguration:
-        if self._shown is None or self._shown[0] is not tree:
-            self._shown = (tree, configuration_of(tree))
-        return self._shown[1]
+    def _cached_configuration(self, tree: Tree) -> WholeConfiguration:
+        if self._cached is None or self._cached[0] is not tree:
+            self._cached = (tree, configuration_of(tree))
+        return self._cached[1]
 
 
-def _as_release(outcome: EditOutcome, question: _Question) -> ReleaseOutcome:
-    assert question.configuration is not None
+def _release_outcome(outcome: EditOutcome, pending: _PendingRequest) -> ReleaseOutcome:
+    assert pending.configuration is not None
     match outcome:
         case EditAccepted():
-            return ReleaseTaken(question.configuration.version)
+            return ReleaseTaken(pending.configuration.version)
         case EditConflict(actual_revision=current):
             return ReleaseConflict(current)
         case EditInvalid(problems=problems):
@@ -271,28 +276,28 @@
 
 def _notice(
     replica: str,
-    question: _Question,
+    pending: _PendingRequest,
     outcome: ReleaseOutcome | ReleaseRead,
     waited_milliseconds: int,
 ) -> notices.ReleaseJudged | notices.ReleaseShown:
-    configuration = question.configuration
+    configuration = pending.configuration
     if configuration is None:
         shown = outcome.configuration.version if isinstance(outcome, ReleaseRead) else 0
         reason = outcome.reason if isinstance(outcome, ReleaseUndecided) else ""
         return notices.ReleaseShown(replica, shown, reason, waited_milliseconds)
-    name, detail = _words(outcome)
+    name, detail = _outcome_and_detail(outcome)
     return notices.ReleaseJudged(
         replica=replica,
         release=configuration.version,
         base=configuration.base,
-        change_id=question.change_id,
+        change_id=pending.change_id,
         outcome=name,
         detail=detail,
         waited_milliseconds=waited_milliseconds,
     )
 
 
-def _words(outcome: ReleaseOutcome | ReleaseRead) -> tuple[str, str]:
+def _outcome_and_detail(outcome: ReleaseOutcome | ReleaseRead) -> tuple[str, str]:
     match outcome:
         case ReleaseTaken():
             return "taken", ""
@@ -304,4 +309,4 @@
         case ReleaseUndecided(reason=reason):
             return "undecided", reason
         case _:
-            raise AssertionError("a read is no judgement")
+            raise AssertionError("a read has no outcome to report")
--- a/src/peppershore/process/control/rollout_orders.py
+++ b/src/peppershore/process/control/rollout_orders.py
@@ -1,9 +1,9 @@
-"""Operators' orders and questions about roll-outs: taken at any replica.
+"""Operators' roll-out orders and queries, accepted at any replica.
 
-As with whole configurations, a replica judges only on a state that a quorum confirmed
-after the order came, has the leader propose the edit, and answers when the outcome is
-applied here.  Nothing is refused by a replica that may be behind, and what was taken is
-acknowledged again.
+As with complete configurations, a replica decides only on a state that a quorum confirmed
+after the request came, has the leader propose the edit, and answers when the outcome is
+applied here. A replica that may be behind refuses nothing, and an order that was accepted
+is acknowledged again when it is repeated.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from peppershore.process.control.releases import (
     ANSWER_SECONDS,
     NO_QUORUM,
-    SEND_AGAIN_SECONDS,
+    RETRY_SECONDS,
     UNDECIDED,
 )
 from peppershore.process.events import Event
@@ -40,12 +40,12 @@
 if TYPE_CHECKING:
     from peppershore.process.control.core import ControlCore
 
-MOST_SECONDS = 7 * 86_400.0
-ABORTED = "an operator took it back"
+MAX_ROLLOUT_SECONDS = 7 * 86_400.0
+ABORT_REASON = "an operator took it back"
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """Bring ``target_version`` of a service in within ``duration_seconds``."""
+    """Bring in ``target_version`` of a service within ``duration_seconds``."""
 
     service: str
     target_version: str
@@ -53,19 +53,19 @@
 
     @property
     def milliseconds(self) -> int:
-        """The time it may take."""
+        """Duration that the roll-out may take."""
         return round(self.duration_seconds * 1_000)
 
 
 class RolloutOrdered(Event, frozen=True):
-    """An operator orders a roll-out; ``request`` names the question."""
+    """An operator orders a roll-out; ``request`` numbers the request."""
 
     request: int
     order: RolloutOrder
 
 
 class RolloutAborted(Event, frozen=True):
-    """An operator takes the roll-out of a service back."""
+    """An operator orders the roll-back of a service's roll-out."""
 
     request: int
     service: str
@@ -79,11 +79,11 @@
 
 
 class RolloutTaken(msgspec.Struct, frozen=True):
-    """The order stands: now, or taken before."""
+    """The order is accepted, by this request or an earlier one."""
 
 
 class RolloutUnderWay(msgspec.Struct, frozen=True):
-    """Another roll-out of that service is under way; nothing changed."""
+    """Another roll-out of that service is in progress; nothing changed."""
 
     target_version: str
 
@@ -99,7 +99,7 @@
 
 
 class RolloutUndecided(msgspec.Struct, frozen=True):
-    """Nothing is known: send it again, here or elsewhere."""
+    """The outcome is unknown: the caller should retry, here or at another replica."""
 
     reason: str
 
@@ -121,99 +121,102 @@
 
 
 class RolloutAnswered(Command, frozen=True):
-    """Answer the question of that number."""
+    """Command to the shell: answer the request of that number."""
 
     request: int
     outcome: RolloutOutcome
 
 
-Ask = RolloutOrdered | RolloutAborted | RolloutWanted
+RolloutRequest = RolloutOrdered | RolloutAborted | RolloutWanted
 
 
-class _Question:
-    """A question without answer.  Times are monotonic seconds."""
+class _PendingRequest:
+    """A request that is not answered yet. Times are monotonic seconds."""
 
-    __slots__ = ("ask", "asked_at", "edit", "sent_at")
+    __slots__ = ("event", "received_at", "edit", "sent_at")
 
-    def __init__(self, ask: Ask, asked_at: float) -> None:
-        self.ask = ask
-        self.asked_at = asked_at
+    def __init__(self, event: RolloutRequest, received_at: float) -> None:
+        self.event = event
+        self.received_at = received_at
         self.edit: Edit | None = None
         self.sent_at = 0.0
 
 
 class RolloutOrders:
-    """The orders and questions under way at one replica."""
+    """The roll-out orders and queries in progress at one replica."""
 
     def __init__(self, replica: ControlCore) -> None:
-        """Begin without questions."""
+        """Start without requests."""
         self._replica = replica
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._reads: dict[int, int] = {}
 
-    def ask(self, event: Ask) -> None:
-        """Take a question; the answer follows."""
-        question = _Question(event, self._replica.now)
-        self._questions[event.request] = question
+    def handle_request(self, event: RolloutRequest) -> None:
+        """Start to process a request; the answer follows as a command."""
+        pending = _PendingRequest(event, self._replica.now)
+        self._pending[event.request] = pending
         if isinstance(event, RolloutOrdered):
             problem = find_problem(event.order)
             if problem is not None:
                 self._answer(event.request, RolloutRefused(problem))
                 return
-        self._ask_read(event.request)
+        self._start_read(event.request)
 
-    def take_read(self, number: int, confirmed: bool) -> bool:
-        """Take the outcome of a read; False if it is none of these questions'."""
+    def handle_read(self, number: int, confirmed: bool) -> bool:
+        """Handle the outcome of a read; return False if another component started it."""
         request = self._reads.pop(number, None)
         if request is None:
             return False
-        question = self._questions.get(request)
-        if question is not None and confirmed:
-            self._confirmed(request, question)
+        pending = self._pending.get(request)
+        if pending is not None and confirmed:
+            self._handle_confirmed_read(request, pending)
         return True
 
     def applied(self, outcomes: list[EditOutcome]) -> None:
-        """Answer the orders whose edit is applied here now; judge the others again."""
+        """Answer the orders whose edit has been applied here.
+
+        An order whose edit was refused is decided again on a newer state.
+        """
         by_id = {outcome.change_id: outcome for outcome in outcomes}
-        for request, question in list(self._questions.items()):
-            if question.edit is None or question.edit.change_id not in by_id:
+        for request, pending in list(self._pending.items()):
+            if pending.edit is None or pending.edit.change_id not in by_id:
                 continue
-            if isinstance(by_id[question.edit.change_id], EditAccepted):
+            if isinstance(by_id[pending.edit.change_id], EditAccepted):
                 self._answer(request, RolloutTaken())
             else:
-                question.edit = None
-                self._ask_read(request)
+                pending.edit = None
+                self._start_read(request)
 
     def tick(self) -> None:
-        """End what takes too long; ask again where nobody answered."""
+        """Answer requests that time out as undecided; retry reads and proposals."""
         now = self._replica.now
         reading = set(self._reads.values())
-        for request, question in list(self._questions.items()):
-            if now - question.asked_at >= ANSWER_SECONDS:
-                reason = NO_QUORUM if question.edit is None else UNDECIDED
+        for request, pending in list(self._pending.items()):
+            if now - pending.received_at >= ANSWER_SECONDS:
+                reason = NO_QUORUM if pending.edit is None else UNDECIDED
                 self._answer(request, RolloutUndecided(reason))
-            elif question.edit is not None:
-                if now - question.sent_at >= SEND_AGAIN_SECONDS:
-                    self._propose(question, question.edit)
+            elif pending.edit is not None:
+                if now - pending.sent_at >= RETRY_SECONDS:
+                    self._propose(pending, pending.edit)
             elif request not in reading:
-                self._ask_read(request)
+                self._start_read(request)
 
-    def _ask_read(self, request: int) -> None:
+    def _start_read(self, request: int) -> None:
         self._reads[self._replica.read()] = request
 
-    def _confirmed(self, request: int, question: _Question) -> None:
-        """Judge on a state that a quorum confirmed after the question came."""
-        match question.ask:
+    def _handle_confirmed_read(self, request: int, pending: _PendingRequest) -> None:
+        """Decide on a state that a quorum confirmed after the request came."""
+        match pending.event:
             case RolloutOrdered():
-                self._judge(request, question, question.ask.order)
+                self._decide(request, pending, pending.event.order)
             case RolloutAborted():
-                self._abort(request, question, question.ask.service)
+                self._abort(request, pending, pending.event.service)
             case RolloutWanted():
-                known = rollout_of(self._replica.state.tree, question.ask.service)
+                known = rollout_of(self._replica.state.tree, pending.event.service)
                 outcome = RolloutUnknown() if known is None else RolloutRead(known)
                 self._answer(request, outcome)
 
-    def _judge(self, request: int, question: _Question, order: RolloutOrder) -> None:
+    def _decide(self, request: int, pending: _PendingRequest, order: RolloutOrder) -> None:
         tree = self._replica.state.tree
         node = tree.nodes.get(service_path(order.service))
         if node is None:
@@ -222,7 +225,7 @@
             return
         known = rollout_of(tree, order.service)
         if known is not None:
-            answer = _answer_beside(known, order)
+            answer = _answer_from_latest(known, order)
             if answer is not None:
                 self._answer(request, answer)
                 return
@@ -231,55 +234,61 @@
             version=order.target_version,
             state=RUNNING,
             share=self._replica.rollouts.first_share,
-            began_milliseconds=self._began(known),
+            began_milliseconds=self._start_milliseconds(known),
             milliseconds=order.milliseconds,
         )
         change_id = f"rollout-{order.service}-{order.target_version}-{node.revision}"
-        self._propose(question, start_edit(rollout, change_id))
+        self._propose(pending, start_edit(rollout, change_id))
+
+    def _start_milliseconds(self, known: Rollout | None) -> int:
+        """Return the start time of a new roll-out in milliseconds since the Unix epoch.
 
-    def _began(self, known: Rollout | None) -> int:
-        """Give the moment of the order, later than that of the one before."""
+        It is always later than the start of the previous roll-out.
+        """
         now = self._replica.unix_milliseconds
         return now if known is None else max(now, known.began_milliseconds + 1)
 
-    def _abort(self, request: int, question: _Question, service: str) -> None:
+    def _abort(self, request: int, pending: _PendingRequest, service: str) -> None:
         known = rollout_of(self._replica.state.tree, service)
         if known is None:
             self._answer(request, RolloutUnknown())
         elif known.state == RUNNING:
-            self._propose(question, end_edit(known, ROLLED_BACK, ABORTED))
+            self._propose(pending, end_edit(known, ROLLED_BACK, ABORT_REASON))
         elif known.state == ROLLED_BACK:
             self._answer(request, RolloutTaken())
         else:
             problem = Problem("state", f"it is {known.state}", "a roll-out under way")
             self._answer(request, RolloutRefused(problem))
 
-    def _propose(self, question: _Question, edit: Edit) -> None:
-        """Have the leader propose the edit, again and again: it is taken once."""
-        question.edit = edit
-        question.sent_at = self._replica.now
+    def _propose(self, pending: _PendingRequest, edit: Edit) -> None:
+        """Have the leader propose the edit; it is accepted once even if repeated."""
+        pending.edit = edit
+        pending.sent_at = self._replica.now
         self._replica.submit_to_leader(edit)
 
     def _answer(self, request: int, outcome: RolloutOutcome) -> None:
-        question = self._questions.pop(request)
+        pending = self._pending.pop(request)
         self._replica.command(RolloutAnswered(request, outcome))
-        if not isinstance(question.ask, RolloutWanted):
-            self._replica.report(_notice(self._replica.name, question.ask, outcome))
+        if not isinstance(pending.event, RolloutWanted):
+            self._replica.report(_notice(self._replica.name, pending.event, outcome))
 
 
 def find_problem(order: RolloutOrder) -> Problem | None:
-    """Give what is wrong with an order taken alone."""
+    """Return what is wrong with an order regardless of the state, or None."""
     if not SETTING_RULES["rollout_version"].is_allowed(order.target_version):
         return Problem("target_version", "is no version", SOFTWARE_VERSION_RULE)
     seconds = order.duration_seconds
-    if not math.isfinite(seconds) or not 0.0 < seconds <= MOST_SECONDS:
-        allowed = f"above 0, at most {MOST_SECONDS:.0f} s"
+    if not math.isfinite(seconds) or not 0.0 < seconds <= MAX_ROLLOUT_SECONDS:
+        allowed = f"above 0, at most {MAX_ROLLOUT_SECONDS:.0f} s"
         return Problem("duration_seconds", f"is {seconds}", allowed)
     return None
 
 
-def _answer_beside(known: Rollout, order: RolloutOrder) -> RolloutOutcome | None:
-    """Answer an order that the latest roll-out settles, or None if it may begin."""
+def _answer_from_latest(known: Rollout, order: RolloutOrder) -> RolloutOutcome | None:
+    """Return the answer that the latest roll-out determines for an order.
+
+    Return None if the order may start a new roll-out.
+    """
     is_same = known.version == order.target_version
     if is_same and known.milliseconds == order.milliseconds:
         return RolloutTaken()
@@ -292,21 +301,23 @@
     return None
 
 
-def _notice(replica: str, ask: Ask, outcome: RolloutOutcome) -> notices.RolloutJudged:
-    version = ask.order.target_version if isinstance(ask, RolloutOrdered) else ""
-    service = ask.order.service if isinstance(ask, RolloutOrdered) else ask.service
-    name, detail = _words(outcome)
+def _notice(
+    replica: str, event: RolloutRequest, outcome: RolloutOutcome
+) -> notices.RolloutJudged:
+    version = event.order.target_version if isinstance(event, RolloutOrdered) else ""
+    service = event.order.service if isinstance(event, RolloutOrdered) else event.service
+    name, detail = _outcome_and_detail(outcome)
     return notices.RolloutJudged(
         replica=replica, service=service, version=version, outcome=name, detail=detail
     )
 
 
-def _words(outcome: RolloutOutcome) -> tuple[str, str]:
+def _outcome_and_detail(outcome: RolloutOutcome) -> tuple[str, str]:
     match outcome:
         case RolloutTaken():
             return "taken", ""
         case RolloutUnderWay(target_version=version):
-            return "under-way", f"that of {version} is"
+            return "under-way", f"the roll-out of {version} is in progress"
         case RolloutRefused(problem=problem):
             return "refused", f"{problem.subject} {problem.reason}"
         case RolloutUndecided(reason=reason):
--- a/src/peppershore/process/control/rollout_rules.py
+++ b/src/peppershore/process/control/rollout_rules.py
@@ -1,6 +1,6 @@
-"""What the leader decides about a roll-out under way: a list of rules, the first counts.
+"""The leader's decisions about a roll-out in progress: the first rule with a decision wins.
 
-Pure: the same view gives the same decision, whoever leads.
+The rules are pure functions: the same view gives the same decision on every leader.
 """
 
 from __future__ import annotations
@@ -13,40 +13,44 @@
 from peppershore.version.rollout import ALL_CALLS, Rollout
 
 WATCH_SHARE = 0.55
-"""Part of its time that a roll-out is watched with few calls.  The move takes 4 s: one
-with half of the calls, one until all nodes know, two until the last calls are over."""
+"""Share of the roll-out's duration in which the new version gets few calls and is observed.
+The remaining move takes 4 s: 1 s at half of the calls, 1 s until all nodes know the last
+step, 2 s until the last calls of the old version end."""
 
-MOST_WATCH_SECONDS = 60.0
-"""A long roll-out is not watched for longer: its callers wait for the new version."""
+MAX_WATCH_SECONDS = 60.0
+"""Bound on the observation in a long roll-out: callers wait for the new version."""
 
 LAST_WATCH_SHARE = 0.7
-"""What is not passed is watched until then; after it what it leans to counts, and too
-few calls take it back."""
+"""Share of the roll-out's duration up to which a version that has not passed is observed.
+After it the version is rolled back if it has had too few calls or if its doubt reaches
+``ROLLBACK_DOUBT``; otherwise it moves on."""
 
-LEANING = 3.0
-"""Without a verdict in time it is taken back if a bad version is 20 times likelier (the
-logarithm of that).  Machines that are slower than others look like less."""
+ROLLBACK_DOUBT = 3.0
+"""Doubt at which a version without a decision in time is rolled back. It is the logarithm
+of a likelihood ratio: a bad version is 20 times likelier. Machines that are slower than
+others cause less."""
 
-LEAST_CALLS = 30
-"""Calls at the new version that make a verdict: a version that fails in a fifth of its
-answers passes so many without a word once in 800 times."""
+MIN_CALLS = 30
+"""Calls at the new version that a decision needs. A version that fails a fifth of its calls
+gets through this many without a failure once in 800 times."""
 
 HALF = ALL_CALLS // 2
 HALF_SECONDS = 1.0
-"""Between half of the calls and all: new back ends warm up, and a version that is bad
-under load shows."""
+"""Time at half of the calls before the move to all of them: new back ends warm up, and a
+version that is bad under load shows it."""
 
-QUIET_SECONDS = 2.0
-"""After all nodes know that no call goes to the old version, until its last are over."""
+DRAIN_SECONDS = 2.0
+"""Time for the last calls of the old version to end, after all nodes know that no new call
+goes to it."""
 
 
 class RolloutView(msgspec.Struct, frozen=True):
-    """All that a decision goes by; times in seconds.
+    """All that a decision depends on; times in seconds.
 
-    ``elapsed`` since the order, ``since_step`` since the present share was taken,
-    ``known_for`` since all nodes confirmed it (below 0: they have not).  After
-    ``apply_seconds`` it counts as known all the same: a node that is down confirms
-    nothing.
+    ``elapsed`` counts from the order, ``since_step`` from the start of the present share,
+    and ``known_for`` from the confirmation of that share by all nodes (negative: not
+    confirmed yet). After ``apply_seconds`` the share counts as known without a
+    confirmation, because a node that is down confirms nothing.
     """
 
     rollout: Rollout
@@ -57,32 +61,32 @@
     apply_seconds: float = 1.0
 
     @property
-    def quiet_for(self) -> float:
-        """For how long the present share has held everywhere."""
+    def settled_for(self) -> float:
+        """Seconds for which the present share has held at all nodes."""
         return max(self.known_for, self.since_step - self.apply_seconds)
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Nothing is due; ``reason`` says for what it waits."""
+    """Nothing is to be done now; ``reason`` says what the roll-out waits for."""
 
     reason: str
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Let this part of the calls go to the new version."""
+    """Send this share of the calls to the new version."""
 
     share: int
     reason: str
 
 
 class Complete(msgspec.Struct, frozen=True):
-    """Nothing goes to the old version any more: it may end."""
+    """No call goes to the old version any more: its back ends may be stopped."""
 
     reason: str
 
 
 class RollBack(msgspec.Struct, frozen=True):
-    """Let nothing more go to the new version."""
+    """Send no more calls to the new version."""
 
     reason: str
 
@@ -92,35 +96,35 @@
 
 
 def decide(view: RolloutView) -> Decision:
-    """Give the decision of the first rule that has one."""
+    """Return the decision of the first rule that has one."""
     for rule in RULES:
         decision = rule(view)
         if decision is not None:
             return decision
-    raise AssertionError("the last rule decides always")
+    raise AssertionError("no rule decided, but the last one always does")
 
 
-def _condemned(view: RolloutView) -> Decision | None:
+def _roll_back_bad_version(view: RolloutView) -> Decision | None:
     reason = view.comparison.reason
     return RollBack(reason) if reason else None
 
 
-def _not_passed_in_time(view: RolloutView) -> Decision | None:
+def _roll_back_undecided(view: RolloutView) -> Decision | None:
     is_late = view.elapsed >= LAST_WATCH_SHARE * view.rollout.seconds
     if view.rollout.share >= HALF or not is_late:
         return None
     calls = view.comparison.calls
-    if calls < LEAST_CALLS:
-        return RollBack(f"only {calls} calls in time, {LEAST_CALLS} are needed")
-    if view.comparison.doubt >= LEANING:
+    if calls < MIN_CALLS:
+        return RollBack(f"only {calls} calls in time, {MIN_CALLS} are needed")
+    if view.comparison.doubt >= ROLLBACK_DOUBT:
         return RollBack(f"{calls} calls speak rather against it")
     return None
 
 
-def _watch(view: RolloutView) -> Decision | None:
+def _observe(view: RolloutView) -> Decision | None:
     if view.rollout.share >= HALF:
         return None
-    watch = min(MOST_WATCH_SECONDS, WATCH_SHARE * view.rollout.seconds)
+    watch = min(MAX_WATCH_SECONDS, WATCH_SHARE * view.rollout.seconds)
     if view.elapsed < watch:
         return Wait(f"watched for {watch:.1f} s")
     is_late = view.elapsed >= LAST_WATCH_SHARE * view.rollout.seconds
@@ -129,7 +133,7 @@
     return Move(HALF, f"{view.comparison.calls} calls show nothing against it")
 
 
-def _half(view: RolloutView) -> Decision | None:
+def _hold_at_half(view: RolloutView) -> Decision | None:
     if view.rollout.share >= ALL_CALLS:
         return None
     if view.since_step < HALF_SECONDS:
@@ -137,10 +141,16 @@
     return Move(ALL_CALLS, "half of the calls show nothing against it")
 
 
-def _all(view: RolloutView) -> Decision | None:
-    if view.quiet_for < QUIET_SECONDS:
+def _drain_old_version(view: RolloutView) -> Decision | None:
+    if view.settled_for < DRAIN_SECONDS:
         return Wait("the old version's last calls end")
-    return Complete(f"no call goes to the old version for {view.quiet_for:.1f} s")
+    return Complete(f"no call goes to the old version for {view.settled_for:.1f} s")
 
 
-RULES: tuple[Rule, ...] = (_condemned, _not_passed_in_time, _watch, _half, _all)
+RULES: tuple[Rule, ...] = (
+    _roll_back_bad_version,
+    _roll_back_undecided,
+    _observe,
+    _hold_at_half,
+    _drain_old_version,
+)
--- a/src/peppershore/process/control/rollouts.py
+++ b/src/peppershore/process/control/rollouts.py
@@ -1,8 +1,8 @@
-"""Roll-outs under way: gathers what back ends showed, and lets the leader decide.
+"""Roll-outs in progress: collects the evidence of back ends and lets the leader decide.
 
-Every replica notes when it saw each step taken, so that a new leader knows how far in
-time a roll-out is.  What stands is in the tree; only the evidence is in memory, and a new
-leader has it again within a second, as nodes tell it whole each time.
+Every replica notes when it saw each step, so that a new leader knows how far a roll-out has
+got. The steps themselves are in the tree. Evidence is held in memory only: a new leader
+receives it again within a second, because nodes send all of it each time.
 """
 
 from __future__ import annotations
@@ -41,31 +41,36 @@
 if TYPE_CHECKING:
     from peppershore.process.control.core import ControlCore
 
-WITHIN_EXPOSURE = 0.8
-"""Part of what a bad version may get that is used while it is watched.  The bound counts
-over the whole time, of which it is watched for a part: the share is higher by that, and
-a verdict comes earlier.  Calls are drawn one by one, and come unevenly."""
+USED_EXPOSURE_SHARE = 0.8
+"""Part of the permitted exposure to a bad version that is used while the version is
+observed. The rest is a margin, since calls are distributed at random one by one and arrive
+unevenly. The bound counts over the whole duration, and the observation lasts for a part of
+it: the share of calls is higher by that factor, which brings a decision earlier."""
 
 SETTLING_SECONDS = 1.0
-"""A leader decides nothing before that: nodes tell their evidence twice a second."""
+"""A new leader decides nothing for this long: nodes send their evidence twice a second."""
 
 APPLY_SHARE = 0.5
-"""A step counts as known after half of the time within which nodes use a change: they do
-after 0.1 to 0.3 s of 2.  What one that is later sends to a back end that has ended is
-refused by its machine, and goes elsewhere as not run."""
+"""A step counts as known after this part of the time within which nodes apply a change:
+they do so after 0.1 to 0.3 s where 2 s are allowed. A call that a node sends later to a
+back end that has exited is refused by that machine and retried elsewhere, since it was not
+executed."""
 
-MOST_BACK_ENDS = 20_000
-MILLISECONDS = 1_000
+MAX_BACK_ENDS = 20_000
+MILLISECONDS_PER_SECOND = 1_000
 
 
 def first_share(exposure_share: float) -> int:
-    """Give the part of the calls with which a new version is watched."""
-    share = exposure_share * WITHIN_EXPOSURE / WATCH_SHARE
+    """Return the share of calls at which a new version is observed.
+
+    The unit is the one of ``ALL_CALLS``.
+    """
+    share = exposure_share * USED_EXPOSURE_SHARE / WATCH_SHARE
     return max(1, min(HALF - 1, round(share * ALL_CALLS)))
 
 
 class _Step(msgspec.Struct):
-    """When this replica first saw a share in place, and known everywhere."""
+    """Times at which this replica saw a share in place, and known at all nodes."""
 
     rollout: Rollout
     seen_at: float
@@ -73,33 +78,34 @@
 
 
 class Rollouts:
-    """The roll-outs of one replica."""
+    """The roll-outs as one replica follows them, and its decisions while it leads."""
 
     def __init__(
         self, replica: ControlCore, exposure_share: float, apply_milliseconds: float
     ) -> None:
-        """``exposure_share``: part of a service's calls that a bad version may get.
+        """Start without roll-outs and evidence.
 
-        Nodes use a change within ``apply_milliseconds``.
+        ``exposure_share`` is the part of a service's calls that a bad version may get.
+        Nodes apply a change within ``apply_milliseconds``.
         """
-        self._apply_seconds = apply_milliseconds * APPLY_SHARE / MILLISECONDS
+        self._apply_seconds = apply_milliseconds * APPLY_SHARE / MILLISECONDS_PER_SECOND
         self.first_share = first_share(exposure_share)
         self._replica = replica
         self._evidence: dict[str, BackEndEvidence] = {}
         self._tree: Tree | None = None
         self._steps: dict[str, _Step] = {}
-        self._began: dict[tuple[str, int], float] = {}
+        self._started_at: dict[tuple[str, int], float] = {}
         self._leads_since = 0.0
-        self._told: dict[str, str] = {}
+        self._last_reasons: dict[str, str] = {}
 
     # --- evidence ---------------------------------------------------------------
 
-    def take(self, evidence: BackEndEvidence) -> None:
-        """Take what a back end showed; one that does not lead passes it on."""
+    def add_evidence(self, evidence: BackEndEvidence) -> None:
+        """Store the evidence of a back end; a follower also sends it to the leader."""
         known = self._evidence.get(evidence.node)
-        if known is not None and _order(evidence) <= _order(known):
+        if known is not None and _report_order(evidence) <= _report_order(known):
             return
-        if known is None and len(self._evidence) >= MOST_BACK_ENDS:
+        if known is None and len(self._evidence) >= MAX_BACK_ENDS:
             return
         self._evidence[evidence.node] = evidence
         if not self._replica.leads:
@@ -108,7 +114,7 @@
                 self._replica.send_to_peer(leader, EvidencePassed(evidence))
 
     def comparison(self, rollout: Rollout) -> Comparison:
-        """Compare both versions by all that is known."""
+        """Return the comparison of both versions by all evidence held here."""
         found = (
             each
             for each in self._evidence.values()
@@ -120,11 +126,11 @@
     # --- decisions --------------------------------------------------------------
 
     def leadership_gained(self) -> None:
-        """Decide from now on, once nodes had time to tell what they know."""
+        """Start to decide, after nodes have had time to send their evidence."""
         self._leads_since = self._replica.now
 
     def tick(self) -> None:
-        """Note the steps taken; decide, if this replica leads."""
+        """Note new steps; decide on every roll-out if this replica leads."""
         self._note_steps()
         now = self._replica.now
         if not self._replica.leads or now - self._leads_since < SETTLING_SECONDS:
@@ -134,34 +140,40 @@
             self._carry_out(step.rollout, view, decide(view))
 
     def describe(self, rollout: Rollout) -> str:
-        """Say what a roll-out waits for, as the leader told last."""
-        return self._told.get(rollout.service, "")
+        """Return the reason of this replica's last decision on a roll-out as leader.
+
+        Return an empty string if it has made none.
+        """
+        return self._last_reasons.get(rollout.service, "")
 
     def elapsed(self, rollout: Rollout) -> float:
-        """Give the seconds since a roll-out was ordered, as this replica saw them.
+        """Return the seconds since a roll-out was ordered, as this replica measured them.
 
-        After a start of this process the wall clock tells it, unless that was set:
-        then the time before the start is not counted.
+        After a restart of this process the time before it is taken from the wall clock. It
+        is left out if the wall clock's value is implausible, as after a change of the
+        clock.
         """
         now = self._replica.now
         key = (rollout.service, rollout.began_milliseconds)
-        if key not in self._began:
+        if key not in self._started_at:
             before = self._replica.unix_milliseconds - rollout.began_milliseconds
             is_plausible = 0 <= before <= 2 * rollout.milliseconds
-            self._began[key] = now - (before / MILLISECONDS if is_plausible else 0.0)
-        return now - self._began[key]
+            self._started_at[key] = now - (
+                before / MILLISECONDS_PER_SECOND if is_plausible else 0.0
+            )
+        return now - self._started_at[key]
 
     def _note_steps(self) -> None:
         tree = self._replica.state.tree
         if tree is not self._tree:
             self._tree = tree
-            self._read(tree)
+            self._update_steps(tree)
         in_force = self._replica.in_force
         for step in self._steps.values():
             if step.known_at < 0.0 and in_force >= step.rollout.revision:
                 step.known_at = self._replica.now
 
-    def _read(self, tree: Tree) -> None:
+    def _update_steps(self, tree: Tree) -> None:
         running: dict[str, _Step] = {}
         for service in services_of(tree):
             rollout = rollout_of(tree, service)
@@ -181,10 +193,10 @@
             (each.rollout.service, each.rollout.began_milliseconds)
             for each in self._steps.values()
         }
-        self._began = {key: at for key, at in self._began.items() if key in began}
+        self._started_at = {key: at for key, at in self._started_at.items() if key in began}
         if not self._steps:
             self._evidence.clear()
-            self._told.clear()
+            self._last_reasons.clear()
 
     def _view(self, step: _Step, now: float) -> RolloutView:
         known_for = now - step.known_at if step.known_at >= 0.0 else -1.0
@@ -198,7 +210,7 @@
         )
 
     def _carry_out(self, rollout: Rollout, view: RolloutView, decision: Decision) -> None:
-        self._told[rollout.service] = decision.reason
+        self._last_reasons[rollout.service] = decision.reason
         edit = _edit_of(rollout, decision)
         if edit is None:
             return
@@ -211,7 +223,7 @@
                 decision=type(decision).__name__.lower(),
                 share=rollout.share,
                 reason=decision.reason,
-                elapsed_milliseconds=round(view.elapsed * MILLISECONDS),
+                elapsed_milliseconds=round(view.elapsed * MILLISECONDS_PER_SECOND),
                 back_ends=comparison.back_ends,
                 calls=comparison.calls,
                 all_calls=comparison.all_calls,
@@ -232,7 +244,7 @@
             return end_edit(rollout, ROLLED_BACK, reason)
 
 
-def _order(evidence: BackEndEvidence) -> tuple[int, int]:
+def _report_order(evidence: BackEndEvidence) -> tuple[int, int]:
     return (evidence.incarnation, evidence.number)
 
 
--- a/src/peppershore/process/control/rotation.py
+++ b/src/peppershore/process/control/rotation.py
@@ -1,8 +1,8 @@
 """The barrier of a secret's rotation: all verifiers hold a key before any signer uses it.
 
-``PutSecret`` adds a generation that nodes verify with but don't sign with.  Once
-every node holds that version, the leader itself proposes ``PromoteSecret``.  A
-wait beyond the bound is reported; nothing is promoted because time has passed.
+``PutSecret`` adds a generation that nodes verify with but don't sign with. Once every node
+holds that version, the leader itself proposes ``PromoteSecret``. A wait beyond the bound is
+reported; nothing is promoted merely because time has passed.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 OVERDUE_SECONDS = 60.0
 ROTATION_AUTHOR = "peppershore"
-SHOWN_NODES = 3
+MAX_SHOWN_NODES = 3
 
 
 class RotationOverdue(Notice, frozen=True):
-    """A rotation waits longer than its bound; the old key stays in use."""
+    """A rotation has waited longer than its bound; the old key stays in use."""
 
     level: ClassVar[str] = "warning"
     secret: str
@@ -47,23 +47,28 @@
 
 
 class RotationBarrier:
-    """Judges which rotations may go on, and says what the others wait for."""
+    """Decides which rotations may proceed, and describes what the others wait for."""
 
     def __init__(self, progress: ProgressTable, started_at: float) -> None:
-        """Reports are complete once every relay had time to send one."""
+        """Start without rotations.
+
+        Reports count as complete once every relay has had time to send one since
+        ``started_at`` (monotonic seconds).
+        """
         self._progress = progress
         self._started_at = started_at
         self._waiting: dict[str, _Waiting] = {}
 
     def restart(self, now: float) -> None:
-        """This replica leads from now on: every relay must have time to report to it.
+        """Wait for new reports because this replica has begun to lead.
 
-        A follower knows other replicas' relays by the former leader's last table only.
+        A follower knows the relays of other replicas only by the former leader's last
+        table, so every relay must have time to report to the new leader.
         """
         self._started_at = now
 
     def due(self, tree: Tree, now: float) -> list[Edit]:
-        """Promotions whose barrier is passed."""
+        """Return the promotions of the rotations whose barrier is passed."""
         self._note_waiting(tree, now)
         return [
             _promotion(name, tree.secrets[name])
@@ -72,7 +77,7 @@
         ]
 
     def overdue(self, tree: Tree, now: float) -> list[RotationOverdue]:
-        """Rotations that have just passed their bound."""
+        """Return the rotations that have just passed their bound, once each."""
         self._note_waiting(tree, now)
         found: list[RotationOverdue] = []
         for name, waiting in sorted(self._waiting.items()):
@@ -83,7 +88,7 @@
         return found
 
     def descriptions(self, tree: Tree, now: float) -> tuple[str, ...]:
-        """What each rotation under way waits for, for people to read."""
+        """Return what each rotation in progress waits for, as text for operators."""
         self._note_waiting(tree, now)
         return tuple(
             self._describe(name, tree.secrets[name], now) for name in sorted(self._waiting)
@@ -110,7 +115,10 @@
                 self._waiting[name] = _Waiting(revision, now)
 
     def _obstacle(self, secret: Secret, now: float) -> str:
-        """Why signers may not change yet, every reason of it; "" if they may."""
+        """Return all reasons why signers may not use the new key yet.
+
+        The result is empty if they may.
+        """
         relays = self._progress.relays()
         if not relays:
             return "no relay reports"
@@ -121,27 +129,29 @@
         if missing:
             found.append(f"no report from relay {', '.join(missing)}")
         revision = secret.revision
-        found += [_behind(each, revision) for each in relays if each.in_force < revision]
-        found += [_silent(each.report, revision) for each in relays]
+        found += [
+            _lagging_reason(each, revision) for each in relays if each.in_force < revision
+        ]
+        found += [_silent_nodes_reason(each.report, revision) for each in relays]
         return "; ".join(reason for reason in found if reason)
 
 
-def _behind(relay: RelayProgress, wanted: Version) -> str:
+def _lagging_reason(relay: RelayProgress, wanted: Version) -> str:
     report = relay.report
     lagging = [node for node in report.lagging if node.version < wanted]
-    shown = ", ".join(f"{node.node} ({node.reason})" for node in lagging[:SHOWN_NODES])
+    shown = ", ".join(f"{node.node} ({node.reason})" for node in lagging[:MAX_SHOWN_NODES])
     reached = f"relay {report.relay} is at version {relay.in_force} of {wanted}"
     if not report.settled:
         reached += ", started a moment ago and may not know all its nodes"
     return f"{reached}: {shown}" if shown else reached
 
 
-def _silent(report: ProgressReported, wanted: Version) -> str:
-    """Name the nodes that left a relay without a word and lack the key."""
+def _silent_nodes_reason(report: ProgressReported, wanted: Version) -> str:
+    """Return text on the nodes that left a relay without notice and lack the key."""
     nodes = [each for each in report.silent if each.version < wanted]
     if not nodes:
         return ""
-    shown = ", ".join(f"{each.node} ({each.reason})" for each in nodes[:SHOWN_NODES])
+    shown = ", ".join(f"{each.node} ({each.reason})" for each in nodes[:MAX_SHOWN_NODES])
     return f"relay {report.relay} has not seen again {shown}"
 
 
@@ -155,7 +165,11 @@
 
 
 def _promotion(name: str, secret: Secret) -> Edit:
-    """One generation at a time: verifiers keep the one that signers come from."""
+    """Return the edit that promotes the next generation.
+
+    Only one generation is promoted at a time: verifiers retain the one that signers used
+    before.
+    """
     generation = _next_generation(secret)
     return Edit(
         change_id=f"v{secret.revision}-promote-{name}-{generation}",
--- a/src/peppershore/process/control/shell.py
+++ b/src/peppershore/process/control/shell.py
@@ -25,9 +25,9 @@
 async def run_control(
     settings: ControlSettings, on_ready: Callable[[int], None] | None = None
 ) -> None:
-    """Run a control replica until its planned stop; tell ``on_ready`` the port bound.
+    """Run a control replica until its planned stop.
 
-    Raises SystemExit if the store is refused.
+    ``on_ready`` is called with the bound port. Raises SystemExit if the store is refused.
     """
     place = ReplicaPlace.of("control", settings)
     process = ReplicaProcess(place, lambda stored: ControlCore(settings, stored))
@@ -42,7 +42,10 @@
 
 
 def _add_gauges(process: ReplicaProcess[ControlCore]) -> None:
-    """Add what this replica knows of the rollout; rotations only while it leads."""
+    """Add gauges of what this replica knows of the distribution of edits.
+
+    Rotations are counted only while the replica leads.
+    """
     gauge = process.metrics.gauge
     core = process.core
     gauge("version", "Newest accepted version.", lambda: core.state.tree.version)
--- a/src/peppershore/process/control/state.py
+++ b/src/peppershore/process/control/state.py
@@ -28,7 +28,7 @@
 
 
 class StateImage(msgspec.Struct, frozen=True, array_like=True):
-    """The encoded form of the whole state."""
+    """The encoded form of the complete state."""
 
     tree: Tree
     horizon_version: Version
@@ -43,17 +43,20 @@
 
 
 def encode_command(command: ControlCommand) -> bytes:
-    """Payload of a log entry: it crosses to every replica, so a long one is packed."""
+    """Encode a command as the payload of a log entry.
+
+    A long payload is packed, because it is sent to every replica.
+    """
     return pack_block(_ENCODER.encode(command))
 
 
 def decode_command(payload: bytes) -> ControlCommand:
-    """Command of a log entry that this program wrote, packed or not."""
+    """Decode the payload of a log entry, packed or not."""
     return _COMMANDS.decode(unpack_block(payload))
 
 
 class ControlState:
-    """Applies log commands; an equal log gives an equal state on every replica."""
+    """Applies log commands; the same log gives the same state on every replica."""
 
     def __init__(self, cluster: str, outcome_capacity: int, history_capacity: int) -> None:
         """Start with the empty tree."""
@@ -65,11 +68,11 @@
         self._new_edits: list[CommittedEdit] = []
 
     def prepare(self, index: int, applied: AppliedEdit) -> None:
-        """The leader already knows what its own proposal at ``index`` gives."""
+        """Store the result of the leader's own proposal at ``index`` for ``apply``."""
         self._prepared[index] = applied
 
     def forget_prepared(self) -> None:
-        """What stands at those indexes may now be another leader's."""
+        """Drop prepared results: another leader may now write those entries."""
         self._prepared.clear()
 
     def apply(self, index: int, payload: bytes) -> None:
@@ -88,18 +91,18 @@
         self._record(index, EditAccepted(edit.change_id, index))
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Return the complete state in encoded form."""
         image = StateImage(
             self.tree,
             self.outcomes.horizon_version,
             self.outcomes.all_recorded(),
             self.history.base_version,
-            self.history.all_kept(),
+            self.history.retained_edits(),
         )
         return pack_block(_ENCODER.encode(image))
 
     def restore(self, state: bytes) -> None:
-        """Replace the whole state by an encoded one."""
+        """Replace the complete state by an encoded one."""
         image = _IMAGES.decode(unpack_block(state))
         self.tree = image.tree
         self.outcomes.restore(image.horizon_version, image.outcomes)
@@ -107,21 +110,21 @@
         self._prepared.clear()
 
     def begin_history(self, version: Version) -> None:
-        """Let the tree count as ``version`` and keep no edit before it.
+        """Set the version of the tree to ``version`` and drop all retained edits.
 
-        Whoever followed before is sent the whole tree.
+        A relay that followed before is sent the complete tree.
         """
         self.tree = msgspec.structs.replace(self.tree, version=version)
         self.history.restore(version, ())
 
     def take_new_outcomes(self) -> list[EditOutcome]:
-        """Outcomes recorded since the last call, in log order."""
+        """Return the outcomes recorded since the last call, in log order."""
         taken = self._new_outcomes
         self._new_outcomes = []
         return taken
 
     def take_new_edits(self) -> list[CommittedEdit]:
-        """Edits accepted since the last call, in log order."""
+        """Return the edits accepted since the last call, in log order."""
         taken = self._new_edits
         self._new_edits = []
         return taken
--- a/src/peppershore/process/control/version_comparison.py
+++ b/src/peppershore/process/control/version_comparison.py
@@ -1,9 +1,11 @@
-"""Whether a new version of a service's software is worse than the one beside it.
-
-Both run at the same time for the same callers, and are compared with each other, never
-with the past.  The test is sequential (Wald's probability ratio): it may be asked after
-every call without being wrong more often for that, and tells soon where a version is
-clearly bad.  By route, since some versions are bad on one alone, and over all.
+"""Decides whether a new version of a service is worse than the one running next to it.
+
+Both versions run at the same time for the same callers and are compared with each other,
+never with the past. The test is sequential (Wald's probability ratio test): it may be
+evaluated after every call without raising its error rate, and it decides early where a
+version is clearly bad. Versions are compared by route, since some are bad on one route
+alone, and over all routes. The doubt about a new version is the logarithm of a likelihood
+ratio: how much likelier the observed calls are if the version is bad than if it is good.
 """
 
 from __future__ import annotations
@@ -17,47 +19,51 @@
 from peppershore.connection.messages.rollouts import BackEndEvidence
 
 ERROR_RATE = 0.001
-"""A good version is condemned about so often by each test, and a bad one passed."""
+"""Approximate rate at which each test rejects a good version or passes a bad one."""
 
-CONDEMNED = math.log((1.0 - ERROR_RATE) / ERROR_RATE)
+REJECT_LOG_RATIO = math.log((1.0 - ERROR_RATE) / ERROR_RATE)
 
-PASSED = math.log(0.01)
-"""So much likelier must it be that all is well: bad ones pass once in a hundred times,
-and are watched on while they take more calls."""
+PASS_LOG_RATIO = math.log(0.01)
+"""Doubt up to which a version passes: it is then 100 times likelier to be good. Bad
+versions pass once in a hundred times; they stay under observation while they get more
+calls."""
 
-FAILURES_BORNE = 0.03
-FAILURES_BAD = 0.13
-"""Shares of failed answers beyond those of the old version: up to the first all is well,
-from the second on it is bad.  With 20 in 100 it shows after some 34 calls."""
+ACCEPTABLE_FAILURE_SHARE = 0.03
+BAD_FAILURE_SHARE = 0.13
+"""Shares of failed calls above that of the old version: up to the first the new version is
+acceptable, from the second on it is bad. A version that fails 20 in 100 is found after some
+34 calls."""
 
-SLOWER_BY_BUCKETS = 2
-"""An answer counts as slow from 1.6 times the old version's median on: machines differ
-by 0.6 to 1.4 in speed, and versions are taken as bad from twice as slow on."""
+SLOW_BUCKET_OFFSET = 2
+"""A call counts as slow from 1.6 times the old version's median on: machines differ by 0.6
+to 1.4 in speed, and a version counts as bad if it is at least twice as slow."""
 
-SLOW_BORNE = 0.34
-SLOW_BAD = 0.50
-"""Shares of slow answers over machines of different speed.  Of the old version itself
-0.28 are (times spread by 0.8 of their mean), of one 1.3 times slower 0.39, of one twice
-as slow 0.56."""
+ACCEPTABLE_SLOW_SHARE = 0.34
+BAD_SLOW_SHARE = 0.50
+"""Shares of slow calls over machines of different speed: acceptable, and bad. The share is
+0.28 for the old version itself (times spread by 0.8 of their mean), 0.39 for a version 1.3
+times as slow, and 0.56 for one twice as slow."""
 
-LEAST_OLD_CALLS = 20
-"""So many times of the old version make a reference."""
+MIN_OLD_CALLS = 20
+"""Timed calls of the old version that a reference needs."""
 
-LEAST_CALLS = 5
-"""Fewer calls of a route keep nobody from passing the version."""
+MIN_ROUTE_CALLS = 5
+"""A route with fewer calls doesn't keep the version from passing."""
 
-LEAST_CALLS_OF_ONE = 3
-"""So many calls of one back end say something of it.  A bad version fails at more than
-half of its back ends; where it is fewer, it is the machines."""
+MIN_BACK_END_CALLS = 3
+"""Calls that a back end needs to be judged. A bad version fails at more than half of its
+back ends; if fewer fail, their machines are at fault."""
 
-LEAST_BACK_ENDS_TO_TRIM = 3
-"""Of so many back ends or more the worst one is left out: it may be the machine."""
+MIN_BACK_ENDS_TO_TRIM = 3
+"""Among this many back ends or more the worst one is left out, because its machine may be
+at fault."""
 
 
 class VersionCounts(msgspec.Struct):
-    """What calls of one route came to, at back ends of one version.
+    """Results of the calls of one route at the back ends of one version.
 
-    ``back_ends`` had calls enough to judge by, ``failing_back_ends`` of them failed some.
+    ``times`` counts calls by bucket of service time. ``back_ends`` had enough calls to be
+    judged, and ``failing_back_ends`` of them failed at least one.
     """
 
     calls: int = 0
@@ -67,10 +73,10 @@
     failing_back_ends: int = 0
 
     def add(self, calls: int, failed: int, times: Iterable[tuple[int, int]]) -> None:
-        """Add counts of one back end."""
+        """Add the counts of one back end."""
         self.calls += calls
         self.failed += failed
-        if calls >= LEAST_CALLS_OF_ONE:
+        if calls >= MIN_BACK_END_CALLS:
             self.back_ends += 1
             self.failing_back_ends += failed > 0
         for bucket, count in times:
@@ -78,9 +84,10 @@
 
 
 class RouteComparison(msgspec.Struct, frozen=True):
-    """Both versions on one route ("" over all routes), and what speaks against the new.
+    """Both versions on one route ("" for all routes together).
 
-    ``doubt`` is the logarithm of how much likelier a bad version makes what was seen.
+    ``reason`` says why the new version is rejected; it is empty if it is not. ``doubt`` is
+    the logarithm of the likelihood ratio of a bad new version to a good one.
     """
 
     route: str
@@ -91,7 +98,7 @@
 
     @property
     def figures(self) -> str:
-        """Both versions' counts, for people to read."""
+        """Both versions' counts, as text for operators."""
         median = _median(self.old)
         return (
             f"{self.route or 'all'}: new {self.new.failed} of {self.new.calls} failed, "
@@ -104,8 +111,8 @@
 class Comparison(msgspec.Struct, frozen=True):
     """Both versions of a service.
 
-    ``back_ends`` of the new version have told something; ``calls`` ran there, of
-    ``all_calls``.
+    ``back_ends`` is the number of the new version's back ends that have sent evidence;
+    ``calls`` ran there, of ``all_calls`` at both versions.
     """
 
     routes: tuple[RouteComparison, ...]
@@ -115,7 +122,7 @@
 
     @property
     def doubt(self) -> float:
-        """What speaks most against the new version, over all and on its busiest route."""
+        """The higher doubt of all routes together and of the busiest route."""
         if not self.calls:
             return 0.0
         *by_route, over_all = self.routes
@@ -124,39 +131,41 @@
 
     @property
     def is_passed(self) -> bool:
-        """Whether all is well with the new version, as far as was seen."""
-        others = (each.doubt for each in self.routes if each.new.calls >= LEAST_CALLS)
-        return self.doubt <= PASSED and max(others, default=0.0) <= 0.0
+        """Whether the new version passes by the evidence so far."""
+        others = (each.doubt for each in self.routes if each.new.calls >= MIN_ROUTE_CALLS)
+        return self.doubt <= PASS_LOG_RATIO and max(others, default=0.0) <= 0.0
 
     @property
     def reason(self) -> str:
-        """What condemns the new version, or ""."""
+        """Why the new version is rejected; empty if it is not."""
         return next((each.reason for each in self.routes if each.reason), "")
 
 
 def compare(evidence: Iterable[BackEndEvidence], version: str) -> Comparison:
     """Compare the back ends of ``version`` with all others of the service."""
-    listed = list(evidence)
-    new = [each for each in listed if each.version == version]
-    old = [each for each in listed if each.version != version]
+    all_evidence = list(evidence)
+    new = [each for each in all_evidence if each.version == version]
+    old = [each for each in all_evidence if each.version != version]
     new_counts, old_counts = _by_route(_trimmed(new)), _by_route(_trimmed(old))
     routes = sorted(new_counts.keys() | old_counts.keys())
     compared = [
-        _compared(
+        _compare_route(
             route,
             new_counts.get(route, VersionCounts()),
             old_counts.get(route, VersionCounts()),
         )
         for route in routes
     ]
-    compared.append(_compared("", _failures(new_counts), _failures(old_counts)))
+    compared.append(
+        _compare_route("", _total_counts(new_counts), _total_counts(old_counts))
+    )
     calls = _calls(new)
     return Comparison(tuple(compared), len(new), calls, calls + _calls(old))
 
 
 def _trimmed(back_ends: list[BackEndEvidence]) -> list[BackEndEvidence]:
-    """Leave out the back end with most failures where others remain to judge by."""
-    if len(back_ends) < LEAST_BACK_ENDS_TO_TRIM:
+    """Leave out the back end with most failures if enough others remain to judge by."""
+    if len(back_ends) < MIN_BACK_ENDS_TO_TRIM:
         return back_ends
     worst = max(back_ends, key=lambda each: sum(route.failed for route in each.routes))
     return [each for each in back_ends if each is not worst]
@@ -172,8 +181,11 @@
     return found
 
 
-def _failures(by_route: dict[str, VersionCounts]) -> VersionCounts:
-    """Add up calls and failures; times of different routes say nothing together."""
+def _total_counts(by_route: dict[str, VersionCounts]) -> VersionCounts:
+    """Add up calls and failures over all routes.
+
+    Service times are left out, because those of different routes are not comparable.
+    """
     total = VersionCounts()
     for counts in by_route.values():
         total.add(counts.calls, counts.failed, ())
@@ -188,15 +200,15 @@
     return sum(route.calls for each in back_ends for route in each.routes)
 
 
-def _compared(route: str, new: VersionCounts, old: VersionCounts) -> RouteComparison:
+def _compare_route(route: str, new: VersionCounts, old: VersionCounts) -> RouteComparison:
     failures, slowness = _failure_doubt(new, old), _slowness_doubt(new, old)
     reason = ""
-    if failures >= CONDEMNED and 2 * new.failing_back_ends > new.back_ends:
+    if failures >= REJECT_LOG_RATIO and 2 * new.failing_back_ends > new.back_ends:
         reason = (
             f"{new.failed} of {new.calls} calls failed, "
             f"{old.failed} of {old.calls} at the old version"
         )
-    elif slowness >= CONDEMNED:
+    elif slowness >= REJECT_LOG_RATIO:
         reason = (
             f"{_slower_count(new, _median(old))} of {new.times.total()} calls took over "
             f"1.6 times the old version's median"
@@ -208,27 +220,27 @@
 
 def _failure_doubt(new: VersionCounts, old: VersionCounts) -> float:
     usual = (old.failed + 0.5) / (old.calls + 1.0)
-    borne = min(0.5, usual + FAILURES_BORNE)
-    bad = min(0.9, usual + FAILURES_BAD)
-    return _ratio(new.failed, new.calls, borne, bad)
+    acceptable = min(0.5, usual + ACCEPTABLE_FAILURE_SHARE)
+    bad = min(0.9, usual + BAD_FAILURE_SHARE)
+    return _log_likelihood_ratio(new.failed, new.calls, acceptable, bad)
 
 
 def _slowness_doubt(new: VersionCounts, old: VersionCounts) -> float:
-    """Give minus infinity where there is nothing to compare with."""
+    """Return minus infinity if there is nothing to compare with."""
     timed = new.times.total()
-    if not timed or old.times.total() < LEAST_OLD_CALLS:
+    if not timed or old.times.total() < MIN_OLD_CALLS:
         return -math.inf
     slower = _slower_count(new, _median(old))
-    return _ratio(slower, timed, SLOW_BORNE, SLOW_BAD)
+    return _log_likelihood_ratio(slower, timed, ACCEPTABLE_SLOW_SHARE, BAD_SLOW_SHARE)
 
 
 def _slower_count(new: VersionCounts, median: int) -> int:
-    slow = median + SLOWER_BY_BUCKETS
+    slow = median + SLOW_BUCKET_OFFSET
     return sum(count for bucket, count in new.times.items() if bucket > slow)
 
 
 def _median(counts: VersionCounts) -> int:
-    """Give the bucket within which half of the calls were over."""
+    """Return the bucket within which half of the calls ended."""
     half = counts.times.total() / 2.0
     seen = 0
     for bucket, count in sorted(counts.times.items()):
@@ -238,7 +250,13 @@
     return 0
 
 
-def _ratio(hits: int, calls: int, borne: float, bad: float) -> float:
-    """Give the logarithm of how much likelier the counts are if it is bad."""
+def _log_likelihood_ratio(hits: int, calls: int, acceptable: float, bad: float) -> float:
+    """Return the log likelihood ratio of a bad version to a good one.
+
+    ``hits`` of ``calls`` failed or were slow. ``acceptable`` and ``bad`` are the rates of
+    such calls at a good and at a bad version.
+    """
     misses = calls - hits
-    return hits * math.log(bad / borne) + misses * math.log((1 - bad) / (1 - borne))
+    return hits * math.log(bad / acceptable) + misses * math.log(
+        (1 - bad) / (1 - acceptable)
+    )
--- a/tests/control/test_edit_notices.py
+++ b/tests/control/test_edit_notices.py
@@ -1,4 +1,4 @@
-"""The leader reports each edit accepted or refused, and only the leader does."""
+"""Only the leader reports edits, each one once: as accepted or as refused."""
 
 from __future__ import annotations
 
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -1,4 +1,4 @@
-"""What a relay is sent that begins to follow a replica."""
+"""What a replica sends to a relay that starts to follow it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,11 @@
 
 
 def _sent_while_a_restarted_replica_catches_up(after: int, at_once: int) -> list[object]:
-    """A replica knows what is committed only after it heard of a leader."""
+    """Return what a relay is sent that follows a replica just after its restart.
+
+    The replica knows what is committed only after it has heard from a leader; it then
+    applies ``at_once`` edits together.
+    """
     state = ControlState("test", 1_000, 1_000)
     relays = Followers(state)
     relays.follow(2, FollowRequest("test", "r1", "pasila", after))
--- a/tests/control/test_followers_sent_away.py
+++ b/tests/control/test_followers_sent_away.py
@@ -1,4 +1,4 @@
-"""A replica whose disk refuses writes sends its relays to the others at once."""
+"""A replica whose disk refuses writes redirects its relays to other replicas at once."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from peppershore.version.model import Edit, Overrides, SetOverrides
 
 CONFIRMATION_SECONDS = 2.0
-"""So long a relay would wait for a confirmation before it leaves by itself."""
+"""Time that a relay waits for a confirmation before it leaves by itself."""
 
 
-def _heard_by_a_relay_of_the_leader(cluster: ControlCluster) -> list[Message]:
+def _messages_to_a_relay_of_the_leader(cluster: ControlCluster) -> list[Message]:
     cluster.run_until(lambda: cluster.leader() is not None)
     leader = cluster.leader()
     assert leader is not None
-    heard: list[Message] = []
-    link = cluster.connect(leader, heard.append)
+    received: list[Message] = []
+    link = cluster.connect(leader, received.append)
     assert link is not None
     cluster.send(leader, link, FollowRequest("test", "r1", "pasila", 0))
     cluster.run(0.1)
@@ -30,15 +30,15 @@
     edit = Edit("one", (SetOverrides("/kassa", Overrides(slots=9)),))
     cluster.send(leader, operator, SubmitEdit(edit))
     cluster.run(CONFIRMATION_SECONDS / 10)
-    return heard
+    return received
 
 
 @pytest.mark.parametrize("names", [("a", "b", "c"), ("a", "b", "c", "d", "e")])
 def test_relays_are_sent_away_by_a_full_disk(names: tuple[str, ...]) -> None:
-    heard = _heard_by_a_relay_of_the_leader(ControlCluster(names, seed=4))
-    assert sum(isinstance(each, Goodbye) for each in heard) == 1
+    received = _messages_to_a_relay_of_the_leader(ControlCluster(names, seed=4))
+    assert sum(isinstance(each, Goodbye) for each in received) == 1
 
 
 def test_relays_of_the_only_replica_stay() -> None:
-    heard = _heard_by_a_relay_of_the_leader(ControlCluster(("a",), seed=4))
-    assert not any(isinstance(each, Goodbye) for each in heard)
+    received = _messages_to_a_relay_of_the_leader(ControlCluster(("a",), seed=4))
+    assert not any(isinstance(each, Goodbye) for each in received)
--- a/tests/control/test_group_recovered.py
+++ b/tests/control/test_group_recovered.py
@@ -1,4 +1,4 @@
-"""A majority is lost for good: a new group from one store, also from a backup."""
+"""After permanent loss of a majority a new group is made from one store or a backup."""
 
 from __future__ import annotations
 
@@ -56,26 +56,28 @@
             await group.start()
             backed_up = await _accept(group, range(1, 26))
             leader = await group.leader()
-            kept, other = (name for name in NAMES if name != leader)
-            await _back_up(group, kept, tmp_path / "backup")
+            restored, other = (name for name in NAMES if name != leader)
+            await _back_up(group, restored, tmp_path / "backup")
             lost = await _accept(group, range(26, 40))
 
             group.kill(*NAMES)
-            shutil.rmtree(group.data_folder(kept))
-            shutil.copytree(tmp_path / "backup", group.data_folder(kept))
-            _recover(group, kept)
-            await group.start(kept)
-            await group.leader(kept)
-            tree = await _tree(group, kept)
+            shutil.rmtree(group.data_folder(restored))
+            shutil.copytree(tmp_path / "backup", group.data_folder(restored))
+            _recover(group, restored)
+            await group.start(restored)
+            await group.leader(restored)
+            tree = await _tree(group, restored)
             assert tree.nodes["/kassa"].overrides.slots == 25
             assert tree.version > lost.version
-            await _check_relay_is_sent_the_whole_tree(group, kept, lost.version, tree)
+            await _check_relay_is_sent_the_complete_tree(
+                group, restored, lost.version, tree
+            )
 
-            repeated = await group.operator(kept).submit(_edit(25))
+            repeated = await group.operator(restored).submit(_edit(25))
             assert repeated.unwrap() == backed_up
             await group.start(other)
-            await group.wait_for_event("peer_refused", kept, other)
-            again = await group.operator(kept).submit(_edit(50))
+            await group.wait_for_event("peer_refused", restored, other)
+            again = await group.operator(restored).submit(_edit(50))
             assert is_successful(again)
             refused = await group.status(other)
             assert refused is not None
@@ -84,11 +86,11 @@
             group.kill(other)
             group.prepare_to_join(other)
             await group.start(other)
-            added = await group.operator(kept).run(
+            added = await group.operator(restored).run(
                 "replica", "add", other, group.address(other)
             )
             assert added.exit_code == 0, added.error
-            assert await _tree(group, other) == await _tree(group, kept)
+            assert await _tree(group, other) == await _tree(group, restored)
 
     asyncio.run(run())
 
@@ -101,7 +103,7 @@
     await group.start(name)
 
 
-async def _check_relay_is_sent_the_whole_tree(
+async def _check_relay_is_sent_the_complete_tree(
     group: ReplicaGroup, name: str, held: int, tree: Tree
 ) -> None:
     link = await PeerLink.open(group.address(name))
--- a/tests/control/test_long_entries.py
+++ b/tests/control/test_long_entries.py
@@ -1,4 +1,4 @@
-"""Long log entries and snapshots are packed; what older versions wrote is read."""
+"""Long log entries and snapshots are packed; unpacked ones of older versions are read."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return EditAdmitted(Edit("long", changes))
 
 
-def test_a_configuration_of_many_routes_crosses_to_each_replica_in_a_fifth() -> None:
+def test_a_configuration_of_many_routes_is_packed_to_less_than_a_fifth() -> None:
     plain = msgspec.msgpack.encode(long_edit())
     packed = encode_command(long_edit())
     assert len(packed) < len(plain) / 5
--- a/tests/control/test_progress_sharing.py
+++ b/tests/control/test_progress_sharing.py
@@ -1,4 +1,7 @@
-"""Progress goes to the leader and comes back as a table: no message for each pair."""
+"""Replicas send progress to the leader, which sends back a table.
+
+So the number of messages grows with the replicas, not with the pairs of replicas.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,10 @@
 from peppershore.connection.messages.relay import ProgressReported
 from peppershore.process.control.progress import ProgressTable
 from peppershore.process.control.progress_sharing import (
-    KEPT_SECONDS,
     SHARE_BURST,
     SHARES_PER_SECOND,
-    TABLE_KEPT_SECONDS,
+    UNCHANGED_REPORT_SECONDS,
+    UNCHANGED_TABLE_SECONDS,
     ProgressSharing,
 )
 
@@ -24,7 +27,7 @@
 
 
 class CountingCluster(ControlCluster):
-    """Counts what replicas tell one another of progress."""
+    """Counts the messages by which replicas share progress."""
 
     def __init__(self, size: int) -> None:
         self.messages = 0
@@ -32,29 +35,29 @@
         names = tuple(f"c{number:02}" for number in range(size))
         self._names = names
         super().__init__(names, seed=1)
-        self._reports: dict[str, int | None] = {}
+        self._report_links: dict[str, int | None] = {}
 
     def _send(self, name: str, replica: Replica, link: int, message: Message) -> None:
         if isinstance(message, PROGRESS_MESSAGES):
             self.messages += 1
         super()._send(name, replica, link, message)
 
-    def reports(self, in_force: int) -> None:
-        """Have one relay at each replica report."""
+    def send_reports(self, in_force: int) -> None:
+        """Send a report of one relay to each running replica."""
         for name in self._names:
             if self.replicas[name].core is None:
                 continue
-            link = self._reports.get(name)
+            link = self._report_links.get(name)
             if link is None:
-                link = self._reports[name] = self.connect(name, lambda _message: None)
+                link = self._report_links[name] = self.connect(name, lambda _message: None)
             assert link is not None
             self._numbers[name] += 1
             self.send(name, link, report(name, in_force, self._numbers[name]))
 
-    def quiet(self, seconds: int) -> None:
-        """Let every relay say each second that nothing changed."""
+    def run_unchanged(self, seconds: int) -> None:
+        """Send an unchanged report of every relay each second."""
         for _ in range(seconds):
-            self.reports(0)
+            self.send_reports(0)
             self.run(1.0)
 
 
@@ -79,26 +82,26 @@
     return cluster
 
 
-def messages_of_a_quiet_group(size: int) -> int:
+def messages_of_an_unchanged_group(size: int) -> int:
     cluster = elected(size)
-    cluster.quiet(5)
+    cluster.run_unchanged(5)
     before = cluster.messages
-    cluster.quiet(60)
+    cluster.run_unchanged(60)
     return cluster.messages - before
 
 
 def test_messages_of_a_quiet_group_grow_with_its_replicas_not_with_their_pairs() -> None:
-    few, many = messages_of_a_quiet_group(3), messages_of_a_quiet_group(12)
+    few, many = messages_of_an_unchanged_group(3), messages_of_an_unchanged_group(12)
     assert many <= 11 / 2 * few * 1.1
-    assert many <= 11 * (60 / KEPT_SECONDS + 60 / TABLE_KEPT_SECONDS) * 1.2
+    assert many <= 11 * (60 / UNCHANGED_REPORT_SECONDS + 60 / UNCHANGED_TABLE_SECONDS) * 1.2
 
 
-def test_a_storm_of_changes_is_passed_on_at_a_bounded_rate() -> None:
+def test_frequent_changes_are_sent_on_at_a_bounded_rate() -> None:
     cluster = elected(3)
-    cluster.quiet(5)
+    cluster.run_unchanged(5)
     before = cluster.messages
     for change in range(1, 1_001):
-        cluster.reports(change)
+        cluster.send_reports(change)
         cluster.run(0.01)
     to_leader = 2 * (SHARE_BURST + 10 * SHARES_PER_SECOND + 1)
     tables = 2 * (10 / 2 + 1)
@@ -107,10 +110,10 @@
 
 def test_one_change_is_known_at_the_leader_at_once_and_elsewhere_soon() -> None:
     cluster = elected(5)
-    cluster.quiet(5)
+    cluster.run_unchanged(5)
     leader = cluster.leader()
     assert leader is not None
-    cluster.reports(7)
+    cluster.send_reports(7)
     cluster.run(0.01)
     shown = {each.relay: each.in_force for each in cluster.core(leader).status().relays}
     assert shown == dict.fromkeys(shown, 7)
@@ -121,28 +124,28 @@
         assert [each.in_force for each in relays] == [7] * 5
 
 
-def test_a_replica_at_which_operators_watch_is_told_at_once() -> None:
+def test_a_replica_at_which_operators_watch_is_notified_at_once() -> None:
     cluster = elected(5)
-    cluster.quiet(8)
+    cluster.run_unchanged(8)
     follower = next(name for name in cluster.replicas if name != cluster.leader())
     shown: list[StatusAnswered] = []
     link = cluster.connect(follower, shown.append)  # type: ignore[arg-type]
     assert link is not None
     cluster.send(follower, link, WatchRequest(7))
     cluster.run(0.1)
-    cluster.reports(7)
+    cluster.send_reports(7)
     cluster.run(0.05)
     assert shown[-1].in_force == 0
     assert [each.in_force for each in shown[-1].relays] == [7] * 5
 
 
-def test_a_new_leader_hears_all_reports_at_once() -> None:
+def test_a_new_leader_is_sent_all_reports_at_once() -> None:
     cluster = elected(5)
-    cluster.quiet(5)
+    cluster.run_unchanged(5)
     former = cluster.leader()
     assert former is not None
     cluster.crash(former)
-    cluster.reports(9)
+    cluster.send_reports(9)
     cluster.run_until(lambda: cluster.leader() not in (None, former))
     cluster.run(0.2)
     leader = cluster.leader()
@@ -153,16 +156,16 @@
     )
 
 
-def test_a_follower_prefers_what_its_own_relays_say_to_the_table() -> None:
+def test_a_follower_prefers_reports_of_its_own_relays_to_the_table() -> None:
     sharing = ProgressSharing(ProgressTable())
-    sharing.heard(report("r1", 4, 1), 10.0)
-    assert sharing.hears("r1", 10.5)
-    assert not sharing.hears("r2", 10.5)
-    assert not sharing.hears("r1", 10.0 + KEPT_SECONDS)
+    sharing.add_direct_report(report("r1", 4, 1), 10.0)
+    assert sharing.has_recent_report("r1", 10.5)
+    assert not sharing.has_recent_report("r2", 10.5)
+    assert not sharing.has_recent_report("r1", 10.0 + UNCHANGED_REPORT_SECONDS)
 
 
 @pytest.mark.parametrize("leader", ["", "c1"])
-def test_nothing_is_passed_on_while_nobody_leads(leader: str) -> None:
+def test_reports_are_sent_on_only_while_there_is_a_leader(leader: str) -> None:
     sharing = ProgressSharing(ProgressTable())
-    sharing.heard(report("r1", 4, 1), 10.0)
-    assert len(sharing.for_leader(leader, 10.0)) == bool(leader)
+    sharing.add_direct_report(report("r1", 4, 1), 10.0)
+    assert len(sharing.reports_for_leader(leader, 10.0)) == bool(leader)
--- a/tests/control/test_replica_changes.py
+++ b/tests/control/test_replica_changes.py
@@ -1,4 +1,4 @@
-"""Replicas lost and replaced, and a leader cut off, on real processes."""
+"""Replacement of lost replicas, and a leader cut off, with real processes."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from peppershore_lab.replica_group import ReplicaGroup, member_of
 
 NAMES = ("c1", "c2", "c3")
-ENTRIES = 30
-"""Entries between snapshots: a newcomer can't catch up from the log alone."""
+SNAPSHOT_ENTRIES = 30
+"""Log entries between snapshots: so few that a joining replica needs a snapshot."""
 LEASE_SECONDS = 0.4
 PAST_LEASE_SECONDS = 3 * LEASE_SECONDS
 
@@ -37,7 +37,7 @@
 
 def _run(folder: Path, trial: Callable[[ReplicaGroup], Awaitable[None]]) -> None:
     async def run() -> None:
-        async with ReplicaGroup(folder, NAMES, snapshot_entries=ENTRIES) as group:
+        async with ReplicaGroup(folder, NAMES, snapshot_entries=SNAPSHOT_ENTRIES) as group:
             await group.start()
             await group.leader()
             await trial(group)
@@ -67,7 +67,7 @@
 
 
 async def _listed(group: ReplicaGroup) -> dict[str, bool]:
-    """Members and whether they vote, by the command line."""
+    """Return the members and whether they vote, as the command line lists them."""
     output = await _command(group, "list")
     replicas = output["replicas"]
     assert isinstance(replicas, list)
@@ -78,7 +78,9 @@
     tmp_path: Path,
 ) -> None:
     async def trial(group: ReplicaGroup) -> None:
-        await _accept(group, *(f"before-{number}" for number in range(3 * ENTRIES)))
+        await _accept(
+            group, *(f"before-{number}" for number in range(3 * SNAPSHOT_ENTRIES))
+        )
         leader = await group.leader()
         lost = next(name for name in NAMES if name != leader)
         group.kill(lost)
@@ -88,10 +90,10 @@
         await _command(group, "remove", lost)
         await _command(group, "add", "c4", group.address("c4"))
         await _command(group, "add", "c4", group.address("c4"))
-        kept = [name for name in NAMES if name != lost]
-        assert await _listed(group) == dict.fromkeys((*kept, "c4"), True)
+        remaining = [name for name in NAMES if name != lost]
+        assert await _listed(group) == dict.fromkeys((*remaining, "c4"), True)
 
-        group.kill(kept[0])
+        group.kill(remaining[0])
         version = await _accept(group, "after-the-second-loss")
         await group.wait_for("c4", lambda status: status.version >= version)
         leader = await group.leader()
@@ -149,8 +151,8 @@
 ) -> None:
     async def trial(group: ReplicaGroup) -> None:
         version = await _accept(group, "one")
-        kept = await group.leader()
-        lost, second = (name for name in NAMES if name != kept)
+        survivor = await group.leader()
+        lost, second = (name for name in NAMES if name != survivor)
         group.kill(lost)
         await _command(group, "remove", lost)
         group.kill(second)
@@ -164,7 +166,7 @@
         group.kill(second)
         newest = await _accept(group, "two")
         assert newest > version
-        assert set(await _listed(group)) == {kept, second, "c4"}
+        assert set(await _listed(group)) == {survivor, second, "c4"}
 
     _run(tmp_path, trial)
 
@@ -197,18 +199,18 @@
 def test_a_leader_that_was_frozen_answers_no_read_from_before(tmp_path: Path) -> None:
     async def trial(group: ReplicaGroup) -> None:
         await _accept(group, "one")
-        frozen = await group.leader()
-        others = [name for name in NAMES if name != frozen]
-        link = await PeerLink.open(group.address(frozen))
+        suspended = await group.leader()
+        others = [name for name in NAMES if name != suspended]
+        link = await PeerLink.open(group.address(suspended))
         assert link is not None
-        group.processes[frozen].freeze()
+        group.processes[suspended].freeze()
         link.send(TreeQuery())
         link.send(SubmitEdit(_edit("while-frozen")))
         await group.leader(*others)
         done = await group.operator(*others).submit(_edit("elsewhere", slots=9))
         accepted = done.unwrap()
         assert isinstance(accepted, EditAccepted)
-        group.processes[frozen].unfreeze()
+        group.processes[suspended].unfreeze()
         for _ in range(2):
             answer = await link.receive(PAST_LEASE_SECONDS + 1.0)
             if isinstance(answer, TreeAnswered):
@@ -219,9 +221,11 @@
             else:
                 assert answer is None or isinstance(answer, NotLeader)
         link.close()
-        status = await group.wait_for(frozen, lambda each: each.version >= accepted.version)
+        status = await group.wait_for(
+            suspended, lambda each: each.version >= accepted.version
+        )
         assert status.leader in others
-        own = member_of(status, frozen)
+        own = member_of(status, suspended)
         assert own is not None and own.role == "follower"
 
     _run(tmp_path, trial)
--- a/tests/control/test_tenants_in_the_log.py
+++ b/tests/control/test_tenants_in_the_log.py
@@ -1,4 +1,4 @@
-"""Tenants in the replicated state: kept, led back from, and absent from older states."""
+"""Tenants in the replicated state: stored, reverted, and missing from older snapshots."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return state
 
 
-def test_tenants_come_back_from_log_and_snapshot_as_they_were_given() -> None:
+def test_tenants_are_restored_unchanged_from_log_and_snapshot() -> None:
     state = state_after(EDITS[:2])
     again = restored(state.snapshot())
     assert again.tree == state.tree
@@ -72,7 +72,7 @@
 
 
 def older_form(encoded: bytes) -> bytes:
-    """Give a snapshot as software that knew no tenants wrote it."""
+    """Return a snapshot in the form of software that had no tenants."""
     image: list[Any] = msgspec.msgpack.decode(unpack_block(encoded))
     tree, *_, history = image
     del tree["tenants"]
@@ -81,7 +81,7 @@
     return pack_block(msgspec.msgpack.encode(image))
 
 
-def test_a_snapshot_that_knows_no_tenants_is_taken() -> None:
+def test_a_snapshot_of_software_without_tenants_is_accepted() -> None:
     state = state_after(EDITS[:1])
     again = restored(older_form(state.snapshot()))
     assert again.tree == state.tree
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("operation", [STUDIO, KEYS_CHANGED, RemoveTenant("farm")])
-def test_operations_come_back_from_the_log(operation: Operation) -> None:
+def test_tenant_operations_are_decoded_as_they_were_encoded(operation: Operation) -> None:
     edit = Edit("id", (operation,))
     payload = msgspec.msgpack.encode(edit)
     assert msgspec.msgpack.decode(payload, type=Edit) == edit
--- a/tests/rollouts/rollout_cluster.py
+++ b/tests/rollouts/rollout_cluster.py
@@ -1,4 +1,4 @@
-"""A group that keeps itself, with operators who order roll-outs, in virtual time."""
+"""A control group in virtual time whose operators order roll-outs."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 SECONDS = 12.0
 NAMES = ("a", "b", "c")
 FAST_TIMES = (20, 40)
-"""Forty calls in one bucket of times."""
+"""Forty calls in one bucket of service time."""
 
 
 class RolloutCluster(SelfKeptCluster):
-    """Answers to roll-out questions are kept by number."""
+    """Stores the answers to roll-out requests by request number."""
 
     def __init__(self, seed: int = 1, names: tuple[str, ...] = NAMES) -> None:
-        self.told: dict[int, RolloutOutcome] = {}
+        self.answers_by_number: dict[int, RolloutOutcome] = {}
         super().__init__(names, seed)
         self.run_until(lambda: set(self.members()) == set(names))
         number = self.submit("a", configuration(1))
@@ -43,19 +43,19 @@
 
     def _carry_out(self, name: str, replica: Replica, command: commands.Command) -> None:
         if isinstance(command, RolloutAnswered):
-            self.told[command.request] = command.outcome
+            self.answers_by_number[command.request] = command.outcome
         else:
             super()._carry_out(name, replica, command)
 
     def order(
         self, version: str = "v2", at: str = "a", seconds: float = SECONDS
     ) -> RolloutOutcome:
-        """Order a roll-out; what is undecided is sent again."""
+        """Order a roll-out; retry while the answer is undecided."""
         order = RolloutOrder(SERVICE, version, seconds)
         return self._until_decided(at, lambda number: RolloutOrdered(number, order))
 
     def abort(self, at: str = "a") -> RolloutOutcome:
-        """Take the roll-out back."""
+        """Abort the roll-out, so that it is rolled back."""
         return self._until_decided(at, lambda number: RolloutAborted(number, SERVICE))
 
     def read_rollout(self, at: str = "a") -> Rollout:
@@ -64,13 +64,15 @@
         assert isinstance(found, RolloutRead), found
         return found.rollout
 
-    def held(self, name: str) -> Rollout | None:
-        """Give what a replica holds, confirmed or not."""
+    def stored_rollout(self, name: str) -> Rollout | None:
+        """Return the roll-out in a replica's tree, confirmed or not."""
         return rollout_of(self.core(name).state.tree, SERVICE)
 
-    def show(self, version: str, calls: int, failed: int, times: tuple[int, ...]) -> None:
-        """Let four back ends of a version tell so much each, at every replica."""
-        rollout = next(filter(None, map(self.held, self._running())), None)
+    def add_evidence(
+        self, version: str, calls: int, failed: int, times: tuple[int, ...]
+    ) -> None:
+        """Add the same evidence of four back ends of a version at every replica."""
+        rollout = next(filter(None, map(self.stored_rollout, self._running())), None)
         assert rollout is not None
         for name in self._running():
             for number in range(4):
@@ -84,12 +86,12 @@
                     round(self.time * 1_000),
                     (route,),
                 )
-                self.core(name).rollouts.take(EvidenceShared(evidence).evidence)
+                self.core(name).rollouts.add_evidence(EvidenceShared(evidence).evidence)
 
-    def show_good(self) -> None:
-        """Both versions answer alike."""
-        self.show("v1", 40, 0, FAST_TIMES)
-        self.show("v2", 40, 0, FAST_TIMES)
+    def add_good_evidence(self) -> None:
+        """Add evidence by which both versions answer alike."""
+        self.add_evidence("v1", 40, 0, FAST_TIMES)
+        self.add_evidence("v2", 40, 0, FAST_TIMES)
 
     def _running(self) -> list[str]:
         return [name for name, each in self.replicas.items() if each.core is not None]
@@ -99,9 +101,9 @@
         for _ in range(20):
             number = next(self._numbers)
             self.event(at, event(number))
-            self.run_until(lambda number=number: number in self.told)
-            if not isinstance(self.told[number], RolloutUndecided):
-                return self.told[number]
+            self.run_until(lambda number=number: number in self.answers_by_number)
+            if not isinstance(self.answers_by_number[number], RolloutUndecided):
+                return self.answers_by_number[number]
         raise AssertionError("never decided")
 
 
--- a/tests/rollouts/test_rollout_interface.py
+++ b/tests/rollouts/test_rollout_interface.py
@@ -1,4 +1,4 @@
-"""Roll-outs through the real processes: HTTP, the command line, and where calls go."""
+"""Roll-outs with real processes: HTTP, the command line, and which version gets calls."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def decided(site: Site, number: int, method: str, path: str, body: Any = None) -> Reply:
-    """Ask a hub until it is sure."""
+    """Repeat a request to a hub until the answer is not 503."""
     found: list[Reply] = []
 
     def is_decided() -> bool:
@@ -78,7 +78,7 @@
     served(site, site.nodes[0], "kassa")
 
 
-def test_people_are_shown_the_same(site: Site) -> None:
+def test_the_command_line_shows_a_roll_out_as_text(site: Site) -> None:
     order = {**ORDER, "target_version": "v4"}
     assert decided(site, 0, "POST", "/rollouts", order).status == 200
     at = ("--at", site.hubs[0].control)
--- a/tests/rollouts/test_rollout_orders.py
+++ b/tests/rollouts/test_rollout_orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs: taken once, kept through losses, ended one way."""
+"""Roll-out orders: accepted once, retained through crashes, ended in one way only."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 
-def test_an_order_is_taken_once_and_acknowledged_again_anywhere() -> None:
+def test_an_order_is_accepted_once_and_acknowledged_again_by_any_replica() -> None:
     cluster = RolloutCluster()
     assert cluster.order(at="a") == RolloutTaken()
     began = cluster.read_rollout("b").began_milliseconds
@@ -34,7 +34,7 @@
     assert cluster.read_rollout("c").began_milliseconds == began
 
 
-def test_another_one_of_the_service_has_to_wait() -> None:
+def test_another_order_is_refused_while_a_roll_out_of_the_service_runs() -> None:
     cluster = RolloutCluster()
     cluster.order("v2")
     assert cluster.order("v3", at="c") == RolloutUnderWay("v2")
@@ -53,7 +53,7 @@
         RolloutOrder("kassa", "v2", 1e12),
     ],
 )
-def test_an_order_that_makes_no_sense_is_refused(order: RolloutOrder) -> None:
+def test_an_invalid_order_is_refused(order: RolloutOrder) -> None:
     assert find_problem(order) is not None
 
 
@@ -91,27 +91,27 @@
             assert leader is not None
             cluster.crash(leader)
             cluster.restart_later(leader)
-        rollout = cluster.held("a") or cluster.held("b")
+        rollout = cluster.stored_rollout("a") or cluster.stored_rollout("b")
         assert rollout is not None
         if rollout.state != RUNNING:
             break
-        cluster.show_good()
+        cluster.add_good_evidence()
     rollout = cluster.read_rollout()
     assert (rollout.state, rollout.share) == (COMPLETED, ALL_CALLS)
     assert cluster.time - began <= SECONDS
 
 
-def test_a_failing_version_is_taken_back_within_two_seconds_of_its_failures() -> None:
+def test_a_failing_version_is_rolled_back_within_two_seconds_of_its_failures() -> None:
     cluster = RolloutCluster()
     cluster.order()
     cluster.run(2.0)
-    cluster.show("v1", 40, 0, ())
-    cluster.show("v2", 10, 5, ())
+    cluster.add_evidence("v1", 40, 0, ())
+    cluster.add_evidence("v2", 10, 5, ())
     cluster.run_until(lambda: cluster.read_rollout().state == ROLLED_BACK, 2.0)
     assert cluster.read_rollout().share == 0
 
 
-def test_a_version_that_nobody_calls_is_taken_back() -> None:
+def test_a_version_without_calls_is_rolled_back() -> None:
     cluster = RolloutCluster()
     cluster.order()
     cluster.run(SECONDS)
@@ -119,7 +119,7 @@
 
 
 def test_of_both_ends_only_the_first_is_taken() -> None:
-    """A leader that completes and an operator who takes back race."""
+    """A leader that completes a roll-out races with an operator who aborts it."""
     cluster = RolloutCluster()
     cluster.order()
     rollout = cluster.read_rollout()
@@ -133,7 +133,7 @@
     assert isinstance(cluster.abort(), RolloutRefused)
 
 
-def test_whole_configurations_neither_see_nor_touch_a_roll_out() -> None:
+def test_complete_configurations_do_not_affect_a_roll_out() -> None:
     cluster = RolloutCluster()
     cluster.order()
     began = cluster.read_rollout().began_milliseconds
@@ -143,7 +143,7 @@
     assert (rollout.state, rollout.began_milliseconds) == (RUNNING, began)
 
 
-def test_operators_cannot_edit_what_is_the_groups_own() -> None:
+def test_operators_cannot_edit_the_settings_of_a_roll_out() -> None:
     cluster = RolloutCluster()
     cluster.order()
     leader = cluster.leader()
@@ -174,13 +174,13 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_roll_out_never_goes_back_through_crashes_and_races(seed: int) -> None:
-    """Replicas crash at random, operators order and take back; states go one way."""
+    """An ended roll-out never runs again, whatever crashes, orders and aborts follow."""
     cluster = RolloutCluster(seed)
     cluster.order()
     ended: dict[int, str] = {}
     for _ in range(12):
         name = cluster.random.choice(("a", "b", "c"))
-        if cluster.replicas[name].core is not None and len(cluster.told) % 2:
+        if cluster.replicas[name].core is not None and len(cluster.answers_by_number) % 2:
             cluster.crash(name)
             cluster.run(0.2)
             cluster.restart_later(name)
