--- a/src/peppershore/process/control/change_ids.py
+++ b/src/peppershore/process/control/change_ids.py
@@ -3,10 +3,10 @@
 The sender puts the newest version it had seen into the id: ``v1234-UNIQUE``. An outcome
 under that id can only be in the log after version 1234. Outcomes up to a horizon version
 are dropped from the table. An id with a version below the horizon may have been answered
-before, so it is refused; an id with a later version is either still in the table or new. An
-id without a version gives no such information. Once the first outcome has been dropped,
-such an edit is accepted only with an expected revision that would make a second run of the
-same edit fail.
+before, so it is refused; an id with the version of the horizon or a later one is either
+still in the table or new. An id without a version gives no such information. Once the first
+outcome has been dropped, such an edit is accepted only with an expected revision that would
+make a second run of the same edit fail.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -201,7 +201,10 @@
         self._quotas.link_closed(link)
 
     def may_be_replica(self, link: LinkId, name: str) -> bool:
-        """Report whether the certificate on this link permits that replica name."""
+        """Report whether the certificate on this link permits that replica name.
+
+        On a link without a certificate every name is permitted.
+        """
         identity = self._identities.get(link, "")
         if not identity:
             return True
@@ -213,7 +216,7 @@
     # --- clients -------------------------------------------------------------
 
     def on_client_message(self, link: LinkId, message: Message) -> None:
-        """Serve a relay or an operator."""
+        """Handle a message from a relay or an operator."""
         if not self._allowed(link, message):
             self.send(link, Refused("role", "this certificate may not ask for that"))
         elif isinstance(message, SubmitEdit):
@@ -408,7 +411,10 @@
                 self.report(edit_refused(outcome, self.name))
 
     def on_state_installed(self) -> None:
-        """Send relays the complete tree after a snapshot replaced the state."""
+        """Send the complete tree to relays that a newly installed snapshot is ahead of.
+
+        Requests about releases are answered if their outcome came with the snapshot.
+        """
         for command in self._followers.state_replaced():
             self.command(command)
         self._quotas.tree_changed()
@@ -483,8 +489,8 @@
     def _share_progress(self) -> None:
         """Send the progress messages that are due.
 
-        A follower sends its relays' reports to the leader; a leader sends its table of
-        reports to the other replicas.
+        A follower sends its relays' reports to the leader, and asks it for changes while
+        operators watch here. A leader sends its table of reports to the other replicas.
         """
         if self.consensus.leadership is None:
             leader = self.consensus.leader
--- a/src/peppershore/process/control/edit_intake.py
+++ b/src/peppershore/process/control/edit_intake.py
@@ -1,4 +1,8 @@
-"""How the leader accepts edits: known outcomes, horizon, validation, proposal."""
+"""How the leader accepts edits.
+
+It answers an edit whose outcome is known, refuses one whose change id may have been used
+before the horizon of retained outcomes, and validates and proposes all others.
+"""
 
 from __future__ import annotations
 
@@ -103,11 +107,11 @@
         stamped = msgspec.structs.replace(
             edit, accepted_unix_milliseconds=accepted_unix_milliseconds
         )
-        judged = apply_edit(self._tree, stamped, next_index)
-        if not isinstance(judged, Success):
-            propose(OutcomeNoted(judged.failure()))
+        result = apply_edit(self._tree, stamped, next_index)
+        if not isinstance(result, Success):
+            propose(OutcomeNoted(result.failure()))
             return
-        applied = judged.unwrap()
+        applied = result.unwrap()
         index = propose(EditAdmitted(stamped))
         assert index == next_index
         self._tree = applied.tree
--- a/src/peppershore/process/control/notices.py
+++ b/src/peppershore/process/control/notices.py
@@ -1,7 +1,9 @@
-"""What a control replica reports of edits to logs and metrics.
+"""What a control replica reports to logs and metrics.
 
-Only the leader reports. A new leader may report again what its predecessor reported just
-before it was lost; readers drop such duplicates by the version or the change id.
+Only the leader reports edits, steps of roll-outs and tenants' limits. Requests about
+releases and roll-outs are reported by the replica that answers them. A new leader may
+report again what its predecessor reported just before it was lost; readers recognise such
+duplicates by the version or the change id.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/control/outcomes.py
+++ b/src/peppershore/process/control/outcomes.py
@@ -15,7 +15,10 @@
 
 
 class OutcomeTable:
-    """Outcomes by change id, oldest first; identical on all replicas."""
+    """Outcomes by change id, oldest first; identical on all replicas.
+
+    ``horizon_version`` is the log index of the newest outcome that was dropped, or 0.
+    """
 
     def __init__(self, capacity: int) -> None:
         """Retain up to ``capacity`` outcomes."""
--- a/src/peppershore/process/control/progress.py
+++ b/src/peppershore/process/control/progress.py
@@ -4,7 +4,7 @@
 after a suspension, doesn't know which nodes it served before. Until it is settled, its
 reports can lower the version that it is counted with but not raise it. ``in_force`` doesn't
 rise at all while a relay that other relays hear has not reported to this replica, or while
-a restarted relay is still behind the version that it is counted with.
+a relay that is not settled is still behind the version that it is counted with.
 """
 
 from __future__ import annotations
@@ -87,15 +87,18 @@
         return self._update_in_force(now) or bool(old)
 
     def relays(self) -> list[RelayProgress]:
-        """Return the progress of every counted relay, by name."""
+        """Return the progress of every counted relay, sorted by name."""
         return [self._relays[relay] for relay in sorted(self._relays)]
 
     def silent(self, now: float) -> list[str]:
-        """Return the names of counted relays that have not reported for a while."""
+        """Return the counted relays without a recent report, as sorted names.
+
+        A report is recent for ``RELAY_SILENT_SECONDS``.
+        """
         return [each.report.relay for each in self.relays() if _is_silent(each, now)]
 
     def awaited(self, now: float) -> tuple[str, ...]:
-        """Return the names of relays that others hear but that have not reported here."""
+        """Return the relays that others hear but that are unknown here, as sorted names."""
         return tuple(sorted(self._known_to_others(now) - self._relays.keys()))
 
     def statuses(self, now: float) -> tuple[RelayStatus, ...]:
@@ -146,7 +149,7 @@
 
 
 def _is_catching_up(progress: RelayProgress) -> bool:
-    """Report whether a relay that has just started lacks edits that it had before."""
+    """Report whether a relay that is not yet settled lacks edits that it had before."""
     report = progress.report
     return not report.settled and report.version < progress.in_force
 
--- a/src/peppershore/process/control/progress_sharing.py
+++ b/src/peppershore/process/control/progress_sharing.py
@@ -38,10 +38,11 @@
 """Interval at which the leader sends an unchanged table."""
 
 TABLE_REQUEST_SECONDS = 2.0
-"""Interval at which a replica where operators watch sends the leader its request."""
+"""Interval at which a replica at which operators watch asks the leader to be sent every
+change of the table at once."""
 
 TABLE_REQUEST_VALID_SECONDS = 3 * TABLE_REQUEST_SECONDS
-"""For this long after its request, a replica is sent every change at once."""
+"""For this long after such a request, a replica is sent every change at once."""
 
 MAX_SHOWN_NODES = 3
 """Nodes of each kind that the table lists for a relay; the replica that the relay reports
@@ -91,7 +92,10 @@
         known.at = now
 
     def has_recent_report(self, relay: str, now: float) -> bool:
-        """Report whether the relay reports to this replica directly."""
+        """Report whether the relay itself reported to this replica a short time ago.
+
+        The bound is ``UNCHANGED_REPORT_SECONDS``.
+        """
         known = self._relay_reports.get(relay)
         return known is not None and now - known.at < UNCHANGED_REPORT_SECONDS
 
@@ -126,7 +130,7 @@
         return self._shared_table(now)
 
     def table_request_due(self, now: float) -> bool:
-        """Report whether to ask the leader now for changes, and count that as done.
+        """Report whether to ask the leader for changes now; if so, count it as asked.
 
         Called on a replica at which operators watch.
         """
@@ -143,7 +147,7 @@
     def table_for_watchers(
         self, now: float
     ) -> tuple[list[str], ProgressTableShared] | None:
-        """Return the watched replicas and the table for them, if it changed.
+        """Return the replicas at which operators watch and the changed table for them.
 
         Return None if no replica asked for changes or the table is the one sent last.
         """
--- a/src/peppershore/process/control/quota_desk.py
+++ b/src/peppershore/process/control/quota_desk.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, replica: ControlCore, quotas: QuotaSettings | None) -> None:
-        """Without ``quotas`` nothing is granted, and no relay asks for anything."""
+        """Start as a follower; without ``quotas`` nothing is asked for or granted."""
         self._replica = replica
         self._quotas = quotas
         self._decider: Decider | None = None
@@ -68,14 +68,17 @@
             }
 
     def handle_client(self, link: LinkId, message: QuotaAsked | TenantUsageQuery) -> None:
-        """Answer a relay or an operator."""
+        """Answer a relay's quota request or an operator's query of tenants' usage."""
         if isinstance(message, QuotaAsked):
             self._answer_request(link, message)
         else:
             self._answer_usage_query(link)
 
     def _answer_request(self, link: LinkId, message: QuotaAsked) -> None:
-        """Answer a relay, or forward its request to the leader."""
+        """Answer a relay, or forward its request to the leader.
+
+        Without a link to a leader the relay is sent a grant marked as unknown.
+        """
         requester = f"{self._relay_names.get(link, link)}/{message.life}"
         replica = self._replica
         if replica.consensus.leadership is not None:
--- a/src/peppershore/process/control/releases.py
+++ b/src/peppershore/process/control/releases.py
@@ -161,7 +161,10 @@
         return True
 
     def applied(self, outcomes: list[EditOutcome]) -> None:
-        """Answer the requests whose outcome has been applied here."""
+        """Answer the requests whose outcome has been applied here.
+
+        A configuration that waits for its base is read again if the base is in place now.
+        """
         known = {outcome.change_id for outcome in outcomes}
         for request, pending in list(self._pending.items()):
             if pending.change_id in known:
@@ -214,9 +217,10 @@
     def _decide(
         self, request: int, pending: _PendingRequest, configuration: WholeConfiguration
     ) -> None:
-        """Decide on a configuration and propose its edit.
+        """Propose the edit of a configuration, or refuse it if its base doesn't fit.
 
-        The state is one that a quorum confirmed after the request came.
+        The state is one that a quorum confirmed after the request came. Nothing happens
+        while a newer base may still come, for up to ``BASE_WAIT_SECONDS``.
         """
         current = self._replica.state.tree.release
         waited = self._replica.now - pending.received_at
@@ -229,7 +233,10 @@
         self._propose(pending)
 
     def _propose(self, pending: _PendingRequest) -> None:
-        """Have the leader propose the edit; it is accepted once even if repeated."""
+        """Have the leader propose the edit; it is accepted once even if repeated.
+
+        Nothing is sent while a release other than the base is in place here.
+        """
         assert pending.configuration is not None
         replica = self._replica
         pending.sent_at = replica.now
--- a/src/peppershore/process/control/rollout_orders.py
+++ b/src/peppershore/process/control/rollout_orders.py
@@ -45,7 +45,7 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """Bring in ``target_version`` of a service within ``duration_seconds``."""
+    """An order to bring in ``target_version`` of a service in ``duration_seconds``."""
 
     service: str
     target_version: str
--- a/src/peppershore/process/control/rollout_rules.py
+++ b/src/peppershore/process/control/rollout_rules.py
@@ -27,12 +27,13 @@
 
 ROLLBACK_DOUBT = 3.0
 """Doubt at which a version without a decision in time is rolled back. It is the logarithm
-of a likelihood ratio: a bad version is 20 times likelier. Machines that are slower than
-others cause less."""
+of a likelihood ratio: a bad version is 20 times likelier. A difference in speed between
+machines causes less doubt than this."""
 
 MIN_CALLS = 30
-"""Calls at the new version that a decision needs. A version that fails a fifth of its calls
-gets through this many without a failure once in 800 times."""
+"""Calls at the new version without which it is rolled back at ``LAST_WATCH_SHARE``. A
+version that fails a fifth of its calls gets through this many without a failure once in 800
+times."""
 
 HALF = ALL_CALLS // 2
 HALF_SECONDS = 1.0
@@ -73,7 +74,7 @@
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Send this share of the calls to the new version."""
+    """Send this share of the calls, in parts of ``ALL_CALLS``, to the new version."""
 
     share: int
     reason: str
--- a/src/peppershore/process/control/rollouts.py
+++ b/src/peppershore/process/control/rollouts.py
@@ -1,8 +1,8 @@
 """Roll-outs in progress: collects the evidence of back ends and lets the leader decide.
 
-Every replica notes when it saw each step, so that a new leader knows how far a roll-out has
-got. The steps themselves are in the tree. Evidence is held in memory only: a new leader
-receives it again within a second, because nodes send all of it each time.
+Every replica notes when it saw each step, so that a new leader knows how much time of a
+roll-out has passed. The steps themselves are in the tree. Evidence is held in memory only:
+a new leader receives it again within a second, because nodes send all of it each time.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 """Part of the permitted exposure to a bad version that is used while the version is
 observed. The rest is a margin, since calls are distributed at random one by one and arrive
 unevenly. The bound counts over the whole duration, and the observation lasts for a part of
-it: the share of calls is higher by that factor, which brings a decision earlier."""
+it: the share of calls is divided by that part, which brings a decision earlier."""
 
 SETTLING_SECONDS = 1.0
 """A new leader decides nothing for this long: nodes send their evidence twice a second."""
@@ -61,16 +61,20 @@
 
 
 def first_share(exposure_share: float) -> int:
-    """Return the share of calls at which a new version is observed.
+    """Return the share of calls that a new version gets while it is observed.
 
-    The unit is the one of ``ALL_CALLS``.
+    The share is in parts of ``ALL_CALLS``, at least 1 and below ``HALF``.
+    ``exposure_share`` is the part of a service's calls that a bad version may get.
     """
     share = exposure_share * USED_EXPOSURE_SHARE / WATCH_SHARE
     return max(1, min(HALF - 1, round(share * ALL_CALLS)))
 
 
 class _Step(msgspec.Struct):
-    """Times at which this replica saw a share in place, and known at all nodes."""
+    """Times at which this replica saw a share in place, and known at all nodes.
+
+    ``known_at`` is negative until all nodes know the share.
+    """
 
     rollout: Rollout
     seen_at: float
--- a/src/peppershore/process/control/rotation.py
+++ b/src/peppershore/process/control/rotation.py
@@ -47,7 +47,7 @@
 
 
 class RotationBarrier:
-    """Decides which rotations may proceed, and describes what the others wait for."""
+    """Decides which key rotations may proceed, and describes what the others wait for."""
 
     def __init__(self, progress: ProgressTable, started_at: float) -> None:
         """Start without rotations.
@@ -68,7 +68,7 @@
         self._started_at = now
 
     def due(self, tree: Tree, now: float) -> list[Edit]:
-        """Return the promotions of the rotations whose barrier is passed."""
+        """Return the edits that promote a new key that all nodes hold."""
         self._note_waiting(tree, now)
         return [
             _promotion(name, tree.secrets[name])
--- a/src/peppershore/process/control/state.py
+++ b/src/peppershore/process/control/state.py
@@ -45,13 +45,13 @@
 def encode_command(command: ControlCommand) -> bytes:
     """Encode a command as the payload of a log entry.
 
-    A long payload is packed, because it is sent to every replica.
+    A long payload is compressed, because it is sent to every replica.
     """
     return pack_block(_ENCODER.encode(command))
 
 
 def decode_command(payload: bytes) -> ControlCommand:
-    """Decode the payload of a log entry, packed or not."""
+    """Decode the payload of a log entry, compressed or not."""
     return _COMMANDS.decode(unpack_block(payload))
 
 
--- a/src/peppershore/process/control/version_comparison.py
+++ b/src/peppershore/process/control/version_comparison.py
@@ -19,7 +19,8 @@
 from peppershore.connection.messages.rollouts import BackEndEvidence
 
 ERROR_RATE = 0.001
-"""Approximate rate at which each test rejects a good version or passes a bad one."""
+"""Both error rates behind ``REJECT_LOG_RATIO``: approximately how often each test rejects a
+good version, and how often it passes a bad one."""
 
 REJECT_LOG_RATIO = math.log((1.0 - ERROR_RATE) / ERROR_RATE)
 
@@ -122,7 +123,10 @@
 
     @property
     def doubt(self) -> float:
-        """The higher doubt of all routes together and of the busiest route."""
+        """The higher doubt of all routes together and of the busiest route.
+
+        It is 0 without calls.
+        """
         if not self.calls:
             return 0.0
         *by_route, over_all = self.routes
@@ -131,7 +135,11 @@
 
     @property
     def is_passed(self) -> bool:
-        """Whether the new version passes by the evidence so far."""
+        """Whether the new version passes by the evidence so far.
+
+        Its doubt is at most ``PASS_LOG_RATIO``, and no route with enough calls points to a
+        bad version.
+        """
         others = (each.doubt for each in self.routes if each.new.calls >= MIN_ROUTE_CALLS)
         return self.doubt <= PASS_LOG_RATIO and max(others, default=0.0) <= 0.0
 
--- a/tests/control/test_long_entries.py
+++ b/tests/control/test_long_entries.py
@@ -1,4 +1,4 @@
-"""Long log entries and snapshots are packed; unpacked ones of older versions are read."""
+"""Long log entries and snapshots are compressed; uncompressed older ones are read."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     return EditAdmitted(Edit("long", changes))
 
 
-def test_a_configuration_of_many_routes_is_packed_to_less_than_a_fifth() -> None:
+def test_a_configuration_of_many_routes_is_compressed_to_less_than_a_fifth() -> None:
     plain = msgspec.msgpack.encode(long_edit())
     packed = encode_command(long_edit())
     assert len(packed) < len(plain) / 5
     assert decode_command(packed) == long_edit()
 
 
-def test_entries_that_are_not_packed_are_read() -> None:
+def test_entries_that_are_not_compressed_are_read() -> None:
     assert decode_command(msgspec.msgpack.encode(long_edit())) == long_edit()
 
 
--- a/tests/control/test_progress_sharing.py
+++ b/tests/control/test_progress_sharing.py
@@ -90,7 +90,7 @@
     return cluster.messages - before
 
 
-def test_messages_of_a_quiet_group_grow_with_its_replicas_not_with_their_pairs() -> None:
+def test_messages_of_an_unchanged_group_grow_with_replicas_not_with_pairs() -> None:
     few, many = messages_of_an_unchanged_group(3), messages_of_an_unchanged_group(12)
     assert many <= 11 / 2 * few * 1.1
     assert many <= 11 * (60 / UNCHANGED_REPORT_SECONDS + 60 / UNCHANGED_TABLE_SECONDS) * 1.2
