--- a/src/peppershore/process/hub/configuration_api.py
+++ b/src/peppershore/process/hub/configuration_api.py
@@ -1,8 +1,8 @@
-"""The operators' HTTP interface to whole configurations.
+"""The operators' HTTP interface to complete configurations.
 
-``PUT /configuration`` takes one: 200 taken, 412 another release is in place, 400
-invalid, 503 undecided (send it again).  ``GET /configuration`` gives the newest,
-confirmed by a quorum, or 503.
+``PUT /configuration`` submits one: 200 accepted, 412 another release is in place, 400
+invalid, 503 undecided (retry). ``GET /configuration`` returns the newest one confirmed by
+a quorum, or 503.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
 
 
 class TakenBody(msgspec.Struct, frozen=True):
-    """What a taken configuration is answered with."""
+    """JSON body of the response to an accepted configuration."""
 
     version: Version
 
 
 class RefusedBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Why a configuration was not taken; ``current`` is the release in place."""
+    """JSON body for a rejected request; ``current`` is the release in place."""
 
     error: str
     current: Version = 0
@@ -59,22 +59,22 @@
 
 
 class ConfigurationApi:
-    """Turns requests into events of the control core, and its answers into HTTP."""
+    """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None]) -> None:
-        """Hand events to the core with ``dispatch``."""
+        """Pass events to the core with ``dispatch``."""
         self._dispatch = dispatch
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[ReleaseOutcome | ReleaseRead]] = {}
 
     def answered(self, command: ReleaseAnswered) -> None:
-        """Take an answer of the core."""
+        """Complete the waiting request with an answer of the core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Answer one HTTP request."""
+        """Return the response to one HTTP request."""
         if request.path != CONFIGURATION_PATH:
             return _refusal(NOT_FOUND, RefusedBody("not found"))
         if request.method == "GET":
--- a/src/peppershore/process/hub/plan.py
+++ b/src/peppershore/process/hub/plan.py
@@ -1,7 +1,7 @@
-"""What a hub's settings mean for the replica and the relay inside it.
+"""Derives the settings of the replica and the relay in a hub from the hub's settings.
 
-A replica's name is the address of its links.  The relay of a hub listens at the same
-IP number on the relay port, which is the same on all hubs of a cluster.
+A replica's name is the address where it accepts links. The relay of a hub listens on the
+same IP address at the relay port, which is the same on all hubs of a cluster.
 """
 
 from __future__ import annotations
@@ -17,24 +17,28 @@
 )
 
 HEARTBEAT_SHARE = 0.25
-"""Part of the time in which changes come into force between two heartbeats to a node: it
-looks for another relay after three fifths, and must have heard of a confirmation twice."""
+"""Longest time between heartbeats to a node, as a share of ``apply_milliseconds``.
+
+A node searches for another relay after three fifths of that time without a confirmation,
+so it must have received two by then.
+"""
 LEAST_HEARTBEAT_MILLISECONDS = 20
-"""The least that a relay's settings allow."""
+"""Minimum that the settings of a relay allow."""
 
 
 class HubPlan(msgspec.Struct, frozen=True):
-    """The settings of the two parts of a hub."""
+    """Settings of the control replica and the relay of a hub."""
 
     control: ControlSettings
     relay: RelaySettings
 
 
 def plan_hub(settings: HubSettings) -> HubPlan:
-    """Give the settings of both parts.
+    """Return the settings of both parts.
 
-    On the first start of a cluster the seeds, equal everywhere, are the founders; a
-    replica that is not among them, or starts later, waits to be taken in.
+    On the first start of a cluster, the seeds are the founding members of the group; they
+    are the same on all hubs. A replica that is not among them or starts later waits to be
+    admitted to the group.
     """
     address = f"{settings.host}:{settings.replica_port}"
     seeds = seed_addresses(settings.seeds, settings.replica_port)
@@ -76,12 +80,12 @@
 
 
 def _heartbeat_milliseconds(settings: HubSettings) -> int:
-    """Give the time between heartbeats: no longer than the bound on changes bears."""
+    """Return the time between heartbeats, limited by the time for changes to apply."""
     most = int(HEARTBEAT_SHARE * settings.apply_milliseconds)
     return min(settings.freshness_milliseconds, max(LEAST_HEARTBEAT_MILLISECONDS, most))
 
 
 def relay_name(replica_address: str, settings: HubSettings) -> str:
-    """Give the address of the relay beside a replica, which is its name too."""
+    """Return the address of the relay in a replica's hub, which is also its name."""
     host = replica_address.rpartition(":")[0]
     return f"{host}:{settings.relay_port}"
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -1,10 +1,10 @@
 """The operators' HTTP interface to roll-outs.
 
-``POST /rollouts`` orders one: 200 taken (now or before), 409 another one of that service
-is under way, 400 it can't be carried out, 503 undecided (send it again).
-``GET /rollouts/SERVICE`` gives the latest one, confirmed by a quorum: 200, 404 if there was
-none, or 503.  ``POST /rollouts/SERVICE/abort`` takes one back.
-``GET /rollouts/SERVICE/status`` tells what it has come to, as this hub knows it.
+``POST /rollouts`` orders a roll-out: 200 accepted (now or before), 409 another one of that
+service is in progress, 400 it cannot be carried out, 503 undecided (retry).
+``GET /rollouts/SERVICE`` returns the latest one, confirmed by a quorum: 200, 404 if there
+was none, or 503. ``POST /rollouts/SERVICE/abort`` aborts it.
+``GET /rollouts/SERVICE/status`` returns its progress as known to this hub.
 """
 
 from __future__ import annotations
@@ -49,21 +49,24 @@
 
 
 class StateBody(msgspec.Struct, frozen=True):
-    """The latest roll-out of a service."""
+    """JSON body that describes the latest roll-out of a service."""
 
     state: RolloutState
     target_version: str
 
 
 class VersionFigures(msgspec.Struct, frozen=True):
-    """Calls of one route at back ends of one version, and how many failed."""
+    """Number of calls of one route at back ends of one version, and of failed ones."""
 
     calls: int
     failed: int
 
 
 class RouteFigures(msgspec.Struct, frozen=True):
-    """Both versions on a route ("" over all), and what speaks against the new one."""
+    """Statistics of both versions on a route ("" for all routes together).
+
+    ``reason`` says what is worse with the new version.
+    """
 
     route: str
     new: VersionFigures
@@ -72,10 +75,11 @@
 
 
 class StatusBody(msgspec.Struct, frozen=True):
-    """What a roll-out has come to, as one hub knows it.
+    """JSON body that describes the progress of a roll-out, as known to one hub.
 
-    ``share`` of the calls goes to the new version (0 to 1); ``calls`` of ``all_calls``
-    ran there since the order.  Only the leader knows all figures and what it waits for.
+    ``share`` of the calls goes to the new version (0 to 1). Since the order, ``calls`` of
+    ``all_calls`` ran there. Only the leader has complete statistics and knows what the
+    roll-out waits for.
     """
 
     service: str
@@ -92,35 +96,35 @@
 
 
 class RolloutError(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Why an order was not taken, or nothing can be told."""
+    """JSON body that says why a request failed."""
 
     error: str
     allowed: str = ""
 
 
 class RolloutApi:
-    """Turns requests into events of the control core, and its answers into HTTP."""
+    """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None], core: ControlCore) -> None:
-        """Hand events to the core with ``dispatch``."""
+        """Pass events to the core with ``dispatch``."""
         self._dispatch = dispatch
         self._core = core
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[RolloutOutcome]] = {}
 
     def answered(self, command: RolloutAnswered) -> None:
-        """Take an answer of the core."""
+        """Complete the waiting request with an answer of the core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Answer one HTTP request."""
+        """Return the response to one HTTP request."""
         number = next(self._numbers)
         match request.path.strip("/").split("/"):
             case [root] if root == ROOT:
                 if request.method not in ("POST", "PUT"):
-                    return _error(METHOD_NOT_ALLOWED, "POST an order")
+                    return _error(METHOD_NOT_ALLOWED, "use POST to order a roll-out")
                 return await self._order(number, request.body)
             case [root, service] if root == ROOT:
                 if request.method != "GET":
@@ -188,7 +192,7 @@
             body = StateBody(rollout.state, rollout.version)
             return ServiceAnswer(OK, msgspec.json.encode(body), JSON)
         case RolloutUnderWay(target_version=version):
-            return _error(CONFLICT, f"that of {version} is under way")
+            return _error(CONFLICT, f"the roll-out of version {version} is in progress")
         case RolloutRefused(problem=problem):
             error = RolloutError(f"{problem.subject} {problem.reason}", problem.allowed)
             return ServiceAnswer(BAD_REQUEST, msgspec.json.encode(error), JSON)
--- a/src/peppershore/process/hub/shell.py
+++ b/src/peppershore/process/hub/shell.py
@@ -1,7 +1,7 @@
-"""Runs a hub: a control replica and its relay on one loop, and the operators' HTTP.
+"""Runs a hub: a control replica, its relay and the operators' HTTP interface on one loop.
 
-The relay follows the replica beside it only.  When that replica is cut off, the
-relay's confirmations age and its nodes move to another hub.
+The relay follows only the replica in its own process. When that replica is cut off, the
+relay's confirmations become stale and its nodes move to another hub.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 from peppershore.process.shell import Shell
 
 MEMBERS_SECONDS = 0.2
-"""How often the relay is told which hubs the group consists of."""
+"""Interval at which the relay is updated on the hubs in the group."""
 
 CLOCK_SECONDS = 1.0
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 class Hub:
-    """Both cores of one process, their shells and the interface for operators."""
+    """Both cores of one process, their shells and the HTTP interface for operators."""
 
     def __init__(self, settings: HubSettings) -> None:
-        """Open the store; raises SystemExit if it is refused."""
+        """Open the store; raise SystemExit if it cannot be used."""
         self._settings = settings
         self._plan = plan_hub(settings)
         self._process = _control_process(self._plan)
@@ -71,7 +71,7 @@
         self._timers: list[asyncio.TimerHandle] = []
 
     async def serve(self, on_ready: Callable[[int], None] | None) -> None:
-        """Run until the planned stop."""
+        """Run until the planned stop; call ``on_ready`` with the port for operators."""
         loop = asyncio.get_running_loop()
         host, _, port = self._plan.relay.listen.rpartition(":")
         await self._relay.listen(host, int(port))
@@ -89,7 +89,7 @@
         await self._keeper.close()
 
     async def _answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Answer operators: about the quarantine, roll-outs, else configurations."""
+        """Route a request to the quarantine, roll-out or configuration interface."""
         subject = request.path.strip("/").partition("/")[0]
         if subject == QUARANTINE:
             return await self._quarantine_api.answer(request)
@@ -101,12 +101,12 @@
         self._keeper.keep(command.records)
 
     def reload(self, settings: HubSettings) -> None:
-        """Take changed settings: the seeds."""
+        """Apply changed settings, of which only the seeds are used."""
         plan = plan_hub(settings)
         self._process.shell.dispatch(SeedsChanged(plan.control.seeds))
 
     def _watch_members(self) -> None:
-        """Tell the relay of the other hubs once the group has changed."""
+        """Check the group members periodically; send a changed list to the relay."""
         members = self._process.core.consensus.membership.members
         relays = tuple(
             PeerRelay(
@@ -143,9 +143,9 @@
     on_ready: Callable[[int], None] | None = None,
     watch: SettingsWatch[HubSettings] | None = None,
 ) -> None:
-    """Run a hub until its planned stop; tell ``on_ready`` the port for operators.
+    """Run a hub until its planned stop; call ``on_ready`` with the port for operators.
 
-    ``watch`` gives changed settings.  Raises SystemExit if the store is refused.
+    ``watch`` reports changed settings. Raise SystemExit if the store cannot be used.
     """
     hub = Hub(settings)
     if watch is not None:
--- a/src/peppershore/process/node/__init__.py
+++ b/src/peppershore/process/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node: holds one snapshot and the live endpoints beside a back end."""
+"""The node: a proxy next to a back end; holds one snapshot and the live endpoints."""
--- a/src/peppershore/process/node/back_end_api.py
+++ b/src/peppershore/process/node/back_end_api.py
@@ -1,8 +1,9 @@
-"""The HTTP interface at which the back end beside a node tells of itself.
+"""The HTTP interface through which the local back end reports its state to the node.
 
-``POST /back-ends/ID/heartbeat`` with a JSON body, ``POST /back-ends/ID/gone`` with one or
-without.  200 acknowledges.  Nobody else calls it, but who does is another's program: what
-is not as it should be names no back end to use, and what was known holds.
+``POST /back-ends/ID/heartbeat`` needs a JSON body; in ``POST /back-ends/ID/gone`` the body
+is optional. The node acknowledges a report with 200. Only the local back end calls this
+interface, but its software is not under our control: an invalid report is rejected, and
+the state known before remains valid.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 LEAVING_STATES = frozenset({"draining", "leaving"})
 
 NAME = re.compile(r"[!-~]{1,128}")
-"""A back end's name for itself: it goes into a header field."""
+"""Instance name that a back end gives itself; it is sent in an HTTP header field."""
 
 VERSION = re.compile(r"[!-~]{0,64}")
 MOST_SLOTS = 100_000
@@ -38,16 +39,20 @@
 MILLISECONDS = 1_000
 
 MOST_AHEAD_MILLISECONDS = 24 * 3_600 * MILLISECONDS
-"""A life that says it begins later than this from now is refused: believed, it would keep
-out every true one.  Clocks of machines may differ by less."""
+"""How far in the future the reported start of an incarnation may lie.
+
+If the node accepted a later start, it would reject every genuine report after it. The
+clocks of machines may differ by less than this.
+"""
 
 Whole = Annotated[int, msgspec.Meta(ge=0, le=MOST_SEQUENCE)]
 
 
 class HeartbeatBody(msgspec.Struct, frozen=True):
-    """A heartbeat; ``zone`` is for people, ``version`` of the back end's software.
+    """JSON body of a heartbeat.
 
-    ``born`` is when this life of the back end began, Unix milliseconds.
+    ``zone`` is informational only. ``version`` is that of the back end's software.
+    ``born`` is the start of this incarnation of the back end, in Unix milliseconds.
     """
 
     service: str
@@ -64,13 +69,13 @@
 
 
 class LeavingBody(msgspec.Struct, frozen=True):
-    """A word of the end; ``born`` as in a heartbeat."""
+    """JSON body of a termination report; ``born`` as in a heartbeat."""
 
     born: Whole = BORN_NOT_TOLD
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Why a report is not taken."""
+    """JSON body that says why a report was rejected."""
 
     error: str
 
@@ -81,19 +86,19 @@
 
 
 class BackEndApi:
-    """Turns the back end's reports into events of the node's core."""
+    """Converts HTTP reports of the local back end to events for the node core."""
 
     def __init__(
         self,
         dispatch: Callable[[Event], None],
         on_refused: Callable[[str], None] = lambda reason: None,
     ) -> None:
-        """Hand events to the core with ``dispatch``; ``on_refused`` hears of the others."""
+        """Pass events to ``dispatch``, and reasons for rejections to ``on_refused``."""
         self._dispatch = dispatch
         self._on_refused = on_refused
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Answer one HTTP request."""
+        """Return the response to one HTTP request."""
         segments = request.path.strip("/").split("/")
         if request.method != "POST" or len(segments) != 3 or segments[0] != ROOT:
             return _error(NOT_FOUND, "POST /back-ends/ID/heartbeat or /back-ends/ID/gone")
@@ -101,7 +106,7 @@
         if what == "gone":
             return self._take(read_leaving(instance, request.body))
         if what != "heartbeat":
-            return _error(NOT_FOUND, "heartbeat or gone")
+            return _error(NOT_FOUND, "the path must end in heartbeat or gone")
         return self._take(read_heartbeat(instance, request.body))
 
     def _take(self, read: Result[Event, str]) -> ServiceAnswer:
@@ -114,19 +119,19 @@
 
 
 def read_heartbeat(instance: str, body: bytes) -> Result[Event, str]:
-    """Give the event of a heartbeat, or what is wrong with it."""
+    """Return the event for a heartbeat, or why the heartbeat is invalid."""
     try:
         heartbeat = _HEARTBEAT.decode(body)
     except _UNREADABLE as problem:
         return Failure(str(problem))
     if not NAME.fullmatch(instance):
-        return Failure("the instance is no name of 1 to 128 visible characters")
+        return Failure("the instance must be 1 to 128 visible ASCII characters")
     if heartbeat.state not in READY_STATES | LEAVING_STATES:
-        return Failure("the state is none of ready, draining, leaving")
+        return Failure("the state must be one of ready, draining, leaving")
     if not VERSION.fullmatch(heartbeat.version):
-        return Failure("the version is no name of at most 64 visible characters")
+        return Failure("the version must be at most 64 visible ASCII characters")
     if _is_far_ahead(heartbeat.born):
-        return Failure("born lies more than a day ahead")
+        return Failure("born is more than a day in the future")
     report = BackEndReport(
         instance=instance,
         service=heartbeat.service,
@@ -142,9 +147,9 @@
 
 
 def read_leaving(instance: str, body: bytes) -> Result[Event, str]:
-    """Give the event of a word of the end, or what is wrong with it."""
+    """Return the event for a termination report, or why the report is invalid."""
     if not NAME.fullmatch(instance):
-        return Failure("the instance is no name of 1 to 128 visible characters")
+        return Failure("the instance must be 1 to 128 visible ASCII characters")
     if not body.strip():
         return Success(BackEndLeft(instance))
     try:
--- a/src/peppershore/process/node/back_end_reports.py
+++ b/src/peppershore/process/node/back_end_reports.py
@@ -1,10 +1,11 @@
-"""What a back end says of itself by heartbeats, and what its node makes of it.
-
-A life of a back end is told by the name that it gives itself and, where it says so, by
-the moment it was born: a back end that starts again may keep its name and count its
-reports anew.  A later life replaces an earlier one, and a late report of an earlier life
-changes nothing.  Once a leaving has been acknowledged it binds: the back end is given no
-new call after a bound.
+"""Heartbeats of the local back end, and the state its node derives from them.
+
+A ``Life`` identifies one incarnation of a back end: by the instance name that the back end
+gives itself and, if reported, by its start time. The start time is needed because a
+restarted back end may keep its name and number its reports from the beginning again. A
+later incarnation replaces an earlier one, and a late report of an earlier incarnation
+changes nothing. Once the node has acknowledged that an incarnation is leaving, this is
+final: after a bounded time the back end receives no new call.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 STATE_GONE = "gone"
 
 BORN_NOT_TOLD = 0
-"""In place of when a life began: it does not say, and is told by its name alone."""
+"""Start time of an incarnation that reports none: its instance name identifies it."""
 
 MAX_REMEMBERED_LIVES = 64
 
 
 class Life(msgspec.Struct, frozen=True):
-    """One life of a back end; ``born`` is Unix milliseconds of its start."""
+    """One incarnation of a back end; ``born`` is its start in Unix milliseconds."""
 
     instance: str
     born: int = BORN_NOT_TOLD
 
     @property
     def name(self) -> str:
-        """What no other life has, also not one of the same instance."""
+        """Name unique to this incarnation, also among those of the same instance."""
         return f"{self.instance}@{self.born}" if self.born else self.instance
 
 
@@ -41,8 +42,9 @@
 class BackEndReport(msgspec.Struct, frozen=True):
     """One heartbeat.
 
-    ``sequence`` rises with each report of a life.  ``warming_milliseconds`` is for how
-    much longer the back end is slow.  ``version`` is that of its software, "" untold.
+    ``sequence`` rises with each report of an incarnation. ``warming_milliseconds`` is how
+    much longer the back end expects to be slow while it warms up. ``version`` is that of
+    its software, "" if not reported.
     """
 
     instance: str
@@ -57,12 +59,12 @@
 
     @property
     def life(self) -> Life:
-        """Whose report it is."""
+        """Incarnation that sent the report."""
         return Life(self.instance, self.born)
 
 
 class BackEndView(msgspec.Struct, frozen=True):
-    """The back end as its node knows it now; ``slots`` 0 before the first report."""
+    """Current state of the back end; ``slots`` is 0 before the first report."""
 
     instance: str = ""
     state: str = STATE_GONE
@@ -73,7 +75,7 @@
 
     @property
     def life(self) -> Life:
-        """The life that is shown; one without a name before the first report."""
+        """Current incarnation; its name is empty before the first report."""
         return Life(self.instance, self.born)
 
 
@@ -81,10 +83,10 @@
 
 
 class BackEndReports:
-    """The lives of the back end beside one node."""
+    """Tracks the incarnations of one node's local back end and its current state."""
 
     def __init__(self, service: str, silent_seconds: float) -> None:
-        """A back end of ``service`` that says nothing for so long counts as gone."""
+        """Track a back end of ``service``, gone after ``silent_seconds`` of silence."""
         self.view = NO_BACK_END
         self._service = service
         self._silent_seconds = silent_seconds
@@ -94,7 +96,10 @@
         self._over: dict[Life, None] = {}
 
     def take(self, report: BackEndReport, now: float) -> bool:
-        """Take a heartbeat; tell whether the view changed."""
+        """Apply a heartbeat.
+
+        Return whether the incarnation, its state or its slots changed.
+        """
         if not self._counts(report):
             return False
         life = report.life
@@ -118,10 +123,11 @@
         )
 
     def left(self, instance: str, born: int = BORN_NOT_TOLD) -> bool:
-        """The back end says that it ends: like leaving, for good.
+        """Mark an incarnation that reported its termination as permanently leaving.
 
-        It serves on for a while, so what it has been given is not taken from it.  A word
-        without the moment of its birth is of the life that is shown under that name.
+        It continues to serve for a while, so calls already sent to it stay there. A report
+        without a start time refers to the current incarnation if that has this name.
+        Return whether the view changed.
         """
         life = Life(instance, born)
         if not born and instance == self.view.instance:
@@ -132,15 +138,21 @@
         return self._show(msgspec.structs.replace(self.view, state=STATE_LEAVING))
 
     def not_there(self, life: str) -> bool:
-        """Nothing answers, or another life does: wait for the next heartbeat."""
+        """Mark the back end as gone until its next heartbeat.
+
+        To be called when nothing, or another incarnation, answers at its address. Return
+        whether the view changed; it does not if ``life`` is not the current incarnation.
+        """
         if life != self.view.life.name or self.view.state == STATE_GONE:
             return False
         return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def overtaken(self, born: int) -> bool:
-        """Others know of a life born then; tell whether what is shown is an earlier one.
+        """Note that other nodes know of an incarnation that started at ``born``.
 
-        A node that started anew may first hear a late word of a life before.
+        If the current incarnation is an earlier one, mark it as gone and return True:
+        the first report that a restarted node receives may be a late one of an earlier
+        incarnation.
         """
         self._newest_born = max(self._newest_born, born)
         is_earlier = BORN_NOT_TOLD < self.view.born < born
@@ -149,7 +161,10 @@
         return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def tick(self, now: float) -> bool:
-        """Count a back end that was silent for too long as gone."""
+        """Mark a back end without recent reports as gone.
+
+        Return whether the view changed.
+        """
         if self.view.state == STATE_GONE:
             return False
         if now - self._heard_at < self._silent_seconds:
@@ -157,7 +172,7 @@
         return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def _counts(self, report: BackEndReport) -> bool:
-        """Whether a report is news of a back end of this node."""
+        """Return whether a report is for this service and not outdated."""
         life = report.life
         if report.service != self._service or life in self._over:
             return False
--- a/src/peppershore/process/node/commands.py
+++ b/src/peppershore/process/node/commands.py
@@ -1,4 +1,4 @@
-"""What a node core asks of its shell beyond what every core may ask."""
+"""Commands that only a node core issues to its shell."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 class ConfigurationSwapped(Command, frozen=True):
-    """Serve calls by this configuration from now on."""
+    """Use this configuration for new calls."""
 
     active: ActiveConfiguration
 
 
 class EndpointsSwapped(Command, frozen=True):
-    """These are all known endpoints of the services the node may call."""
+    """Replace all known endpoints of the services that the node may call."""
 
     endpoints: tuple[Endpoint, ...]
 
 
 class QuarantineChanged(Command, frozen=True):
-    """Heed these records of requests that end back ends from now on."""
+    """Apply these records of requests suspected of crashing back ends."""
 
     records: tuple[CrashRecord, ...]
 
 
 class QuotaAnswered(Command, frozen=True):
-    """The relay in use answered an ask for grants."""
+    """Pass on the answer of the relay in use to a request for quota grants."""
 
     granted: QuotaGranted
 
 
 class PersistSnapshot(PersistRecords, frozen=True):
-    """Write a snapshot, whose version is the new floor, to disk and sync it."""
+    """Write a snapshot to disk and sync it; its version becomes the new floor."""
 
     snapshot: Snapshot
 
 
 class DrainBackend(Command, frozen=True):
-    """Take no new work and finish what runs; answered by ``BackendDrained``."""
+    """Accept no new calls and finish those in flight; ``BackendDrained`` answers it."""
 
 
 class BackEndViewed(Command, frozen=True):
-    """The back end beside the node is like this from now on."""
+    """Use this new state of the local back end."""
 
     view: BackEndView
--- a/src/peppershore/process/node/configuration.py
+++ b/src/peppershore/process/node/configuration.py
@@ -1,4 +1,7 @@
-"""What a node holds: one snapshot, and the version below which it never goes."""
+"""The configuration of a node: one snapshot, and the floor.
+
+The floor is the lowest version that the node may still accept.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 class ConfigurationHolder:
     """The snapshot in use, the floor, and the highest version in effect.
 
-    The version in effect can be above the snapshot's: changes that do not
-    concern the node's scope need no new snapshot.
+    The version in effect can be above the snapshot's, because changes outside the
+    node's scope need no new snapshot.
     """
 
     def __init__(self, scope: Scope, floor: Version, stored: Snapshot | None) -> None:
-        """Begin with what the disk held; a snapshot of another scope is not used."""
+        """Start from the stored floor and snapshot; ignore a snapshot of another scope."""
         usable = stored is not None and stored.scope == scope
         self.snapshot = stored if stored is not None and usable else empty_snapshot(scope)
         self.floor = max(floor, stored.version if stored is not None else 0)
@@ -30,11 +33,11 @@
 
     @property
     def holds_nothing(self) -> bool:
-        """Tell whether there is no snapshot in use."""
+        """Whether there is no snapshot in use."""
         return self.snapshot.version == 0
 
     def prepare(self, update: Update) -> Result[Snapshot, str]:
-        """Build the next snapshot aside, or give the reason why it is refused."""
+        """Return the next snapshot without using it, or the reason to refuse the update."""
         if not self.holds_nothing and update.version <= self.effective_version:
             return Failure(NOT_NEWER)
         if update.version < self.floor:
@@ -45,15 +48,15 @@
         return Success(outcome.unwrap())
 
     def use(self, snapshot: Snapshot) -> None:
-        """Swap in a prepared snapshot; going back is a broken invariant."""
-        assert snapshot.version > self.snapshot.version, "the version would go back"
-        assert snapshot.version >= self.floor, "the version would go below the floor"
+        """Put a prepared snapshot into use; its version must be above the current one."""
+        assert snapshot.version > self.snapshot.version, "the version would decrease"
+        assert snapshot.version >= self.floor, "the version would fall below the floor"
         self.snapshot = snapshot
         self.floor = snapshot.version
         self.effective_version = max(self.effective_version, snapshot.version)
 
     def still_current(self, version: Version) -> None:
-        """Note that what is held is right up to ``version``."""
+        """Note that the snapshot in use is still current as of ``version``."""
         if not self.holds_nothing:
             self.effective_version = max(self.effective_version, version)
             self.floor = max(self.floor, version)
--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -1,8 +1,8 @@
-"""The node as a step function: relay in, configuration and endpoints out.
+"""The node core as a step function: it maps one event to a list of commands.
 
-``relay_sessions`` decides which relay is used, ``configuration`` what is held,
-``endpoints`` and ``own_endpoint`` the live endpoints.  This module routes
-events between them.
+``relay_sessions`` decides which relay is used and ``configuration`` which snapshot.
+``endpoints`` holds the live endpoints that are known, ``own_endpoint`` that of the local
+back end. This module routes events between them.
 """
 
 from __future__ import annotations
@@ -88,44 +88,47 @@
 PERSIST_RETRY_SECONDS = 1.0
 LEAVING_TIMER = "node.leaving"
 LEAVING_ANNOUNCED_SECONDS = 1.0
-"""After the begin of a planned stop others go on sending for so long: this node serves
-callers for some time in any case, and its back end would stand idle meanwhile."""
+"""Delay from the start of a planned stop until the back end is announced as leaving.
+
+Other nodes continue to send calls to it in the meantime: this node serves callers for some
+time in any case, and its back end would be idle otherwise.
+"""
 PAUSE_SECONDS = 3.0
-"""Without any event for this long the process can't have been running."""
+"""A process without any event for this long must have been suspended."""
 REFUSAL_LINE_SECONDS = 10.0
-"""Between two lines on reports that can't be used; the first has one at once."""
+"""Minimum time between log lines on unusable reports; the first is logged at once."""
 
 MOST_REASON = 200
-"""Characters of such a reason in a line."""
+"""Maximum number of characters of the reason in such a log line."""
 
 MILLISECONDS = 1_000
 ROUNDING_MILLISECONDS = 1
-"""Times go over the wire as whole milliseconds, rounded down."""
+"""Tolerance for times on the wire, which are rounded down to whole milliseconds."""
 
 
 class NodeMemory:
-    """What a node brings along from before its start.
+    """State of a node that survives restarts.
 
-    ``incarnation`` is above that of every earlier start; ``floor`` and
-    ``snapshot`` come from the disk, if there is one.
+    ``incarnation`` is above that of every earlier start; ``floor`` and ``snapshot``
+    come from the disk, if the node has one.
     """
 
     def __init__(
         self, incarnation: int, floor: Version = 0, snapshot: Snapshot | None = None
     ) -> None:
-        """Keep the values."""
+        """Store the values."""
         self.incarnation = incarnation
         self.floor = floor
         self.snapshot = snapshot
 
 
 class NodeCore:
-    """Decides everything a node does towards relays; see ``process.core.Core``."""
+    """Decides how a node interacts with its relays; see ``process.core.Core``."""
 
     def __init__(
         self, settings: NodeSettings, memory: NodeMemory, owner_address: str = ""
     ) -> None:
-        """Begin with what the disk held; ``owner_address`` is the internal listener."""
+        """Start from the stored state; ``owner_address`` is the internal listener."""
         scope = Scope(settings.service, settings.zone)
         self._settings = settings
         self._has_disk = bool(settings.data_folder)
@@ -151,7 +154,7 @@
         self._out: list[Command] = []
 
     def step(self, event: events.Event, now: float) -> list[Command]:
-        """Take one event; give the commands it leads to."""
+        """Handle one event and return the commands that result from it."""
         self._out = []
         self._note_pause(event, now)
         self._now = now
@@ -160,16 +163,17 @@
 
     @property
     def confirmed_at(self) -> float:
-        """When a quorum confirmed what is held, monotonic; -inf for never.
+        """When a quorum last confirmed the snapshot in use; -inf for never.
 
-        Nothing that waited in a socket while the process stood still counts: it
-        tells its age as of when it was sent.
+        The time is in monotonic seconds of this node. Messages that waited in a socket
+        while the process was suspended do not count: the age that they state is from when
+        they were sent.
         """
         return self._confirmed_at
 
     @property
     def incarnation(self) -> int:
-        """Number of this start; above that of every earlier one."""
+        """Number of this start of the node, above that of every earlier start."""
         return self._own.incarnation
 
     # --- events ----------------------------------------------------------------
@@ -221,7 +225,10 @@
                 raise AssertionError(f"a node takes no {type(event).__name__}")
 
     def _tell_evidence(self, event: EvidenceGathered) -> None:
-        """Tell the relay in use; what it misses the next word tells as well."""
+        """Send evidence to the relay in use.
+
+        Evidence is cumulative, so a lost message is covered by the next one.
+        """
         active = self.sessions.active
         if active is None:
             return
@@ -238,12 +245,15 @@
         self._out.append(SendMessage(active.link, EvidenceTold(evidence)))
 
     def _ask_quota(self, ask: QuotaAsked) -> None:
-        """Ask the relay in use; without one the ask is made again a moment later."""
+        """Send a quota request to the relay in use.
+
+        Without a relay it is dropped; the data plane repeats it a moment later.
+        """
         if self.sessions.active is not None:
             self._out.append(SendMessage(self.sessions.active.link, ask))
 
     def _refused_report(self, event: BackEndReportRefused) -> None:
-        """Say so, but not for each: whoever sends them may go on for long."""
+        """Log an unusable report at a limited rate: its sender may send many of them."""
         self._refused_reports += 1
         if self._now >= self._refusal_told_at + REFUSAL_LINE_SECONDS:
             reason = event.reason[:MOST_REASON]
@@ -252,7 +262,7 @@
             self._refusal_told_at = self._now
 
     def _note_pause(self, event: events.Event, now: float) -> None:
-        """After a time without any event, begin anew with the relays."""
+        """Reconnect to the relays if the process was suspended before this event."""
         pause = now - self._now
         if isinstance(event, events.Started) or pause < PAUSE_SECONDS:
             return
@@ -338,7 +348,7 @@
     def _answered(
         self, session: RelaySession, message: UpdateOffered | Current | Freshness
     ) -> None:
-        """Note an answer and its confirmation; a candidate may become the relay in use."""
+        """Record an answer and its confirmation; it may make a candidate the active one."""
         session.confirmed(message.confirmed_at_milliseconds)
         session.answered = True
         was_active = session is self.sessions.active
@@ -347,7 +357,7 @@
             self._introduce(session)
 
     def _introduce(self, session: RelaySession) -> None:
-        """Tell a relay that is used from now on of the back end and the endpoints."""
+        """Send local endpoint, endpoint digest and quarantine to a newly chosen relay."""
         if self._own.exists:
             self._announce()
         self._out.append(SendMessage(session.link, EndpointsHeld(self.known.digest)))
@@ -359,20 +369,20 @@
 
     @property
     def _clock_milliseconds(self) -> int:
-        """What this node's clock shows, never ahead of it."""
+        """Time of this node's clock in milliseconds, rounded down."""
         return math.floor(self._now * MILLISECONDS)
 
     def _still_current(self, message: Current | Freshness) -> None:
-        """Take a confirmation of what is held, which the relay names by its digest.
+        """Apply a confirmation if its digest is that of the snapshot in use.
 
-        It names nothing while it holds an update back or has one on its way.
+        The relay sends no digest while it holds an update back or has one in flight.
         """
         if self._pending is None and message.digest == self.holder.digest:
             self.holder.still_current(message.version)
             self._confirm(message.confirmed_at_milliseconds)
 
     def _confirm(self, at_milliseconds: int | None) -> None:
-        """What is held was the latest at this time of the node's clock."""
+        """Note that the snapshot was the latest at this time of this node's clock."""
         if at_milliseconds is not None and not self.holder.holds_nothing:
             self._confirmed_at = max(self._confirmed_at, at_milliseconds / MILLISECONDS)
 
@@ -399,7 +409,11 @@
         self._persist()
 
     def _is_acceptable(self, session: RelaySession, offer: UpdateOffered) -> bool:
-        """Take what was confirmed after the hello, unless there is a floor to go by."""
+        """Return whether an offered version is confirmed recently enough.
+
+        A node with a floor accepts any offer here, since the floor excludes old versions.
+        A node without one requires a confirmation no earlier than its hello.
+        """
         if self.holder.floor > 0:
             return True
         confirmed_at = offer.confirmed_at_milliseconds
@@ -425,7 +439,7 @@
     # --- storing and using a version -------------------------------------------
 
     def _persist(self) -> None:
-        """Store the prepared version; use it only once it is synced."""
+        """Store the prepared version, which is used only once it is synced to disk."""
         if self._pending is None:
             return
         if not self._has_disk:
@@ -463,10 +477,11 @@
     # --- endpoints -------------------------------------------------------------
 
     def _services_changed(self, services: frozenset[str]) -> None:
-        """Drop what is no longer needed; let the relay add what may be lacking.
+        """Drop endpoints of removed services; request those of new ones from the relay.
 
-        The endpoints of new services come ahead of the update; they are dropped
-        when a version between, from another relay, doesn't hold those services.
+        A relay sends the endpoints of new services before the update. They may be missing
+        here: they are dropped if an intermediate version from another relay does not
+        contain those services.
         """
         if self.known.forget_services_but(services):
             self._swap_endpoints()
@@ -484,7 +499,10 @@
         self._endpoints_changed(session, unpacked.unwrap())
 
     def _endpoints_changed(self, session: RelaySession, message: EndpointsChanged) -> None:
-        """Take what the relay in use says, and what comes ahead of a first update."""
+        """Apply endpoints from the relay in use, or from any relay while none is in use.
+
+        The latter arrive before a first update.
+        """
         for endpoint in message.endpoints:
             if endpoint.node == self._settings.node:
                 self._viewed(self._reports.overtaken(endpoint.born))
@@ -500,7 +518,7 @@
             self._out.append(SendMessage(session.link, EndpointsHeld(digest)))
 
     def _swap_endpoints(self) -> None:
-        """Let calls go by the endpoints known now; say of which services that is news."""
+        """Use the known endpoints for calls; report services whose ready nodes changed."""
         endpoints = self.known.endpoints
         self._out.append(EndpointsSwapped(endpoints))
         ready: dict[str, list[str]] = {}
@@ -516,7 +534,7 @@
         self._ready = known
 
     def _viewed(self, changed: bool) -> None:
-        """The back end said something new of itself: tell its node and all others."""
+        """Pass a changed state of the local back end to the data plane and other nodes."""
         if not changed:
             return
         view = self._reports.view
@@ -527,7 +545,7 @@
             self._announce()
 
     def _know_own_endpoint(self) -> None:
-        """The node's own calls heed it at once, not only when a relay repeats it."""
+        """Apply the local endpoint to this node's calls without waiting for a relay."""
         if self.known.take(EndpointsChanged((self._own.current,))):
             self._swap_endpoints()
 
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of a node: takes callers' requests, gives back ends' answers."""
+"""The data plane of a node: accepts callers' requests, returns back ends' responses."""
 
 from __future__ import annotations
 
@@ -44,39 +44,44 @@
 TICK_SECONDS = 0.5
 IDLE_SECONDS = 75.0
 LEAVING_SECONDS = 2.0
-"""For so long after ``begin_drain`` others may still send: they are answered."""
+"""For this long after ``begin_drain`` calls of other nodes are still served."""
 
 DRAIN_POLL_SECONDS = 0.02
 FRESH_CONNECTION_SECONDS = 1.0
-"""While callers are still accepted, a connection is left this time for its request: one
-that was just opened looks idle, and closing it would cut the request on its way."""
+"""Minimum idle time before a drain closes a caller's connection while callers still come.
+
+A connection that was just opened looks idle, but closing it would lose a request that is
+already in flight.
+"""
 
 CALLERS_QUIET_SECONDS = 0.3
-"""Callers have gone elsewhere once none came for so long."""
+"""A drain assumes that callers use other nodes once none came for this long."""
 
 ANY_CALL_SHARE = 0.5
-"""Part of a planned stop's bound in which any call is taken; after it only one that is
-over before the bound whatever happens."""
+"""Share of a planned stop's time limit in which every call is accepted.
+
+After it only calls are accepted whose deadline is before the end of the time limit.
+"""
 
 MILLISECONDS = 1_000
 LONGEST_CALL_SECONDS = 10.0
-"""Assumed while no configuration tells the longest timeout."""
+"""Longest time-out of a call, assumed while there is no configuration."""
 
 
 class ListenAddresses(msgspec.Struct, frozen=True):
-    """Where a node listens, "IP:port"; ``internal`` is empty without a listener."""
+    """Addresses of a node's listeners, "IP:port"; ``internal`` is empty without one."""
 
     callers: str
     internal: str
 
     @property
     def callers_port(self) -> int:
-        """Port for callers."""
+        """Port of the listener for callers."""
         return int(self.callers.rpartition(":")[2])
 
 
 class DrainReport(msgspec.Struct, frozen=True):
-    """What a drain waited for, and what it left behind at its bound."""
+    """How long a drain took, and what was still in flight at its time limit."""
 
     seconds: float
     calls_at_start: int
@@ -85,7 +90,7 @@
 
 
 class DataPlane:
-    """Listeners, calls, the own back end and its links, of one node."""
+    """Listeners, calls, local back end and call links of one node."""
 
     def __init__(
         self,
@@ -97,20 +102,20 @@
         server_tls: ssl.SSLContext | None = None,
         authorize: Authorize = allow_all,
     ) -> None:
-        """Prepare; must run on the loop.
+        """Create the data plane; must be called on the running event loop.
 
-        ``seed`` fixes random choices; the contexts secure links between nodes, and
-        ``authorize`` tells what a peer on them may send.
+        ``seed`` makes random choices reproducible. The TLS contexts secure links between
+        nodes, and ``authorize`` decides which messages a peer on them may send.
         """
         self.draining = False
         self.on_back_end_ended: Callable[[str, tuple[Suspect, ...]], None] = (
             lambda life, under: None
         )
-        """Told of a life of the own back end that ended, and of what ran there."""
+        """Called with a crashed incarnation of the local back end and its requests."""
         self.on_evidence: Callable[[int, tuple[RouteEvidence, ...]], None] = (
             lambda began, routes: None
         )
-        """Told what the own back end showed since a roll-out of its service began."""
+        """Called with call statistics of the local back end since a roll-out's start."""
         self._settings = settings
         self._notice_sink = notice_sink
         self._loop = asyncio.get_running_loop()
@@ -146,7 +151,7 @@
     # --- for the node's shell
 
     def use_configuration(self, active: ActiveConfiguration) -> None:
-        """Decide new calls by this configuration."""
+        """Use this configuration for new calls."""
         self.calls.use_configuration(active)
         if not self._listener.listening and not self.draining:
             self._listening = self._loop.create_task(self._listener.listen())
@@ -155,15 +160,15 @@
             self._own.use_settings(settings)
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Replace the live endpoints of the services that may be called."""
+        """Replace the live endpoints of the services that this node may call."""
         self.calls.use_endpoints(endpoints)
 
     def use_claims(self, claims: ClaimsClient) -> None:
-        """Record a claim before a call with an idempotency key is sent."""
+        """Record a claim before a call with an idempotency key is sent to a back end."""
         self.calls.claims.client = CheckedClaims(claims)
 
     def use_back_end(self, view: BackEndView) -> None:
-        """Take what the back end says of itself by heartbeats."""
+        """Apply the state that the local back end reports by heartbeats."""
         bound = leaving_bound_seconds(self._settings)
         if self._own is None:
             return
@@ -173,12 +178,15 @@
             self._call_listener.lend_no_more()
 
     def on_back_end_not_there(self, callback: Callable[[str], None]) -> None:
-        """Tell ``callback`` which life of the back end does not answer."""
+        """Call ``callback`` with an incarnation of the back end that cannot be reached."""
         if self._own is not None:
             self._own.on_not_there = callback
 
     def on_backend_state(self, callback: Callable[[str], None]) -> None:
-        """Begin to watch the own back end; tell ``callback`` of its changes."""
+        """Start to probe the local back end; call ``callback`` with each new state.
+
+        A back end that reports its state by heartbeats is not probed.
+        """
         self._on_backend_state = callback
         is_reported = bool(self._settings.back_end_listen)
         if self._settings.backend and not is_reported and self._probe is None:
@@ -186,10 +194,10 @@
             self._probe.start()
 
     async def start(self) -> ListenAddresses:
-        """Listen for callers and, where set, for other nodes.
+        """Listen for callers and, if configured, for other nodes.
 
-        One that takes over listens for callers once it holds a configuration.
-        Raises OSError if an address is taken.
+        A node that takes over from an older process listens for callers only once it has
+        a configuration. Raise OSError if an address is in use.
         """
         host, _, port = self._settings.listen.rpartition(":")
         callers = self._listener.bind(host, int(port), self._settings.take_over)
@@ -204,7 +212,10 @@
         return ListenAddresses(callers, internal)
 
     def begin_drain(self) -> None:
-        """Take no new work; calls in flight go on."""
+        """Begin a drain: recall slot loans and hand new connections to a successor.
+
+        Calls in flight continue.
+        """
         if self.draining:
             return
         self.draining = True
@@ -214,7 +225,7 @@
         self._listener.hand_over()
 
     async def drained(self, bound_seconds: float) -> DrainReport:
-        """Wait until nothing is in flight, or the bound; say what was waited for."""
+        """Wait until nothing is in flight, at most ``bound_seconds``; return a report."""
         self.begin_drain()
         end = self._drain_began + bound_seconds
         self.calls.end_at(end, self._drain_began + ANY_CALL_SHARE * bound_seconds)
@@ -232,20 +243,20 @@
         return self._report_drain()
 
     async def _own_back_end_done(self, end: float) -> None:
-        """Wait until the back end runs nothing: what it runs may call on through here."""
+        """Wait until the local back end is idle: its work may make calls via this node."""
         own = self._own
         while own is not None and own.in_flight and self._loop.time() < end:
             self._close_idle(FRESH_CONNECTION_SECONDS)
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def _callers_gone(self, end: float) -> None:
-        """Wait until callers come no more: some may know no other node that is ready."""
+        """Wait until no more callers come; some may not know another ready node yet."""
         while self._loop.time() < min(end, self._caller_seen_at + CALLERS_QUIET_SECONDS):
             self._close_idle(FRESH_CONNECTION_SECONDS)
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     async def close(self) -> None:
-        """Close listeners and connections at once."""
+        """Close listeners and connections immediately."""
         if self._tick is not None:
             self._tick.cancel()
         if self._probe is not None:
@@ -266,37 +277,37 @@
 
     @property
     def lent_slots(self) -> int:
-        """Slots of the own back end that other nodes may be using directly."""
+        """Slots of the local back end on loan, which other nodes may use directly."""
         return self._call_listener.lent(self._loop.time())
 
     @property
     def streams_served(self) -> int:
-        """Calls of other nodes taken for the own back end since the start."""
+        """Number of other nodes' calls accepted for the local back end since the start."""
         return self._call_listener.streams_served
 
     # --- ServerOwner
 
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
-        """Make a call."""
+        """Create the call for a received request; its body is passed to the result."""
         self._caller_seen_at = self._loop.time()
         return Call(self.calls, exchange, head)
 
     def may_be_repeated(self, head: RequestHead) -> bool:
-        """Tell by the route of a request whether it may run more than once."""
+        """Return whether the route of a request declares it safe to retry."""
         return self.calls.may_be_repeated(head)
 
     def request_refused(self, problem: HeadProblem) -> bytes:
-        """Count a malformed request; give the refusal's body."""
+        """Count a malformed request; return the body of the error response."""
         self._notice_sink(notices.MalformedRequest(problem.reason, problem.status))
         return f"not-run: {problem.reason}\n".encode()
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Remember a caller's connection."""
+        """Register a caller's new connection."""
         self._caller_seen_at = self._loop.time()
         self._connections.add(connection)
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a caller's connection."""
+        """Remove a caller's closed connection."""
         self._connections.discard(connection)
 
     # --- inside
@@ -330,7 +341,7 @@
 
     @property
     def _idle_seconds(self) -> float:
-        """For how long a caller's connection may rest, by the configuration."""
+        """Idle time-out of callers' connections, from the configuration if there is one."""
         active = self.calls.configuration
         settings = None if active is None else active.services.get(self._settings.service)
         if settings is None:
@@ -360,7 +371,7 @@
             self._own.refuse_not_there(life)
 
     def _longest_call_seconds(self) -> float:
-        """Bound on a call begun directly by another node at the own back end."""
+        """Return the longest time-out of a call that another node may send directly."""
         active = self.calls.configuration
         if active is None:
             return LONGEST_CALL_SECONDS
@@ -392,9 +403,10 @@
 
 
 def leaving_bound_seconds(settings: NodeSettings) -> float:
-    """Give for how long a back end that leaves is given calls after its word.
+    """Return how long a leaving back end still receives calls after its report.
 
-    The other half of what it serves on for is left to what is on its way there.
+    This is at most half of the time for which it continues to serve. The other half
+    remains for calls already in flight.
     """
     milliseconds = float(settings.back_end_leaving_milliseconds)
     if settings.drain_milliseconds > 0.0:
--- a/src/peppershore/process/node/endpoints.py
+++ b/src/peppershore/process/node/endpoints.py
@@ -1,4 +1,7 @@
-"""The endpoints a node knows, in the order their owners gave them."""
+"""The endpoints that a node knows.
+
+Newer states replace older ones, by the order that an endpoint's owner assigns to them.
+"""
 
 from __future__ import annotations
 
@@ -11,29 +14,29 @@
 
 
 class KnownEndpoints:
-    """Endpoints of the services a node may call.
+    """Endpoints of the services that a node may call.
 
-    What the relay does not mention is kept: only a complete list removes, and
-    only for the services it names.
+    Endpoints that a message of the relay does not contain are retained. Only a complete
+    list removes them, and if it names services, only for these.
     """
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start without endpoints."""
         self._by_node: dict[str, Endpoint] = {}
         self._gone: OrderedDict[str, tuple[int, int]] = OrderedDict()
 
     @property
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """All endpoints known that are not gone."""
+        """All known endpoints that are not gone."""
         return tuple(self._by_node.values())
 
     @property
     def digest(self) -> int:
-        """Digest over all endpoints known."""
+        """Digest of all known endpoints."""
         return endpoints_digest(self._by_node.values())
 
     def take(self, message: EndpointsChanged) -> bool:
-        """Take what a relay tells; tell whether anything differs from before."""
+        """Apply endpoints from a relay; return whether the known endpoints changed."""
         before = self.endpoints
         for endpoint in message.endpoints:
             self._merge(endpoint)
@@ -42,7 +45,7 @@
         return self.endpoints != before
 
     def forget_services_but(self, services: frozenset[str]) -> bool:
-        """Drop endpoints of services the node no longer holds; tell if there were any."""
+        """Drop endpoints of all other services; return whether there were any."""
         dropped = [
             node for node, each in self._by_node.items() if each.service not in services
         ]
--- a/src/peppershore/process/node/inputs.py
+++ b/src/peppershore/process/node/inputs.py
@@ -1,4 +1,4 @@
-"""Events that only a node has."""
+"""Events that only a node core receives."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class BackendStateChanged(Event, frozen=True):
-    """The data plane sees its back end in another state ("warming", "ready", "gone")."""
+    """The data plane saw its back end change state ("warming", "ready", "gone")."""
 
     state: str
 
 
 class BackendDrained(Event, frozen=True):
-    """The work in flight is finished, or its bound has passed."""
+    """The calls in flight have finished, or the time limit of the drain has passed."""
 
 
 class BackEndReported(Event, frozen=True):
@@ -27,51 +27,51 @@
 
 
 class BackEndLeft(Event, frozen=True):
-    """That life of the back end says that it ends."""
+    """An incarnation of the local back end reported that it terminates."""
 
     instance: str
     born: int = BORN_NOT_TOLD
 
 
 class BackEndReportRefused(Event, frozen=True):
-    """What came as a word of the back end is none that can be used."""
+    """A report to the node's back-end interface was invalid."""
 
     reason: str
 
 
 class BackEndNotThere(Event, frozen=True):
-    """Nothing answers at the back end's address, or another life of it does."""
+    """Nothing answers at the back end's address, or another incarnation does."""
 
     life: str
 
 
 class BackEndEnded(Event, frozen=True):
-    """The process of that life ended without a word, and these requests ran there."""
+    """An incarnation exited without notice while these requests ran there."""
 
     life: str
     under: tuple[Suspect, ...]
 
 
 class SuspectEndedWell(Event, frozen=True):
-    """The back end answered a request under which others had ended."""
+    """The back end answered a request during which other incarnations had crashed."""
 
     key: bytes
 
 
 class EvidenceGathered(Event, frozen=True):
-    """What the back end showed since the roll-out of that moment began."""
+    """Call statistics of the back end since the roll-out that began at this time."""
 
     began_milliseconds: int
     routes: tuple[RouteEvidence, ...]
 
 
 class QuotaWanted(Event, frozen=True):
-    """Calls of tenants wait for grants."""
+    """Calls of tenants wait for quota grants."""
 
     ask: QuotaAsked
 
 
 class NodeSeedsChanged(Event, frozen=True):
-    """The settings name other relays to begin with."""
+    """The settings changed; these are the new relays to connect to at first."""
 
     relays: tuple[PeerRelay, ...]
--- a/src/peppershore/process/node/notices.py
+++ b/src/peppershore/process/node/notices.py
@@ -1,4 +1,4 @@
-"""What a node reports to logs and metrics."""
+"""Events that a node reports to logs and metrics."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RelayChosen(Notice, frozen=True):
-    """The node takes its configuration from this relay now."""
+    """The node now receives its configuration from this relay."""
 
     relay: str
 
@@ -22,7 +22,7 @@
 
 
 class RelayUnavailable(Notice, frozen=True):
-    """A relay could not be used; another is tried after a wait."""
+    """A relay could not be used; the node tries another one after this wait."""
 
     relay: str
     reason: str
@@ -30,7 +30,7 @@
 
 
 class BackEndViewChanged(Notice, frozen=True):
-    """The back end beside the node told something new of itself, or fell silent."""
+    """The state of the local back end changed by a report or for lack of reports."""
 
     instance: str
     state: str
@@ -38,7 +38,7 @@
 
 
 class BackEndReportNotUsed(Notice, frozen=True):
-    """What came as a word of the back end can't be read; ``count`` since the start."""
+    """A back-end report was invalid; ``count`` is their number since the start."""
 
     level: ClassVar[str] = "warning"
     reason: str
@@ -46,21 +46,21 @@
 
 
 class BackEndsKnown(Notice, frozen=True):
-    """From now on calls of a service go to the back ends beside these nodes."""
+    """Calls of a service now go to the back ends next to these nodes."""
 
     service: str
     ready: tuple[str, ...]
 
 
 class NodePaused(Notice, frozen=True):
-    """The process stood still for so long; it begins anew with the relays."""
+    """The process was suspended for this long; the node reconnects to the relays."""
 
     level: ClassVar[str] = "warning"
     milliseconds: int
 
 
 class VersionApplied(Notice, frozen=True):
-    """The node holds and uses this version, whose content has this digest."""
+    """The node now uses this version, whose content has this digest."""
 
     version: Version
     resources: int
@@ -68,20 +68,20 @@
 
 
 class VersionRefused(Notice, frozen=True):
-    """The node kept what it had."""
+    """The node refused this version and continues to use the previous one."""
 
     version: Version
     reason: str
 
 
 class VersionRestored(Notice, frozen=True):
-    """The node started with the version its disk held."""
+    """The node started with this version from its disk."""
 
     version: Version
 
 
 class FloorNotPersisted(Notice, frozen=True):
-    """The disk refused a new version, so it is not used; it is tried again."""
+    """A new version could not be written to disk and is not used yet; to be retried."""
 
     level: ClassVar[str] = "error"
     version: Version
@@ -89,13 +89,13 @@
 
 
 class OwnEndpointAnnounced(Notice, frozen=True):
-    """The node told its relay of its back end's state."""
+    """The node sent the state of its local back end to its relay."""
 
     state: str
     sequence: int
 
 
 class NodeStopping(Notice, frozen=True):
-    """A planned stop began."""
+    """A planned stop has begun."""
 
     has_backend: bool
--- a/src/peppershore/process/node/own_endpoint.py
+++ b/src/peppershore/process/node/own_endpoint.py
@@ -1,4 +1,4 @@
-"""What a node says of its own back end."""
+"""The endpoint of the local back end, as its node announces it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class OwnEndpoint:
-    """The state of the back end, with a sequence that rises at each change."""
+    """State of the local back end, with a sequence number that rises at each change."""
 
     def __init__(
         self, settings: NodeSettings, incarnation: int, owner_address: str
     ) -> None:
-        """Begin as warming; ``owner_address`` is the node's internal listener."""
+        """Start in state warming; ``owner_address`` is that of the internal listener."""
         self.incarnation = incarnation
         self._settings = settings
         self._owner_address = owner_address
@@ -28,12 +28,12 @@
 
     @property
     def exists(self) -> bool:
-        """Whether the node has a back end; a node at the edge has none."""
+        """Whether the node has a local back end; a node at the edge has none."""
         return bool(self._settings.backend)
 
     @property
     def current(self) -> Endpoint:
-        """The endpoint as it is to be announced."""
+        """Endpoint to announce."""
         settings = self._settings
         return Endpoint(
             node=settings.node,
@@ -52,7 +52,10 @@
         )
 
     def change_state(self, state: str) -> bool:
-        """Take a new state; a leaving back end stays leaving until it is gone."""
+        """Set a new state; return whether it changed.
+
+        A leaving back end remains leaving until it is gone.
+        """
         if state == self._state:
             return False
         if self._state == STATE_LEAVING and state != STATE_GONE:
@@ -62,7 +65,10 @@
         return True
 
     def take_view(self, view: BackEndView) -> bool:
-        """Take what the back end says of itself; a new life of it is ready again."""
+        """Apply a reported state of the back end; return whether the endpoint changed.
+
+        A new incarnation of the back end does not inherit state leaving.
+        """
         before = self.current
         if view.life != self._view.life and self._view.instance:
             self.incarnation += 1
@@ -76,10 +82,11 @@
         return True
 
     def overtake(self, other: Endpoint) -> bool:
-        """Go above what others believe of this node; tell whether that was needed.
+        """Raise the incarnation above that of ``other``, an endpoint with this node's name.
 
-        After a restart without memory the incarnation can be lower than the
-        one others remember, for instance when the machine's clock went back.
+        Return whether that was needed. After a restart without stored state the
+        incarnation can be lower than the one that other nodes remember, for example if
+        the machine's clock was set back.
         """
         if (other.incarnation, other.sequence) < (self.incarnation, self._sequence):
             return False
--- a/src/peppershore/process/node/profile.py
+++ b/src/peppershore/process/node/profile.py
@@ -1,4 +1,4 @@
-"""What a node's settings say of names on the wire and of shared retries, as values."""
+"""Converts a node's settings for header names and shared retries to internal values."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def wire_names(settings: HeaderSettings | None) -> WireNames:
-    """Give the names of the settings, in lower case; the product's own without any."""
+    """Return the configured header names in lower case, or the defaults without any."""
     if settings is None:
         return OWN_NAMES
     return WireNames(
@@ -33,7 +33,7 @@
 
 
 def retry_bound(settings: SharedRetrySettings | None) -> RetryBound | None:
-    """Give the bound that all nodes keep together, if there is one."""
+    """Return the limit on retries that all nodes share, None if there is none."""
     if settings is None:
         return None
     return RetryBound(
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -1,4 +1,4 @@
-"""What a node's core knows of requests that end back ends, and whom it tells."""
+"""Requests suspected of crashing back ends: a node's records and their exchange."""
 
 from __future__ import annotations
 
@@ -12,16 +12,19 @@
 
 
 class NodeQuarantine:
-    """The quarantine of one node: its relay and its data plane hear what is news."""
+    """Quarantine of one node; passes new records to its data plane and its relay."""
 
     def __init__(self) -> None:
-        """Know of nothing."""
+        """Start without records."""
         self.table = Quarantine()
 
     def learned(
         self, event: BackEndEnded | SuspectEndedWell, relay: LinkId | None, now: float
     ) -> list[Command]:
-        """Take what the back end beside this node showed; ``relay`` is the one in use."""
+        """Record what the local back end showed; ``relay`` is the link to the one in use.
+
+        Return the commands that pass new records on.
+        """
         if isinstance(event, BackEndEnded):
             under = event.under
             records = tuple(self.table.ended(each, event.life, now) for each in under)
@@ -34,12 +37,15 @@
         return out
 
     def told(self, message: CrashesTold, now: float) -> list[Command]:
-        """Take what a relay knows."""
+        """Merge records of a relay; return the commands that apply the new ones."""
         merge = self.table.merge
         return self._heed(tuple(each for each in message.records if merge(each, now)))
 
     def introduce(self, relay: LinkId, now: float) -> list[Command]:
-        """Tell a relay that is used from now on: it may have heard nothing of it."""
+        """Return the command that sends all records to a newly chosen relay.
+
+        That relay may not have received any of them yet.
+        """
         if not len(self.table):
             return []
         return [SendMessage(relay, CrashesTold(self.table.records(now)))]
--- a/src/peppershore/process/node/refusals.py
+++ b/src/peppershore/process/node/refusals.py
@@ -1,11 +1,11 @@
-"""Reasons a node gives in ``UpdateRefused``; stable words that relays act on."""
+"""Reasons that a node sends in ``UpdateRefused``; relays depend on these strings."""
 
 from __future__ import annotations
 
 NOT_NEWER = "not-newer"
-"""Never sent: the node answers with what it holds instead."""
+"""Never sent: the node replies with the version that it has instead."""
 BELOW_FLOOR = "below-floor"
 UNCONFIRMED = "unconfirmed"
-"""The node holds nothing and wants a version confirmed after its hello."""
+"""The node has no configuration and requires a version confirmed after its hello."""
 BUSY = "busy"
-"""Another version, from another relay, is being stored."""
+"""The node is storing another version, received from another relay."""
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -1,12 +1,12 @@
-"""The node's links to relays: one in use, and one that may take its place.
+"""The node's links to relays: the active one, and a candidate that may replace it.
 
-A relay is left for another only once the other has answered, except when the
-link is gone or the relay is silent.  Reasons to move: the relay's confirmation
-is stale, it says goodbye, or a relay that ranks higher is back.
+The node leaves a relay for another only once the other has answered, unless the link
+is closed or the relay is silent. It moves if the relay's latest confirmation by a quorum
+is stale, if the relay says goodbye, or if a relay that ranks higher is available again.
 
-Whether it is stale the node tells by its own clock, and when it looks for another
-relay follows from the one bound within which changes come into force: what is silent,
-cut off or slow is left by the same rule, before the bound and not after it.
+The node judges staleness by its own clock. The time after which it searches for another
+relay is derived from the time within which configuration changes must come into force, so
+that a relay that is silent, cut off or slow is replaced before that time has passed.
 """
 
 from __future__ import annotations
@@ -37,36 +37,45 @@
 WATCH_TIMER = "relay.watch"
 
 WATCH_SECONDS = 0.25
-"""How often relays are looked at."""
+"""Interval between checks of the relays."""
 WATCH_WITHOUT_RELAY_SECONDS = 0.1
-"""The same while there is no relay, or only a stale one."""
+"""Interval between checks while there is no relay, or only a stale one."""
 OPENING_SECONDS = 1.0
-"""A link that is not open by then is given up: its machine may be cut off."""
+"""Time-out for opening a link; the machine of the relay may be unreachable."""
 FIRST_OPENING_SECONDS = 0.2
-"""The same while there is no relay at all, or only a stale one: another may be there at
-once.  It doubles with each link given up in a row, for relays that are far away."""
+"""First time-out for opening a link while there is no relay, or only a stale one.
+
+It is short because another relay may be available immediately. For distant relays it
+doubles after each consecutive link that is given up, up to ``OPENING_SECONDS``.
+"""
 ANSWER_SHARE = 2.5
-"""A relay that is tried while there is no other of use answers within so many times what
-a link may take to open: half a second at first.  Its answer is short but may wait behind
-bodies on a full link, so each in vain doubles it, up to two seconds and a half."""
+"""Time-out for a relay's answer to the hello, as a multiple of that for opening a link.
+
+It applies while there is no usable relay, and is 0.5 s at first. The answer is short but
+may wait behind bodies on a full link, so the time-out doubles after each relay that was
+tried in vain, up to 2.5 s.
+"""
 STALE_SHARE = 0.6
-"""Part of the time in which changes come into force after which a relay counts as stale.
-With both relays of a zone without quorum and a bound of 2 s (simulator, 8 seeds) a node
-uses a change after 1.35 s at the latest, with 0.45 after 1.0 s and with 0.8 after 1.75 s;
-of 12 nodes 8, 16 and 3 dial in vain when a leader is lost."""
+"""Age from which a confirmation is stale, as a share of ``apply_milliseconds``.
+
+A smaller share speeds up changes but causes more futile dials when a leader is lost. With
+both relays of a zone without a quorum and a limit of 2 s, a node uses a change after at
+most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). When a leader is lost, 12 nodes dial in
+vain 8 times (16 with 0.45, 3 with 0.8).
+"""
 SEARCH_SPREAD_SECONDS = 0.1
-"""Nodes of a relay that is stale begin to look for another one within this time."""
+"""Nodes of a stale relay spread the start of their search over this time."""
 
 ROUNDING_SECONDS = 0.001
-"""A timer for a moment is due just after it."""
+"""Added to a timer for a point in time, so that it fires just after that time."""
 
 RELAY_LISTED_SECONDS = 0.2
-"""A node that learns of a relay in its own zone moves there within this time."""
+"""A node that learns of a relay in its own zone tries to move there within this time."""
 
 
 @dataclass(slots=True)
 class RelaySession:
-    """One link to a relay.  Times are monotonic seconds of the node."""
+    """One link to a relay. Times are monotonic seconds of the node."""
 
     link: LinkId
     relay: PeerRelay
@@ -75,14 +84,14 @@
     is_open: bool = False
     answered: bool = False
     is_leaving: bool = False
-    """The relay said goodbye: another one must answer before it ends."""
+    """Whether the relay said goodbye: another one must answer before it stops."""
     confirmed_at: float = -math.inf
-    """When a quorum confirmed the relay's version, by this node's clock."""
+    """When a quorum last confirmed the relay's version, by this node's clock."""
     is_cut_off: bool = False
-    """The relay said that others are fresher, and was not confirmed since."""
+    """Whether the relay reported that it is cut off, without a newer confirmation since."""
 
     def confirmed(self, at_milliseconds: int | None) -> None:
-        """Note what the relay says of its newest confirmation."""
+        """Record the time of the relay's latest confirmation, if it is a newer one."""
         if at_milliseconds is None:
             return
         confirmed_at = at_milliseconds / MILLISECONDS
@@ -92,7 +101,7 @@
 
 
 class RelaySessions:
-    """Keeps a session with the best relay there is."""
+    """Maintains a session with the best available relay."""
 
     def __init__(
         self,
@@ -100,7 +109,7 @@
         numbers: LinkNumbers,
         make_hello: Callable[[], NodeHello],
     ) -> None:
-        """Connect to nothing until ``start``."""
+        """Initialize without any link; ``start`` opens the first one."""
         self.active: RelaySession | None = None
         self.candidate: RelaySession | None = None
         self._zone = settings.zone
@@ -116,25 +125,25 @@
         self._quick_opening_seconds = FIRST_OPENING_SECONDS
 
     def start(self, randomness: Randomness, now: float) -> list[Command]:
-        """Open the first link."""
+        """Open the first link and start the periodic checks."""
         self._randomness = randomness
         self._plan_rebalance(now)
         return [*self.connect(now), SetTimer(WATCH_TIMER, WATCH_SECONDS)]
 
     def find(self, link: LinkId) -> RelaySession | None:
-        """Give the session of a link."""
+        """Return the session of a link; None if there is none."""
         for session in (self.active, self.candidate):
             if session is not None and session.link == link:
                 return session
         return None
 
     def all_answered(self) -> tuple[RelaySession, ...]:
-        """Give the sessions whose relay has answered the hello."""
+        """Return the sessions whose relay has answered the hello."""
         sessions = (self.active, self.candidate)
         return tuple(each for each in sessions if each is not None and each.answered)
 
     def connect(self, now: float) -> list[Command]:
-        """Open a link to the next relay, unless one is being tried."""
+        """Open a link to the next relay unless there is already a candidate."""
         self._connect_due = False
         if self.candidate is not None:
             return []
@@ -144,14 +153,14 @@
         return [] if relay is None else self._open(relay, now)
 
     def opened(self, session: RelaySession, now: float) -> list[Command]:
-        """Say hello on a link that is open now."""
+        """Send the hello on a link that has opened."""
         session.is_open = True
         session.opened_at = now
         session.last_heard = now
         return [SendMessage(session.link, self._make_hello())]
 
     def closed(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Forget a link that is gone and plan the next."""
+        """Remove the session of a closed link; schedule a new one if a relay is needed."""
         was_active = session is self.active
         if was_active:
             self.active = None
@@ -168,13 +177,17 @@
         return [*out, Report(notice), *self._connect_after(wait)]
 
     def drop(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Close a link from here and plan the next."""
+        """Close a link; schedule a new one if a relay is needed."""
         return [CloseLink(session.link, reason), *self.closed(session, reason, now)]
 
     def deferred(
         self, session: RelaySession, milliseconds: int, now: float
     ) -> list[Command]:
-        """Come back later, as the relay asked; the wait is spread at random."""
+        """Close a link whose relay asked to retry later; schedule the next one.
+
+        The wait is random, at most ``milliseconds``. If the active relay asks this, the
+        usual back-off applies.
+        """
         if session is self.active:
             return self.drop(session, "deferred", now)
         self.candidate = None
@@ -188,11 +201,11 @@
         return [close, Report(notice), *self._connect_after(wait)]
 
     def heard(self, session: RelaySession, now: float) -> None:
-        """Note that a relay spoke."""
+        """Record that a message of the relay was received."""
         session.last_heard = now
 
     def settle(self, session: RelaySession, now: float) -> list[Command]:
-        """Decide, after a relay's answer, whether the candidate takes over."""
+        """Make a candidate that has answered the active relay, or reject it."""
         if session is not self.candidate:
             return []
         old = self.active
@@ -210,7 +223,7 @@
         return out
 
     def goodbye(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Move away from a relay that will stop, or that others are fresher than."""
+        """Look for a replacement of a relay that will stop or is cut off from a quorum."""
         if session is self.candidate:
             return self.drop(session, "goodbye", now)
         if reason == CUT_OFF:
@@ -221,7 +234,7 @@
         return self._connect_after(self._choice.wait_seconds(self._randomness))
 
     def begin_anew(self, now: float) -> list[Command]:
-        """The process stood still: drop every session and connect again at once."""
+        """Drop all sessions after a suspension of the process and reconnect immediately."""
         out: list[Command] = []
         for session in (self.candidate, self.active):
             if session is not None:
@@ -232,7 +245,10 @@
         return [*out, *self.connect(now)] if out else out
 
     def watch(self, now: float) -> list[Command]:
-        """Leave silent relays; look for a better one when there is reason to."""
+        """Drop silent relays; look for another if the active one is stale.
+
+        From time to time, also look for a relay that ranks above the active one.
+        """
         out: list[Command] = []
         for session in (self.active, self.candidate):
             if session is not None and self._is_silent(session, now):
@@ -252,11 +268,11 @@
         return out
 
     def use_seeds(self, seeds: tuple[PeerRelay, ...]) -> None:
-        """The settings name other relays to begin with."""
+        """Replace the relays named in the settings."""
         self._choice.use_seeds(seeds)
 
     def use_listed(self, listed: tuple[PeerRelay, ...], now: float) -> list[Command]:
-        """A relay told of those there are; move to one in the own zone soon."""
+        """Replace the listed relays; try to move soon to one in the node's zone."""
         self._choice.use_listed(listed)
         active = self.active
         if active is None or self._choice.is_in_own_zone(active.relay.name):
@@ -267,10 +283,10 @@
         return []
 
     def _search(self, now: float) -> list[Command]:
-        """Look for a relay that is fresher than the one in use, which stays meanwhile.
+        """Schedule a link to a fresher relay; the active one is used meanwhile.
 
-        Those that did not fail lately are tried one right after the other, for each may
-        be as stale; once all were tried the waits grow.
+        Relays without a recent failure are tried in quick succession, because each of them
+        may be as stale. Once all were tried, the waits grow.
         """
         assert self.active is not None
         in_use = self.active.relay.name
@@ -284,10 +300,10 @@
     def _no_reason_to_move(
         self, old: RelaySession, session: RelaySession, now: float
     ) -> str:
-        """Give why a candidate does not take over from a relay that stays, "" if it does.
+        """Return why a candidate does not replace the old relay, "" if it does.
 
-        One that was tried because the old one was stale is not needed once that is
-        fresh again, unless it goes before it anyhow.
+        A candidate that was tried because the old relay was stale is not needed once that
+        is fresh again, unless the candidate ranks above it.
         """
         if self._is_stale(session, now):
             return "stale"
@@ -295,7 +311,7 @@
         return "" if goes_first or self._is_stale(old, now) else "not needed"
 
     def _reject(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Close a candidate; after a stale one the next is tried at once."""
+        """Close a candidate; if it was stale, try the next relay immediately."""
         self.candidate = None
         out: list[Command] = [CloseLink(session.link, reason)]
         if reason != "stale":
@@ -311,33 +327,33 @@
         return self.active is not None and self._is_stale(self.active, now)
 
     def _until_next_watch(self, now: float) -> float:
-        """Give the seconds to the next look: at the latest when a relay grows stale."""
+        """Return the seconds to the next check, at the latest when the relay gets stale."""
         if self.active is None or self._is_stale(self.active, now):
             return WATCH_WITHOUT_RELAY_SECONDS
         fresh_for = self.active.confirmed_at + self._stale_seconds - now
         return min(WATCH_SECONDS, fresh_for + ROUNDING_SECONDS)
 
     def _is_silent(self, session: RelaySession, now: float) -> bool:
-        """Tell whether nothing was heard for too long."""
+        """Return whether the relay has sent nothing for too long."""
         bound = self._silence_seconds
         if not session.answered:
             bound = min(bound, self._patience_seconds(session, now))
         return now - session.last_heard > bound
 
     def _patience_seconds(self, session: RelaySession, now: float) -> float:
-        """Give how long a link may take to open, or a relay to answer the hello."""
+        """Return the time-out in seconds for a link to open, or for a relay's answer."""
         if self.active is not None and not self._is_stale(self.active, now):
             return self._silence_seconds if session.is_open else OPENING_SECONDS
         share = ANSWER_SHARE if session.is_open else 1.0
         return share * self._quick_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
-        """Tell whether the relay's version was confirmed too long ago."""
+        """Return whether the relay is cut off or was last confirmed too long ago."""
         return session.is_cut_off or now - session.confirmed_at > self._stale_seconds
 
     @property
     def _needs_relay(self) -> bool:
-        """Whether there is no relay, or one that is about to end."""
+        """Whether there is no active relay, or one that is about to stop."""
         return self.active is None or self.active.is_leaving
 
     def _open(self, relay: PeerRelay, now: float) -> list[Command]:
@@ -357,6 +373,6 @@
 
 
 def _stale_seconds(settings: NodeSettings) -> float:
-    """Give the age of a confirmation from which a relay is looked past."""
+    """Return the age in seconds beyond which a relay's confirmation is stale."""
     derived = STALE_SHARE * settings.apply_milliseconds
     return (settings.stale_milliseconds or derived) / MILLISECONDS
--- a/src/peppershore/process/node/shell.py
+++ b/src/peppershore/process/node/shell.py
@@ -56,17 +56,17 @@
 from peppershore.process.signals import stop_on_signals
 
 GONE_NOTICE_SECONDS = 0.1
-"""Time for the last announcement to leave before the links are closed."""
+"""Time to send the last announcement before the links are closed."""
 
 EXIT_SECONDS = 0.5
-"""What a process may need from the end of its drain until it is gone."""
+"""Maximum time that a process needs to exit after its drain."""
 
 CLAIMS_NOTED_SECONDS = 2.0
-"""Time for the last answers and releases to reach the claims group's disks."""
+"""Time limit for the last results and releases to be stored by the claims group."""
 
 
 class StoredStateUnusable(Notice, frozen=True):
-    """The stored file is not used; the node takes only confirmed versions."""
+    """The stored file cannot be used; the node accepts only confirmed versions."""
 
     level: ClassVar[str] = "warning"
     path: str
@@ -75,7 +75,7 @@
 
 
 class NodeShell(Shell):
-    """Carries out a node core's commands."""
+    """Executes the commands of a node core."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         notice_sink: NoticeSink,
         security: LinkSecurity,
     ) -> None:
-        """Bind the core to its data plane and, if there is a folder, to its file."""
+        """Connect the core to its data plane and its storage."""
         super().__init__(
             core, notice_sink, security.client, security.server, security.authorize
         )
@@ -105,7 +105,7 @@
         data_plane.calls.quotas.on_ask = lambda ask: self.dispatch(QuotaWanted(ask))
 
     def dispatch(self, event: events.Event) -> None:
-        """Step the core; tell the data plane how recently it was confirmed."""
+        """Step the core; pass the time of the latest confirmation to the data plane."""
         super().dispatch(event)
         self._data_plane.calls.freshness.confirmed(self._node_core.confirmed_at)
 
@@ -128,7 +128,7 @@
         self._run(self._save(command))
 
     async def _save(self, command: PersistSnapshot) -> None:
-        """Sync on a thread of its own: a slow disk must not hold up calls."""
+        """Write and sync on a separate thread: a slow disk must not delay calls."""
         record = NodeRecord(
             self._settings.cluster,
             self._node_core.incarnation,
@@ -159,14 +159,14 @@
 
 
 def stop_bound_seconds(settings: NodeSettings) -> float:
-    """Give how long a planned stop waits for calls at the most."""
+    """Return the maximum time in seconds that a planned stop waits for calls."""
     if settings.stop_grace_seconds > 0.0:
         return max(0.0, settings.stop_grace_seconds - EXIT_SECONDS)
     return settings.stop_bound_milliseconds / 1_000
 
 
 def recall(settings: NodeSettings, notice_sink: NoticeSink) -> NodeMemory:
-    """Read what the node held before, and count this start."""
+    """Load the stored state of the node, with a new incarnation for this start."""
     started_milliseconds = int(time.time() * 1_000)
     if not settings.data_folder:
         return NodeMemory(started_milliseconds)
@@ -184,7 +184,7 @@
 
 
 def _with_seeds(settings: NodeSettings) -> NodeSettings:
-    """Let seeds stand in for relays."""
+    """Return the settings with the relays replaced by the seeds, if there are any."""
     if not settings.seeds:
         return settings
     relays = seed_relays(settings.seeds, settings.relay_port)
@@ -196,9 +196,9 @@
     on_ready: Callable[[int], None] | None = None,
     watch: SettingsWatch[NodeSettings] | None = None,
 ) -> None:
-    """Run a node until its planned stop; tell ``on_ready`` the callers' port.
+    """Run a node until its planned stop; call ``on_ready`` with the port for callers.
 
-    ``watch`` gives changed settings, of which the seeds are taken.
+    ``watch`` reports changed settings, of which only the seeds are applied.
     """
     settings = _with_seeds(settings)
     metrics = ProcessMetrics(LogIdentity("node", settings.node))
@@ -276,7 +276,7 @@
 
 
 def _start_reporter(settings: NodeSettings, metrics: ProcessMetrics) -> LinkReporter:
-    """Tell of the links' bytes, by metrics and where it is set by lines."""
+    """Report the bytes on links as metrics and, if configured, as log lines."""
     metrics.add_source(TrafficFigures())
     reporter = LinkReporter(
         settings.link_megabits, settings.link_report_milliseconds, metrics.notice
--- a/src/peppershore/process/node/storage.py
+++ b/src/peppershore/process/node/storage.py
@@ -1,4 +1,4 @@
-"""The node's file: its last snapshot, the floor, and the count of its starts."""
+"""The state file of a node: its latest snapshot, the floor and the incarnation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """What is stored."""
+    """Contents of the state file."""
 
     cluster: str
     incarnation: int
@@ -22,10 +22,10 @@
 
 
 class NodeStorage(WholeFile[NodeRecord]):
-    """Reads and replaces the file of one node."""
+    """Reads and replaces the state file of one node."""
 
     def __init__(self, data_folder: str) -> None:
-        """Use a folder, which is made if it is not there."""
+        """Use a folder, which is created if missing."""
         path = Path(data_folder) / FILE_NAME
-        without = "the node then takes only confirmed versions"
+        without = "the node then accepts only confirmed versions"
         super().__init__(path, NodeRecord, "node", without)
