--- a/src/peppershore/process/hub/plan.py
+++ b/src/peppershore/process/hub/plan.py
@@ -22,7 +22,7 @@
 A node searches for another relay after three fifths of that time without a confirmation,
 so it must have received two by then.
 """
-LEAST_HEARTBEAT_MILLISECONDS = 20
+MIN_HEARTBEAT_MILLISECONDS = 20
 """Minimum that the settings of a relay allow."""
 
 
@@ -81,8 +81,8 @@
 
 def _heartbeat_milliseconds(settings: HubSettings) -> int:
     """Return the time between heartbeats, limited by the time for changes to apply."""
-    most = int(HEARTBEAT_SHARE * settings.apply_milliseconds)
-    return min(settings.freshness_milliseconds, max(LEAST_HEARTBEAT_MILLISECONDS, most))
+    longest = int(HEARTBEAT_SHARE * settings.apply_milliseconds)
+    return min(settings.freshness_milliseconds, max(MIN_HEARTBEAT_MILLISECONDS, longest))
 
 
 def relay_name(replica_address: str, settings: HubSettings) -> str:
--- a/src/peppershore/process/hub/shell.py
+++ b/src/peppershore/process/hub/shell.py
@@ -33,7 +33,7 @@
 from peppershore.process.shell import Shell
 
 MEMBERS_SECONDS = 0.2
-"""Interval at which the relay is updated on the hubs in the group."""
+"""Interval between checks for a changed list of hubs, which the relay then receives."""
 
 CLOCK_SECONDS = 1.0
 NANOSECONDS_PER_MILLISECOND = 1_000_000
@@ -58,7 +58,7 @@
             security.server,
             security.authorize,
         )
-        self._relay.handle(PersistQuarantine, self._keep_quarantine)
+        self._relay.handle(PersistQuarantine, self._store_quarantine)
         self._quarantine_api = quarantine_api(core, self._relay)
         self._api = ConfigurationApi(self._process.shell.dispatch)
         self._process.shell.handle(ReleaseAnswered, self._api.answered)
@@ -97,7 +97,7 @@
             return await self._rollout_api.answer(request)
         return await self._api.answer(request)
 
-    def _keep_quarantine(self, command: PersistQuarantine) -> None:
+    def _store_quarantine(self, command: PersistQuarantine) -> None:
         self._keeper.keep(command.records)
 
     def reload(self, settings: HubSettings) -> None:
--- a/src/peppershore/process/node/back_end_api.py
+++ b/src/peppershore/process/node/back_end_api.py
@@ -19,7 +19,7 @@
 from peppershore.connection.messages.endpoints import WARMING_NOT_TOLD
 from peppershore.process.events import Event
 from peppershore.process.http_service import JSON, ServiceAnswer, ServiceRequest
-from peppershore.process.node.back_end_reports import BORN_NOT_TOLD, BackEndReport
+from peppershore.process.node.back_end_reports import START_UNKNOWN, BackEndReport
 from peppershore.process.node.inputs import BackEndLeft, BackEndReported
 
 MAX_BODY_BYTES = 64 * 1024
@@ -29,23 +29,23 @@
 READY_STATES = frozenset({"ready"})
 LEAVING_STATES = frozenset({"draining", "leaving"})
 
-NAME = re.compile(r"[!-~]{1,128}")
+INSTANCE_PATTERN = re.compile(r"[!-~]{1,128}")
 """Instance name that a back end gives itself; it is sent in an HTTP header field."""
 
-VERSION = re.compile(r"[!-~]{0,64}")
-MOST_SLOTS = 100_000
-MOST_WARMING_MILLISECONDS = 3_600_000
-MOST_SEQUENCE = 2**62
+VERSION_PATTERN = re.compile(r"[!-~]{0,64}")
+MAX_SLOTS = 100_000
+MAX_WARMING_MILLISECONDS = 3_600_000
+MAX_SEQUENCE = 2**62
 MILLISECONDS = 1_000
 
-MOST_AHEAD_MILLISECONDS = 24 * 3_600 * MILLISECONDS
+MAX_FUTURE_START_MILLISECONDS = 24 * 3_600 * MILLISECONDS
 """How far in the future the reported start of an incarnation may lie.
 
 If the node accepted a later start, it would reject every genuine report after it. The
 clocks of machines may differ by less than this.
 """
 
-Whole = Annotated[int, msgspec.Meta(ge=0, le=MOST_SEQUENCE)]
+NonNegativeInteger = Annotated[int, msgspec.Meta(ge=0, le=MAX_SEQUENCE)]
 
 
 class HeartbeatBody(msgspec.Struct, frozen=True):
@@ -57,21 +57,21 @@
 
     service: str
     address: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: str
-    sequence: Whole
+    sequence: NonNegativeInteger
     warming_milliseconds: Annotated[
-        float, msgspec.Meta(ge=WARMING_NOT_TOLD, le=MOST_WARMING_MILLISECONDS)
+        float, msgspec.Meta(ge=WARMING_NOT_TOLD, le=MAX_WARMING_MILLISECONDS)
     ] = WARMING_NOT_TOLD
     zone: str = ""
     version: str = ""
-    born: Whole = BORN_NOT_TOLD
+    born: NonNegativeInteger = START_UNKNOWN
 
 
 class LeavingBody(msgspec.Struct, frozen=True):
     """JSON body of a termination report; ``born`` as in a heartbeat."""
 
-    born: Whole = BORN_NOT_TOLD
+    born: NonNegativeInteger = START_UNKNOWN
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
@@ -104,12 +104,12 @@
             return _error(NOT_FOUND, "POST /back-ends/ID/heartbeat or /back-ends/ID/gone")
         _, instance, what = segments
         if what == "gone":
-            return self._take(read_leaving(instance, request.body))
+            return self._respond(read_leaving(instance, request.body))
         if what != "heartbeat":
             return _error(NOT_FOUND, "the path must end in heartbeat or gone")
-        return self._take(read_heartbeat(instance, request.body))
+        return self._respond(read_heartbeat(instance, request.body))
 
-    def _take(self, read: Result[Event, str]) -> ServiceAnswer:
+    def _respond(self, read: Result[Event, str]) -> ServiceAnswer:
         if isinstance(read, Failure):
             reason = read.failure()
             self._on_refused(reason)
@@ -124,13 +124,13 @@
         heartbeat = _HEARTBEAT.decode(body)
     except _UNREADABLE as problem:
         return Failure(str(problem))
-    if not NAME.fullmatch(instance):
+    if not INSTANCE_PATTERN.fullmatch(instance):
         return Failure("the instance must be 1 to 128 visible ASCII characters")
     if heartbeat.state not in READY_STATES | LEAVING_STATES:
         return Failure("the state must be one of ready, draining, leaving")
-    if not VERSION.fullmatch(heartbeat.version):
+    if not VERSION_PATTERN.fullmatch(heartbeat.version):
         return Failure("the version must be at most 64 visible ASCII characters")
-    if _is_far_ahead(heartbeat.born):
+    if _is_far_in_future(heartbeat.born):
         return Failure("born is more than a day in the future")
     report = BackEndReport(
         instance=instance,
@@ -148,7 +148,7 @@
 
 def read_leaving(instance: str, body: bytes) -> Result[Event, str]:
     """Return the event for a termination report, or why the report is invalid."""
-    if not NAME.fullmatch(instance):
+    if not INSTANCE_PATTERN.fullmatch(instance):
         return Failure("the instance must be 1 to 128 visible ASCII characters")
     if not body.strip():
         return Success(BackEndLeft(instance))
@@ -159,8 +159,8 @@
     return Success(BackEndLeft(instance, leaving.born))
 
 
-def _is_far_ahead(born: int) -> bool:
-    return born > time.time() * MILLISECONDS + MOST_AHEAD_MILLISECONDS
+def _is_far_in_future(born: int) -> bool:
+    return born > time.time() * MILLISECONDS + MAX_FUTURE_START_MILLISECONDS
 
 
 def _error(status: int, reason: str) -> ServiceAnswer:
--- a/src/peppershore/process/node/back_end_reports.py
+++ b/src/peppershore/process/node/back_end_reports.py
@@ -18,17 +18,17 @@
 STATE_LEAVING = "leaving"
 STATE_GONE = "gone"
 
-BORN_NOT_TOLD = 0
+START_UNKNOWN = 0
 """Start time of an incarnation that reports none: its instance name identifies it."""
 
-MAX_REMEMBERED_LIVES = 64
+MAX_ENDED_INCARNATIONS = 64
 
 
 class Life(msgspec.Struct, frozen=True):
     """One incarnation of a back end; ``born`` is its start in Unix milliseconds."""
 
     instance: str
-    born: int = BORN_NOT_TOLD
+    born: int = START_UNKNOWN
 
     @property
     def name(self) -> str:
@@ -54,7 +54,7 @@
     is_leaving: bool
     sequence: int
     warming_milliseconds: int = WARMING_NOT_TOLD
-    born: int = BORN_NOT_TOLD
+    born: int = START_UNKNOWN
     version: str = ""
 
     @property
@@ -70,7 +70,7 @@
     state: str = STATE_GONE
     slots: int = 0
     warming_milliseconds: int = WARMING_NOT_TOLD
-    born: int = BORN_NOT_TOLD
+    born: int = START_UNKNOWN
     version: str = ""
 
     @property
@@ -90,28 +90,28 @@
         self.view = NO_BACK_END
         self._service = service
         self._silent_seconds = silent_seconds
-        self._heard_at = 0.0
-        self._newest_born = BORN_NOT_TOLD
+        self._last_report_at = 0.0
+        self._newest_born = START_UNKNOWN
         self._sequences: dict[Life, int] = {}
-        self._over: dict[Life, None] = {}
+        self._ended: dict[Life, None] = {}
 
-    def take(self, report: BackEndReport, now: float) -> bool:
+    def apply(self, report: BackEndReport, now: float) -> bool:
         """Apply a heartbeat.
 
         Return whether the incarnation, its state or its slots changed.
         """
-        if not self._counts(report):
+        if not self._is_acceptable(report):
             return False
         life = report.life
         self._sequences[life] = report.sequence
         self._newest_born = max(self._newest_born, report.born)
-        self._heard_at = now
+        self._last_report_at = now
         was_leaving = self.view.state == STATE_LEAVING
         is_same = life == self.view.life
         if not is_same and self.view.instance:
-            self._end(self.view.life)
+            self._mark_ended(self.view.life)
         leaving = report.is_leaving or (is_same and was_leaving)
-        return self._show(
+        return self._replace_view(
             BackEndView(
                 instance=report.instance,
                 state=STATE_LEAVING if leaving else STATE_READY,
@@ -122,7 +122,7 @@
             )
         )
 
-    def left(self, instance: str, born: int = BORN_NOT_TOLD) -> bool:
+    def mark_leaving(self, instance: str, born: int = START_UNKNOWN) -> bool:
         """Mark an incarnation that reported its termination as permanently leaving.
 
         It continues to serve for a while, so calls already sent to it stay there. A report
@@ -132,12 +132,12 @@
         life = Life(instance, born)
         if not born and instance == self.view.instance:
             life = self.view.life
-        self._end(life)
+        self._mark_ended(life)
         if life != self.view.life:
             return False
-        return self._show(msgspec.structs.replace(self.view, state=STATE_LEAVING))
+        return self._replace_view(msgspec.structs.replace(self.view, state=STATE_LEAVING))
 
-    def not_there(self, life: str) -> bool:
+    def mark_unreachable(self, life: str) -> bool:
         """Mark the back end as gone until its next heartbeat.
 
         To be called when nothing, or another incarnation, answers at its address. Return
@@ -145,7 +145,7 @@
         """
         if life != self.view.life.name or self.view.state == STATE_GONE:
             return False
-        return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
+        return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def overtaken(self, born: int) -> bool:
         """Note that other nodes know of an incarnation that started at ``born``.
@@ -155,10 +155,10 @@
         incarnation.
         """
         self._newest_born = max(self._newest_born, born)
-        is_earlier = BORN_NOT_TOLD < self.view.born < born
+        is_earlier = START_UNKNOWN < self.view.born < born
         if not is_earlier or self.view.state == STATE_GONE:
             return False
-        return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
+        return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def tick(self, now: float) -> bool:
         """Mark a back end without recent reports as gone.
@@ -167,20 +167,20 @@
         """
         if self.view.state == STATE_GONE:
             return False
-        if now - self._heard_at < self._silent_seconds:
+        if now - self._last_report_at < self._silent_seconds:
             return False
-        return self._show(msgspec.structs.replace(self.view, state=STATE_GONE))
+        return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
-    def _counts(self, report: BackEndReport) -> bool:
+    def _is_acceptable(self, report: BackEndReport) -> bool:
         """Return whether a report is for this service and not outdated."""
         life = report.life
-        if report.service != self._service or life in self._over:
+        if report.service != self._service or life in self._ended:
             return False
-        if BORN_NOT_TOLD < report.born < self._newest_born:
+        if START_UNKNOWN < report.born < self._newest_born:
             return False
         return report.sequence > self._sequences.get(life, -1)
 
-    def _show(self, view: BackEndView) -> bool:
+    def _replace_view(self, view: BackEndView) -> bool:
         before = self.view
         self.view = view
         return (view.life, view.state, view.slots) != (
@@ -189,8 +189,8 @@
             before.slots,
         )
 
-    def _end(self, life: Life) -> None:
-        self._over[life] = None
+    def _mark_ended(self, life: Life) -> None:
+        self._ended[life] = None
         self._sequences.pop(life, None)
-        while len(self._over) > MAX_REMEMBERED_LIVES:
-            del self._over[next(iter(self._over))]
+        while len(self._ended) > MAX_ENDED_INCARNATIONS:
+            del self._ended[next(iter(self._ended))]
--- a/src/peppershore/process/node/commands.py
+++ b/src/peppershore/process/node/commands.py
@@ -42,7 +42,7 @@
 
 
 class DrainBackend(Command, frozen=True):
-    """Accept no new calls and finish those in flight; ``BackendDrained`` answers it."""
+    """Stop accepting new work, finish calls in flight; ``BackendDrained`` answers it."""
 
 
 class BackEndViewed(Command, frozen=True):
--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -93,12 +93,12 @@
 Other nodes continue to send calls to it in the meantime: this node serves callers for some
 time in any case, and its back end would be idle otherwise.
 """
-PAUSE_SECONDS = 3.0
+SUSPENSION_THRESHOLD_SECONDS = 3.0
 """A process without any event for this long must have been suspended."""
-REFUSAL_LINE_SECONDS = 10.0
+UNUSABLE_REPORT_LOG_SECONDS = 10.0
 """Minimum time between log lines on unusable reports; the first is logged at once."""
 
-MOST_REASON = 200
+MAX_REASON_CHARACTERS = 200
 """Maximum number of characters of the reason in such a log line."""
 
 MILLISECONDS = 1_000
@@ -147,8 +147,8 @@
         self._token = 0
         self._is_stopping = False
         self._evidence_number = 0
-        self._refused_reports = 0
-        self._refusal_told_at = -math.inf
+        self._unusable_reports = 0
+        self._unusable_logged_at = -math.inf
         self._confirmed_at = -math.inf
         self._now = 0.0
         self._out: list[Command] = []
@@ -156,9 +156,9 @@
     def step(self, event: events.Event, now: float) -> list[Command]:
         """Handle one event and return the commands that result from it."""
         self._out = []
-        self._note_pause(event, now)
+        self._detect_suspension(event, now)
         self._now = now
-        self._take(event)
+        self._handle(event)
         return self._out
 
     @property
@@ -178,7 +178,7 @@
 
     # --- events ----------------------------------------------------------------
 
-    def _take(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         match event:
             case events.MessageReceived():
                 self._message(event)
@@ -201,30 +201,30 @@
             case BackEndEnded() | SuspectEndedWell():
                 active = self.sessions.active
                 relay = None if active is None else active.link
-                self._do(self.quarantine.learned(event, relay, self._now))
+                self._emit(self.quarantine.record_outcome(event, relay, self._now))
             case QuotaWanted():
-                self._ask_quota(event.ask)
+                self._request_quota(event.ask)
             case _:
-                self._from_back_end(event)
+                self._handle_back_end_event(event)
 
-    def _from_back_end(self, event: events.Event) -> None:
+    def _handle_back_end_event(self, event: events.Event) -> None:
         match event:
             case BackEndReported():
-                self._viewed(self._reports.take(event.report, self._now))
+                self._view_changed(self._reports.apply(event.report, self._now))
             case BackEndLeft():
-                self._viewed(self._reports.left(event.instance, event.born))
+                self._view_changed(self._reports.mark_leaving(event.instance, event.born))
             case BackEndReportRefused():
-                self._refused_report(event)
+                self._log_unusable_report(event)
             case BackEndNotThere():
-                self._viewed(self._reports.not_there(event.life))
+                self._view_changed(self._reports.mark_unreachable(event.life))
             case EvidenceGathered():
-                self._tell_evidence(event)
+                self._send_evidence(event)
             case NodeSeedsChanged():
                 self.sessions.use_seeds(event.relays)
             case _:
                 raise AssertionError(f"a node takes no {type(event).__name__}")
 
-    def _tell_evidence(self, event: EvidenceGathered) -> None:
+    def _send_evidence(self, event: EvidenceGathered) -> None:
         """Send evidence to the relay in use.
 
         Evidence is cumulative, so a lost message is covered by the next one.
@@ -244,7 +244,7 @@
         )
         self._out.append(SendMessage(active.link, EvidenceTold(evidence)))
 
-    def _ask_quota(self, ask: QuotaAsked) -> None:
+    def _request_quota(self, ask: QuotaAsked) -> None:
         """Send a quota request to the relay in use.
 
         Without a relay it is dropped; the data plane repeats it a moment later.
@@ -252,23 +252,26 @@
         if self.sessions.active is not None:
             self._out.append(SendMessage(self.sessions.active.link, ask))
 
-    def _refused_report(self, event: BackEndReportRefused) -> None:
+    def _log_unusable_report(self, event: BackEndReportRefused) -> None:
         """Log an unusable report at a limited rate: its sender may send many of them."""
-        self._refused_reports += 1
-        if self._now >= self._refusal_told_at + REFUSAL_LINE_SECONDS:
-            reason = event.reason[:MOST_REASON]
-            count = self._refused_reports
+        self._unusable_reports += 1
+        if self._now >= self._unusable_logged_at + UNUSABLE_REPORT_LOG_SECONDS:
+            reason = event.reason[:MAX_REASON_CHARACTERS]
+            count = self._unusable_reports
             self._report(notices.BackEndReportNotUsed(reason, count))
-            self._refusal_told_at = self._now
+            self._unusable_logged_at = self._now
 
-    def _note_pause(self, event: events.Event, now: float) -> None:
+    def _detect_suspension(self, event: events.Event, now: float) -> None:
         """Reconnect to the relays if the process was suspended before this event."""
-        pause = now - self._now
-        if isinstance(event, events.Started) or pause < PAUSE_SECONDS:
+        silence_seconds = now - self._now
+        if (
+            isinstance(event, events.Started)
+            or silence_seconds < SUSPENSION_THRESHOLD_SECONDS
+        ):
             return
         self._now = now
-        self._report(notices.NodePaused(round(pause * 1_000)))
-        self._do(self.sessions.begin_anew(now))
+        self._report(notices.NodePaused(round(silence_seconds * 1_000)))
+        self._emit(self.sessions.reconnect_all(now))
 
     def _started(self, event: events.Started) -> None:
         if not self.holder.holds_nothing:
@@ -276,24 +279,24 @@
             active = open_snapshot(self.holder.snapshot)
             self._services = frozenset(active.services)
             self._out.append(ConfigurationSwapped(active))
-        self._do(self.sessions.start(Randomness(event.seed), self._now))
+        self._emit(self.sessions.start(Randomness(event.seed), self._now))
 
     def _link_changed(self, event: events.LinkOpened | events.LinkClosed) -> None:
         session = self.sessions.find(event.link)
         if session is None:
             return
         if isinstance(event, events.LinkOpened):
-            self._do(self.sessions.opened(session, self._now))
+            self._emit(self.sessions.opened(session, self._now))
         else:
-            self._do(self.sessions.closed(session, event.reason, self._now))
+            self._emit(self.sessions.closed(session, event.reason, self._now))
 
     def _timer(self, timer: str) -> None:
         if timer == WATCH_TIMER:
-            self._viewed(self._reports.tick(self._now))
+            self._view_changed(self._reports.tick(self._now))
             self.quarantine.table.forget_old(self._now)
-            self._do(self.sessions.watch(self._now))
+            self._emit(self.sessions.watch(self._now))
         elif timer == CONNECT_TIMER:
-            self._do(self.sessions.connect(self._now))
+            self._emit(self.sessions.connect(self._now))
         elif timer == PERSIST_TIMER:
             self._persist()
         elif timer == LEAVING_TIMER:
@@ -309,19 +312,19 @@
     # --- the relay -------------------------------------------------------------
 
     def _from_relay(self, session: RelaySession, message: Message) -> None:
-        self.sessions.heard(session, self._now)
+        self.sessions.note_received(session, self._now)
         match message:
             case UpdateOffered():
-                self._answered(session, message)
-                self._offered(session, message)
+                self._handle_answer(session, message)
+                self._handle_offer(session, message)
             case Current():
-                self._answered(session, message)
+                self._handle_answer(session, message)
                 self._still_current(message)
-                self._tell_held(session)
+                self._send_applied(session)
             case Freshness():
-                self._answered(session, message)
+                self._handle_answer(session, message)
                 self._still_current(message)
-                self._say_alive(session)
+                self._send_alive(session)
             case EndpointsPacked():
                 self._endpoints_packed(session, message)
             case EndpointsHeld():
@@ -331,28 +334,28 @@
                     PeerRelay(name=each.name, zone=each.zone, address=each.address)
                     for each in message.relays
                 )
-                self._do(self.sessions.use_listed(listed, self._now))
+                self._emit(self.sessions.use_listed(listed, self._now))
             case CrashesTold():
-                self._do(self.quarantine.told(message, self._now))
+                self._emit(self.quarantine.merge_records(message, self._now))
             case QuotaGranted():
                 self._out.append(QuotaAnswered(message))
             case RetryAfter():
-                self._do(self.sessions.deferred(session, message.milliseconds, self._now))
+                self._emit(self.sessions.deferred(session, message.milliseconds, self._now))
             case Goodbye():
-                self._do(self.sessions.goodbye(session, message.reason, self._now))
+                self._emit(self.sessions.goodbye(session, message.reason, self._now))
             case Refused():
-                self._do(self.sessions.drop(session, message.reason, self._now))
+                self._emit(self.sessions.drop(session, message.reason, self._now))
             case _:
-                self._do(self.sessions.drop(session, "unexpected message", self._now))
+                self._emit(self.sessions.drop(session, "unexpected message", self._now))
 
-    def _answered(
+    def _handle_answer(
         self, session: RelaySession, message: UpdateOffered | Current | Freshness
     ) -> None:
         """Record an answer and its confirmation; it may make a candidate the active one."""
-        session.confirmed(message.confirmed_at_milliseconds)
+        session.record_confirmation(message.confirmed_at_milliseconds)
         session.answered = True
         was_active = session is self.sessions.active
-        self._do(self.sessions.settle(session, self._now))
+        self._emit(self.sessions.resolve_candidate(session, self._now))
         if session is self.sessions.active and not was_active:
             self._introduce(session)
 
@@ -361,9 +364,9 @@
         if self._own.exists:
             self._announce()
         self._out.append(SendMessage(session.link, EndpointsHeld(self.known.digest)))
-        self._do(self.quarantine.introduce(session.link, self._now))
+        self._emit(self.quarantine.send_all_to(session.link, self._now))
 
-    def _say_alive(self, session: RelaySession) -> None:
+    def _send_alive(self, session: RelaySession) -> None:
         alive = NodeAlive(self.holder.effective_version, self._clock_milliseconds)
         self._out.append(SendMessage(session.link, alive))
 
@@ -386,11 +389,11 @@
         if at_milliseconds is not None and not self.holder.holds_nothing:
             self._confirmed_at = max(self._confirmed_at, at_milliseconds / MILLISECONDS)
 
-    def _offered(self, session: RelaySession, offer: UpdateOffered) -> None:
+    def _handle_offer(self, session: RelaySession, offer: UpdateOffered) -> None:
         held = self.holder.snapshot
         unpacked = unpack_update(offer.packed_update, held.scope, held.digest)
         if isinstance(unpacked, Failure):
-            self._do(self.sessions.drop(session, "undecodable update", self._now))
+            self._emit(self.sessions.drop(session, "undecodable update", self._now))
             return
         update = unpacked.unwrap()
         if self._pending is not None and session is not self._pending_from:
@@ -424,7 +427,7 @@
 
     def _answer_refusal(self, session: RelaySession, version: Version, reason: str) -> None:
         if reason == NOT_NEWER:
-            self._tell_held(session)
+            self._send_applied(session)
         else:
             self._refuse(session, version, reason)
 
@@ -432,7 +435,7 @@
         self._report(notices.VersionRefused(version, reason))
         self._out.append(SendMessage(session.link, UpdateRefused(version, reason)))
 
-    def _tell_held(self, session: RelaySession) -> None:
+    def _send_applied(self, session: RelaySession) -> None:
         applied = UpdateApplied(self.holder.effective_version, self.holder.digest)
         self._out.append(SendMessage(session.link, applied))
 
@@ -472,7 +475,7 @@
         self._report(applied)
         self._services_changed(frozenset(active.services))
         for session in self.sessions.all_answered():
-            self._tell_held(session)
+            self._send_applied(session)
 
     # --- endpoints -------------------------------------------------------------
 
@@ -483,7 +486,7 @@
         here: they are dropped if an intermediate version from another relay does not
         contain those services.
         """
-        if self.known.forget_services_but(services):
+        if self.known.retain_services(services):
             self._swap_endpoints()
         has_new = not services <= self._services
         self._services = services
@@ -494,7 +497,7 @@
     def _endpoints_packed(self, session: RelaySession, message: EndpointsPacked) -> None:
         unpacked = unpack_endpoints(message)
         if isinstance(unpacked, Failure):
-            self._do(self.sessions.drop(session, "undecodable endpoints", self._now))
+            self._emit(self.sessions.drop(session, "undecodable endpoints", self._now))
             return
         self._endpoints_changed(session, unpacked.unwrap())
 
@@ -505,8 +508,8 @@
         """
         for endpoint in message.endpoints:
             if endpoint.node == self._settings.node:
-                self._viewed(self._reports.overtaken(endpoint.born))
-                if self._own.overtake(endpoint):
+                self._view_changed(self._reports.overtaken(endpoint.born))
+                if self._own.raise_incarnation_above(endpoint):
                     self._announce()
         is_heeded = self.sessions.active in (None, session)
         if is_heeded and self.known.take(message):
@@ -533,18 +536,18 @@
                 self._report(notices.BackEndsKnown(service, nodes))
         self._ready = known
 
-    def _viewed(self, changed: bool) -> None:
+    def _view_changed(self, changed: bool) -> None:
         """Pass a changed state of the local back end to the data plane and other nodes."""
         if not changed:
             return
         view = self._reports.view
         self._out.append(BackEndViewed(view))
         self._report(notices.BackEndViewChanged(view.instance, view.state, view.slots))
-        if not self._is_stopping and self._own.take_view(view):
-            self._know_own_endpoint()
+        if not self._is_stopping and self._own.apply_view(view):
+            self._apply_local_endpoint()
             self._announce()
 
-    def _know_own_endpoint(self) -> None:
+    def _apply_local_endpoint(self) -> None:
         """Apply the local endpoint to this node's calls without waiting for a relay."""
         if self.known.take(EndpointsChanged((self._own.current,))):
             self._swap_endpoints()
@@ -590,7 +593,7 @@
             sent_at_milliseconds=self._clock_milliseconds,
         )
 
-    def _do(self, commands: list[Command]) -> None:
+    def _emit(self, commands: list[Command]) -> None:
         self._out.extend(commands)
 
     def _report(self, notice: Notice) -> None:
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -57,7 +57,7 @@
 CALLERS_QUIET_SECONDS = 0.3
 """A drain assumes that callers use other nodes once none came for this long."""
 
-ANY_CALL_SHARE = 0.5
+UNRESTRICTED_DRAIN_SHARE = 0.5
 """Share of a planned stop's time limit in which every call is accepted.
 
 After it only calls are accepted whose deadline is before the end of the time limit.
@@ -177,7 +177,7 @@
         if had_other_life:
             self._call_listener.lend_no_more()
 
-    def on_back_end_not_there(self, callback: Callable[[str], None]) -> None:
+    def on_back_end_unreachable(self, callback: Callable[[str], None]) -> None:
         """Call ``callback`` with an incarnation of the back end that cannot be reached."""
         if self._own is not None:
             self._own.on_not_there = callback
@@ -228,13 +228,13 @@
         """Wait until nothing is in flight, at most ``bound_seconds``; return a report."""
         self.begin_drain()
         end = self._drain_began + bound_seconds
-        self.calls.end_at(end, self._drain_began + ANY_CALL_SHARE * bound_seconds)
+        self.calls.end_at(end, self._drain_began + UNRESTRICTED_DRAIN_SHARE * bound_seconds)
         leaving_ends = min(end, self._drain_began + LEAVING_SECONDS)
         await asyncio.sleep(max(0.0, leaving_ends - self._loop.time()))
         if self._own is not None:
             self._own.leaving = True
-        await self._own_back_end_done(end)
-        await self._callers_gone(end)
+        await self._wait_until_back_end_idle(end)
+        await self._wait_until_callers_left(end)
         self._listener.close()
         while self._busy and self._loop.time() < end:
             self._close_idle(0.0)
@@ -242,14 +242,14 @@
         self._close_idle(0.0)
         return self._report_drain()
 
-    async def _own_back_end_done(self, end: float) -> None:
+    async def _wait_until_back_end_idle(self, end: float) -> None:
         """Wait until the local back end is idle: its work may make calls via this node."""
         own = self._own
         while own is not None and own.in_flight and self._loop.time() < end:
             self._close_idle(FRESH_CONNECTION_SECONDS)
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    async def _callers_gone(self, end: float) -> None:
+    async def _wait_until_callers_left(self, end: float) -> None:
         """Wait until no more callers come; some may not know another ready node yet."""
         while self._loop.time() < min(end, self._caller_seen_at + CALLERS_QUIET_SECONDS):
             self._close_idle(FRESH_CONNECTION_SECONDS)
@@ -310,7 +310,7 @@
         """Remove a caller's closed connection."""
         self._connections.discard(connection)
 
-    # --- inside
+    # --- internal
 
     @property
     def _in_flight(self) -> int:
@@ -331,10 +331,10 @@
         self._call_listener.take_back_expired(now)
         if self._own is not None:
             self._own.pool.trim(now)
-            self._tell_evidence(self._own.evidence)
+            self._send_evidence(self._own.evidence)
         self._close_idle(self._idle_seconds)
 
-    def _tell_evidence(self, evidence: VersionEvidence) -> None:
+    def _send_evidence(self, evidence: VersionEvidence) -> None:
         routes = evidence.take_news()
         if routes is not None and evidence.began_milliseconds:
             self.on_evidence(evidence.began_milliseconds, routes)
--- a/src/peppershore/process/node/endpoints.py
+++ b/src/peppershore/process/node/endpoints.py
@@ -44,7 +44,7 @@
             self._keep_only(message)
         return self.endpoints != before
 
-    def forget_services_but(self, services: frozenset[str]) -> bool:
+    def retain_services(self, services: frozenset[str]) -> bool:
         """Drop endpoints of all other services; return whether there were any."""
         dropped = [
             node for node, each in self._by_node.items() if each.service not in services
--- a/src/peppershore/process/node/inputs.py
+++ b/src/peppershore/process/node/inputs.py
@@ -5,7 +5,7 @@
 from peppershore.connection.messages.quotas import QuotaAsked
 from peppershore.connection.messages.rollouts import RouteEvidence
 from peppershore.process.events import Event
-from peppershore.process.node.back_end_reports import BORN_NOT_TOLD, BackEndReport
+from peppershore.process.node.back_end_reports import START_UNKNOWN, BackEndReport
 from peppershore.process.settings import PeerRelay
 from peppershore.request.quarantine import Suspect
 
@@ -30,7 +30,7 @@
     """An incarnation of the local back end reported that it terminates."""
 
     instance: str
-    born: int = BORN_NOT_TOLD
+    born: int = START_UNKNOWN
 
 
 class BackEndReportRefused(Event, frozen=True):
--- a/src/peppershore/process/node/notices.py
+++ b/src/peppershore/process/node/notices.py
@@ -30,7 +30,7 @@
 
 
 class BackEndViewChanged(Notice, frozen=True):
-    """The state of the local back end changed by a report or for lack of reports."""
+    """The state of the local back end changed by a report, or as its reports ceased."""
 
     instance: str
     state: str
--- a/src/peppershore/process/node/own_endpoint.py
+++ b/src/peppershore/process/node/own_endpoint.py
@@ -64,7 +64,7 @@
         self._sequence += 1
         return True
 
-    def take_view(self, view: BackEndView) -> bool:
+    def apply_view(self, view: BackEndView) -> bool:
         """Apply a reported state of the back end; return whether the endpoint changed.
 
         A new incarnation of the back end does not inherit state leaving.
@@ -81,7 +81,7 @@
         self._sequence += 1
         return True
 
-    def overtake(self, other: Endpoint) -> bool:
+    def raise_incarnation_above(self, other: Endpoint) -> bool:
         """Raise the incarnation above that of ``other``, an endpoint with this node's name.
 
         Return whether that was needed. After a restart without stored state the
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -18,7 +18,7 @@
         """Start without records."""
         self.table = Quarantine()
 
-    def learned(
+    def record_outcome(
         self, event: BackEndEnded | SuspectEndedWell, relay: LinkId | None, now: float
     ) -> list[Command]:
         """Record what the local back end showed; ``relay`` is the link to the one in use.
@@ -31,17 +31,17 @@
         else:
             cleared = self.table.cleared(event.key, now)
             records = () if cleared is None else (cleared,)
-        out = self._heed(records)
+        out = self._apply(records)
         if records and relay is not None:
             out.append(SendMessage(relay, CrashesTold(records)))
         return out
 
-    def told(self, message: CrashesTold, now: float) -> list[Command]:
+    def merge_records(self, message: CrashesTold, now: float) -> list[Command]:
         """Merge records of a relay; return the commands that apply the new ones."""
         merge = self.table.merge
-        return self._heed(tuple(each for each in message.records if merge(each, now)))
+        return self._apply(tuple(each for each in message.records if merge(each, now)))
 
-    def introduce(self, relay: LinkId, now: float) -> list[Command]:
+    def send_all_to(self, relay: LinkId, now: float) -> list[Command]:
         """Return the command that sends all records to a newly chosen relay.
 
         That relay may not have received any of them yet.
@@ -50,7 +50,7 @@
             return []
         return [SendMessage(relay, CrashesTold(self.table.records(now)))]
 
-    def _heed(self, records: tuple[CrashRecord, ...]) -> list[Command]:
+    def _apply(self, records: tuple[CrashRecord, ...]) -> list[Command]:
         if not records:
             return []
         reports = (Report(notice) for notice in notices_of(records))
--- a/src/peppershore/process/node/relay_choice.py
+++ b/src/peppershore/process/node/relay_choice.py
@@ -45,17 +45,17 @@
         return any(each.name == name and each.zone == zone for each in self._ranked)
 
     def next_relay(
-        self, now: float, besides: str = "", *, elsewhere: bool = False
+        self, now: float, excluding: str = "", *, other_zones_first: bool = False
     ) -> PeerRelay | None:
-        """Return the relay to try now, but not the one named ``besides``; None without any.
+        """Return the relay to try now, but not ``excluding``; None if there is no other.
 
-        With ``elsewhere`` relays of other zones come first: what cut one relay off from
-        its quorum has often cut off its whole zone.
+        With ``other_zones_first``, relays of the node's own zone come last: what cut one
+        relay off from its quorum has often cut off its whole zone.
         """
-        others = [relay for relay in self._ranked if relay.name != besides]
+        others = [relay for relay in self._ranked if relay.name != excluding]
         if not others:
             return None
-        if elsewhere:
+        if other_zones_first:
             others.sort(key=lambda relay: relay.zone == self._settings.zone)
         for relay in others:
             if self._avoid_until.get(relay.name, 0.0) <= now:
@@ -71,12 +71,12 @@
                 return relay
         return None
 
-    def has_untried(self, now: float, besides: str) -> bool:
-        """Return whether any relay other than ``besides`` is not being avoided."""
+    def has_untried(self, now: float, excluding: str) -> bool:
+        """Return whether any relay other than ``excluding`` is not being avoided."""
         return any(
             self._avoid_until.get(relay.name, 0.0) <= now
             for relay in self._ranked
-            if relay.name != besides
+            if relay.name != excluding
         )
 
     def ranks_above(self, name: str, other: str) -> bool:
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -80,7 +80,7 @@
     link: LinkId
     relay: PeerRelay
     opened_at: float
-    last_heard: float
+    last_received_at: float
     is_open: bool = False
     answered: bool = False
     is_leaving: bool = False
@@ -90,7 +90,7 @@
     is_cut_off: bool = False
     """Whether the relay reported that it is cut off, without a newer confirmation since."""
 
-    def confirmed(self, at_milliseconds: int | None) -> None:
+    def record_confirmation(self, at_milliseconds: int | None) -> None:
         """Record the time of the relay's latest confirmation, if it is a newer one."""
         if at_milliseconds is None:
             return
@@ -122,7 +122,7 @@
         self._randomness = Randomness(0)
         self._rebalance_at = 0.0
         self._connect_due = False
-        self._quick_opening_seconds = FIRST_OPENING_SECONDS
+        self._short_opening_seconds = FIRST_OPENING_SECONDS
 
     def start(self, randomness: Randomness, now: float) -> list[Command]:
         """Open the first link and start the periodic checks."""
@@ -147,16 +147,16 @@
         self._connect_due = False
         if self.candidate is not None:
             return []
-        besides = self.active.relay.name if self.active else ""
-        elsewhere = self._has_only_a_stale_one(now)
-        relay = self._choice.next_relay(now, besides, elsewhere=elsewhere)
+        excluding = self.active.relay.name if self.active else ""
+        other_zones_first = self._is_active_stale(now)
+        relay = self._choice.next_relay(now, excluding, other_zones_first=other_zones_first)
         return [] if relay is None else self._open(relay, now)
 
     def opened(self, session: RelaySession, now: float) -> list[Command]:
         """Send the hello on a link that has opened."""
         session.is_open = True
         session.opened_at = now
-        session.last_heard = now
+        session.last_received_at = now
         return [SendMessage(session.link, self._make_hello())]
 
     def closed(self, session: RelaySession, reason: str, now: float) -> list[Command]:
@@ -200,22 +200,22 @@
         )
         return [close, Report(notice), *self._connect_after(wait)]
 
-    def heard(self, session: RelaySession, now: float) -> None:
+    def note_received(self, session: RelaySession, now: float) -> None:
         """Record that a message of the relay was received."""
-        session.last_heard = now
+        session.last_received_at = now
 
-    def settle(self, session: RelaySession, now: float) -> list[Command]:
+    def resolve_candidate(self, session: RelaySession, now: float) -> list[Command]:
         """Make a candidate that has answered the active relay, or reject it."""
         if session is not self.candidate:
             return []
         old = self.active
         if old is not None and not old.is_leaving:
-            reason = self._no_reason_to_move(old, session, now)
+            reason = self._rejection_reason(old, session, now)
             if reason:
                 return self._reject(session, reason, now)
         self.active = session
         self.candidate = None
-        self._quick_opening_seconds = FIRST_OPENING_SECONDS
+        self._short_opening_seconds = FIRST_OPENING_SECONDS
         self._choice.succeeded(session.relay.name)
         out: list[Command] = [Report(notices.RelayChosen(session.relay.name))]
         if old is not None:
@@ -233,7 +233,7 @@
         self._choice.failed(session.relay.name, now)
         return self._connect_after(self._choice.wait_seconds(self._randomness))
 
-    def begin_anew(self, now: float) -> list[Command]:
+    def reconnect_all(self, now: float) -> list[Command]:
         """Drop all sessions after a suspension of the process and reconnect immediately."""
         out: list[Command] = []
         for session in (self.candidate, self.active):
@@ -253,8 +253,8 @@
         for session in (self.active, self.candidate):
             if session is not None and self._is_silent(session, now):
                 if not session.answered:
-                    doubled = 2.0 * self._quick_opening_seconds
-                    self._quick_opening_seconds = min(doubled, OPENING_SECONDS)
+                    doubled = 2.0 * self._short_opening_seconds
+                    self._short_opening_seconds = min(doubled, OPENING_SECONDS)
                 out.extend(self.drop(session, "silent", now))
         out.append(SetTimer(WATCH_TIMER, self._until_next_watch(now)))
         if self.active is None or self.candidate is not None or self._connect_due:
@@ -297,7 +297,7 @@
             wait = self._choice.wait_seconds(self._randomness)
         return self._connect_after(wait)
 
-    def _no_reason_to_move(
+    def _rejection_reason(
         self, old: RelaySession, session: RelaySession, now: float
     ) -> str:
         """Return why a candidate does not replace the old relay, "" if it does.
@@ -318,12 +318,12 @@
             return out
         self._choice.failed(session.relay.name, now)
         assert self.active is not None
-        is_needed = self._has_only_a_stale_one(now) and not self._connect_due
+        is_needed = self._is_active_stale(now) and not self._connect_due
         if is_needed and self._choice.has_untried(now, self.active.relay.name):
             out.extend(self.connect(now))
         return out
 
-    def _has_only_a_stale_one(self, now: float) -> bool:
+    def _is_active_stale(self, now: float) -> bool:
         return self.active is not None and self._is_stale(self.active, now)
 
     def _until_next_watch(self, now: float) -> float:
@@ -337,15 +337,15 @@
         """Return whether the relay has sent nothing for too long."""
         bound = self._silence_seconds
         if not session.answered:
-            bound = min(bound, self._patience_seconds(session, now))
-        return now - session.last_heard > bound
+            bound = min(bound, self._answer_timeout_seconds(session, now))
+        return now - session.last_received_at > bound
 
-    def _patience_seconds(self, session: RelaySession, now: float) -> float:
+    def _answer_timeout_seconds(self, session: RelaySession, now: float) -> float:
         """Return the time-out in seconds for a link to open, or for a relay's answer."""
         if self.active is not None and not self._is_stale(self.active, now):
             return self._silence_seconds if session.is_open else OPENING_SECONDS
         share = ANSWER_SHARE if session.is_open else 1.0
-        return share * self._quick_opening_seconds
+        return share * self._short_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
         """Return whether the relay is cut off or was last confirmed too long ago."""
@@ -358,7 +358,7 @@
 
     def _open(self, relay: PeerRelay, now: float) -> list[Command]:
         link = self._numbers.take()
-        self.candidate = RelaySession(link, relay, opened_at=now, last_heard=now)
+        self.candidate = RelaySession(link, relay, opened_at=now, last_received_at=now)
         return [OpenLink(link, relay.address)]
 
     def _connect_after(self, seconds: float) -> list[Command]:
--- a/src/peppershore/process/node/shell.py
+++ b/src/peppershore/process/node/shell.py
@@ -55,13 +55,13 @@
 from peppershore.process.shell import NoticeSink, Shell
 from peppershore.process.signals import stop_on_signals
 
-GONE_NOTICE_SECONDS = 0.1
+LAST_ANNOUNCEMENT_SECONDS = 0.1
 """Time to send the last announcement before the links are closed."""
 
 EXIT_SECONDS = 0.5
 """Maximum time that a process needs to exit after its drain."""
 
-CLAIMS_NOTED_SECONDS = 2.0
+CLAIMS_STORED_SECONDS = 2.0
 """Time limit for the last results and releases to be stored by the claims group."""
 
 
@@ -165,7 +165,7 @@
     return settings.stop_bound_milliseconds / 1_000
 
 
-def recall(settings: NodeSettings, notice_sink: NoticeSink) -> NodeMemory:
+def load_memory(settings: NodeSettings, notice_sink: NoticeSink) -> NodeMemory:
     """Load the stored state of the node, with a new incarnation for this start."""
     started_milliseconds = int(time.time() * 1_000)
     if not settings.data_folder:
@@ -214,10 +214,10 @@
     if claims is not None:
         data_plane.use_claims(claims)
     addresses = await data_plane.start()
-    core = NodeCore(settings, recall(settings, metrics.notice), addresses.internal)
+    core = NodeCore(settings, load_memory(settings, metrics.notice), addresses.internal)
     shell = NodeShell(settings, core, data_plane, metrics.notice, security)
     data_plane.on_backend_state(lambda state: shell.dispatch(BackendStateChanged(state)))
-    data_plane.on_back_end_not_there(lambda life: shell.dispatch(BackEndNotThere(life)))
+    data_plane.on_back_end_unreachable(lambda life: shell.dispatch(BackEndNotThere(life)))
     data_plane.on_back_end_ended = lambda life, under: shell.dispatch(
         BackEndEnded(life, under)
     )
@@ -255,11 +255,11 @@
         on_ready(addresses.callers_port)
     await shell.stopped.wait()
     reporter.stop()
-    await asyncio.sleep(GONE_NOTICE_SECONDS)
+    await asyncio.sleep(LAST_ANNOUNCEMENT_SECONDS)
     await shell.close()
     await data_plane.close()
     if claims is not None:
-        await claims.settle(CLAIMS_NOTED_SECONDS)
+        await claims.settle(CLAIMS_STORED_SECONDS)
         await claims.close()
     await admin.close()
     await extra_admin.close()
--- a/tests/node/test_back_end_reports.py
+++ b/tests/node/test_back_end_reports.py
@@ -1,4 +1,4 @@
-"""What a node makes of its back end's heartbeats, late and out of order."""
+"""The state that a node derives from late or reordered heartbeats of its back end."""
 
 from __future__ import annotations
 
@@ -24,41 +24,41 @@
 
 def test_a_leaving_back_end_stays_leaving_whatever_comes_late() -> None:
     known = reports()
-    assert known.take(report("i1", 1), 0.0)
-    assert known.take(report("i1", 4, is_leaving=True), 1.0)
-    assert not known.take(report("i1", 3), 1.1)
-    assert not known.take(report("i1", 5), 1.2)
+    assert known.apply(report("i1", 1), 0.0)
+    assert known.apply(report("i1", 4, is_leaving=True), 1.0)
+    assert not known.apply(report("i1", 3), 1.1)
+    assert not known.apply(report("i1", 5), 1.2)
     assert known.view.state == "leaving"
 
 
 def test_a_later_life_replaces_an_earlier_one_for_good() -> None:
     known = reports()
-    known.take(report("i1", 9), 0.0)
-    assert known.take(report("i2", 1), 1.0)
-    assert not known.take(report("i1", 10), 1.1)
+    known.apply(report("i1", 9), 0.0)
+    assert known.apply(report("i2", 1), 1.0)
+    assert not known.apply(report("i1", 10), 1.1)
     assert (known.view.instance, known.view.state) == ("i2", "ready")
 
 
 def test_one_that_left_is_not_brought_back_by_a_late_heartbeat() -> None:
     known = reports()
-    known.take(report("i1", 1), 0.0)
-    assert known.left("i1")
-    assert not known.take(report("i1", 2), 0.1)
+    known.apply(report("i1", 1), 0.0)
+    assert known.mark_leaving("i1")
+    assert not known.apply(report("i1", 2), 0.1)
     assert known.view.state == "leaving"
 
 
 def test_one_that_does_not_answer_is_gone_until_it_says_something() -> None:
     known = reports()
-    known.take(report("i1", 1), 0.0)
-    assert known.not_there("i1")
+    known.apply(report("i1", 1), 0.0)
+    assert known.mark_unreachable("i1")
     assert known.view.state == "gone"
-    assert known.take(report("i1", 2), 1.0)
+    assert known.apply(report("i1", 2), 1.0)
     assert known.view.state == "ready"
 
 
 def test_a_silent_one_is_gone() -> None:
     known = reports()
-    known.take(report("i1", 1), 0.0)
+    known.apply(report("i1", 1), 0.0)
     assert not known.tick(7.9)
     assert known.tick(8.0)
     assert known.view.state == "gone"
@@ -67,7 +67,7 @@
 def test_a_back_end_of_another_service_is_none_of_this_node() -> None:
     known = reports()
     other = msgspec.structs.replace(report("i1", 1), service="kuitti")
-    assert not known.take(other, 0.0)
+    assert not known.apply(other, 0.0)
 
 
 GOOD = {
--- a/tests/node/test_boot_clock.py
+++ b/tests/node/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""Every process decides by a clock that also counts the time a machine was suspended."""
+"""Every process uses a clock that also counts the time the machine was suspended."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def test_what_fell_due_during_a_suspension_runs_right_after_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The suspension is played: the clock goes 60 s ahead, the loop does not wait."""
+    """The suspension is simulated: the clock jumps 60 s ahead without a real wait."""
     ahead = 0.0
     monkeypatch.setattr(
         boot_clock, "boot_seconds", lambda: time.clock_gettime(time.CLOCK_BOOTTIME) + ahead
--- a/tests/node/test_node_core.py
+++ b/tests/node/test_node_core.py
@@ -1,4 +1,4 @@
-"""The node core alone: what it takes, what it refuses, and when it uses it."""
+"""The node core without a shell: which versions it accepts, refuses and puts into use."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 
 SCOPE = Scope("kassa", "pasila")
 LONGEST_ANSWER_SECONDS = 1.6
-"""What waits on a full link of 1 Mbit/s: 200 KB."""
+"""Time to send 200 KB over a full link of 1 Mbit/s, on which an answer may wait."""
 START_MILLISECONDS = 100_000
-"""What the node's clock shows at its start."""
+"""Time of the node's clock at its start."""
 CommandType = TypeVar("CommandType", bound=Command)
 MessageType = TypeVar("MessageType", bound=Message)
 
 
 def trees(count: int) -> list[Tree]:
-    """Give versions 1 to ``count``, each with another timeout."""
+    """Return versions 1 to ``count``, each with a different time-out."""
     operations = (
         SetZone("pasila", "uusimaa"),
         SetOverrides("/kassa/*/pay", Overrides(path_prefix="/pay", target="kassa")),
@@ -65,7 +65,7 @@
 def offer(
     version: int, base: int = 0, confirmed_at: int | None = START_MILLISECONDS
 ) -> UpdateOffered:
-    """Give the offer from version ``base`` (0: full state) to ``version``."""
+    """Return the offer from version ``base`` (0: full state) to ``version``."""
     catalog = ScopeCatalog()
     catalog.load(TREES[max(base, 1) - 1])
     digest = catalog.digest(SCOPE) if base else 0
@@ -77,14 +77,14 @@
 
 
 def digest_of(version: int) -> int:
-    """Give the digest of what the node holds at a version."""
+    """Return the digest of the node's snapshot at a version."""
     catalog = ScopeCatalog()
     catalog.load(TREES[version - 1])
     return catalog.digest(SCOPE)
 
 
-class Bench:
-    """A node with its first link open and its hello sent."""
+class NodeHarness:
+    """A node whose first link is open and which has sent its hello."""
 
     def __init__(
         self,
@@ -111,43 +111,43 @@
         self.open_candidate()
 
     def open_candidate(self) -> int:
-        """Let the link asked for last be open; give its number."""
+        """Open the link that the last step requested; return its number."""
         link = self.only(OpenLink).link
-        self.give(events.LinkOpened(link, "relay"))
+        self.dispatch(events.LinkOpened(link, "relay"))
         return link
 
-    def give(self, event: events.Event) -> list[Command]:
-        """Step the core."""
+    def dispatch(self, event: events.Event) -> list[Command]:
+        """Step the core with an event; return its commands."""
         self.out = self.core.step(event, self.now)
         return self.out
 
     def receive(self, message: Message, link: int = 1) -> list[Command]:
-        """Step the core with a message."""
-        return self.give(events.MessageReceived(link, message))
+        """Step the core with a received message; return its commands."""
+        return self.dispatch(events.MessageReceived(link, message))
 
     def only(self, kind: type[CommandType]) -> CommandType:
-        """Give the one command of a kind in the last step."""
+        """Return the only command of this type from the last step."""
         (found,) = [each for each in self.out if isinstance(each, kind)]
         return found
 
     def has(self, kind: type[Command]) -> bool:
-        """Tell whether the last step gave a command of a kind."""
+        """Return whether the last step produced a command of this type."""
         return any(isinstance(each, kind) for each in self.out)
 
     def sent(self, kind: type[MessageType]) -> list[MessageType]:
-        """Give the messages of a kind that the last step sent."""
+        """Return the messages of this type that the last step sent."""
         messages = [each.message for each in self.out if isinstance(each, SendMessage)]
         return [each for each in messages if isinstance(each, kind)]
 
 
 def test_the_hello_says_what_is_held() -> None:
-    bench = Bench(memory=NodeMemory(1, floor=7))
+    bench = NodeHarness(memory=NodeMemory(1, floor=7))
     (hello,) = bench.sent(NodeHello)
     assert (hello.version, hello.digest, hello.floor) == (0, 0, 7)
 
 
 def test_a_node_without_memory_refuses_what_was_confirmed_before_its_hello() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.now += 0.5
     bench.receive(offer(1, confirmed_at=START_MILLISECONDS - 200))
     assert [each.reason for each in bench.sent(UpdateRefused)] == ["unconfirmed"]
@@ -157,7 +157,7 @@
 
 
 def test_a_node_with_a_floor_takes_unconfirmed_versions_at_or_above_it() -> None:
-    bench = Bench(memory=NodeMemory(1, floor=2))
+    bench = NodeHarness(memory=NodeMemory(1, floor=2))
     bench.receive(offer(1, confirmed_at=None))
     assert [each.reason for each in bench.sent(UpdateRefused)] == ["below-floor"]
     bench.receive(offer(2, confirmed_at=None))
@@ -165,7 +165,7 @@
 
 
 def test_an_older_version_on_any_link_is_answered_with_what_is_held() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(3))
     bench.receive(offer(2))
     assert bench.sent(UpdateApplied) == [UpdateApplied(3, digest_of(3))]
@@ -174,40 +174,40 @@
 
 @pytest.mark.parametrize("packed", [b"", b"garbage", offer(1).packed_update[:-3]])
 def test_an_undecodable_update_ends_the_link_and_changes_nothing(packed: bytes) -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(UpdateOffered(packed, 0))
     assert bench.has(CloseLink)
     assert bench.core.holder.holds_nothing
 
 
 def test_a_version_is_used_only_once_it_is_on_disk() -> None:
-    bench = Bench(data_folder="somewhere")
+    bench = NodeHarness(data_folder="somewhere")
     bench.receive(offer(1))
     token = bench.only(PersistSnapshot).token
     assert not bench.has(ConfigurationSwapped)
     assert not bench.sent(UpdateApplied)
-    bench.give(events.RecordsPersisted(token))
+    bench.dispatch(events.RecordsPersisted(token))
     assert bench.only(ConfigurationSwapped).active.version == 1
     assert bench.sent(UpdateApplied) == [UpdateApplied(1, digest_of(1))]
 
 
 def test_a_version_the_disk_refuses_is_not_used_and_tried_again() -> None:
-    bench = Bench(data_folder="somewhere")
+    bench = NodeHarness(data_folder="somewhere")
     bench.receive(offer(1))
     token = bench.only(PersistSnapshot).token
-    bench.give(events.RecordsFailed(token, "disk full"))
+    bench.dispatch(events.RecordsFailed(token, "disk full"))
     assert bench.core.holder.holds_nothing
-    bench.give(events.TimerFired("node.persist"))
+    bench.dispatch(events.TimerFired("node.persist"))
     again = bench.only(PersistSnapshot).token
     assert again != token
-    bench.give(events.RecordsPersisted(token))
+    bench.dispatch(events.RecordsPersisted(token))
     assert bench.core.holder.holds_nothing
-    bench.give(events.RecordsPersisted(again))
+    bench.dispatch(events.RecordsPersisted(again))
     assert bench.core.holder.snapshot.version == 1
 
 
 def test_a_heartbeat_raises_the_version_in_effect_and_is_answered() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(1))
     bench.now += 0.25
     bench.receive(Freshness(9, START_MILLISECONDS + 100, digest_of(1)))
@@ -217,19 +217,19 @@
 
 
 def test_a_heartbeat_raises_nothing_while_a_version_is_being_stored() -> None:
-    bench = Bench(data_folder="somewhere")
+    bench = NodeHarness(data_folder="somewhere")
     bench.receive(offer(1))
-    bench.give(events.RecordsPersisted(bench.only(PersistSnapshot).token))
+    bench.dispatch(events.RecordsPersisted(bench.only(PersistSnapshot).token))
     bench.receive(offer(2, base=1))
     token = bench.only(PersistSnapshot).token
     bench.receive(Freshness(9, START_MILLISECONDS, digest_of(1)))
     assert bench.core.holder.effective_version == 1
-    bench.give(events.RecordsPersisted(token))
+    bench.dispatch(events.RecordsPersisted(token))
     assert bench.core.holder.effective_version == 2
 
 
 def test_a_deferred_hello_comes_back_within_the_time_the_relay_gave() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(RetryAfter(4_000))
     assert bench.has(CloseLink)
     (timer,) = [each for each in bench.out if hasattr(each, "delay_seconds")]
@@ -237,10 +237,10 @@
 
 
 def test_what_the_disk_held_is_used_at_once_and_said_in_the_hello() -> None:
-    first = Bench()
+    first = NodeHarness()
     first.receive(offer(2))
     stored = first.core.holder.snapshot
-    bench = Bench(memory=NodeMemory(2, floor=2, snapshot=stored))
+    bench = NodeHarness(memory=NodeMemory(2, floor=2, snapshot=stored))
     (hello,) = bench.sent(NodeHello)
     assert (hello.version, hello.digest, hello.floor) == (2, digest_of(2), 2)
     bench.receive(Current(5, START_MILLISECONDS, digest_of(2)))
@@ -248,10 +248,10 @@
 
 
 def test_an_answer_to_a_hello_counts_for_what_the_hello_named() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(2))
     bench.receive(Goodbye("stopping"))
-    bench.give(events.TimerFired("relay.connect"))
+    bench.dispatch(events.TimerFired("relay.connect"))
     other = bench.open_candidate()
     bench.receive(offer(3, base=2))
     bench.receive(Current(4, START_MILLISECONDS, digest_of(2)), other)
@@ -262,22 +262,22 @@
 
 
 def test_an_answer_to_a_hello_is_acknowledged_with_what_is_held_now() -> None:
-    first = Bench()
+    first = NodeHarness()
     first.receive(offer(2))
-    bench = Bench(memory=NodeMemory(2, floor=2, snapshot=first.core.holder.snapshot))
+    bench = NodeHarness(memory=NodeMemory(2, floor=2, snapshot=first.core.holder.snapshot))
     bench.receive(Current(4, START_MILLISECONDS, digest_of(2)))
     assert bench.sent(UpdateApplied) == [UpdateApplied(4, digest_of(2))]
 
 
 def test_a_relay_whose_endpoints_cannot_be_read_is_left() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(1))
     bench.receive(EndpointsPacked(b"not packed"))
     assert bench.only(CloseLink).reason == "undecodable endpoints"
 
 
 def test_what_waited_in_a_socket_while_the_node_stood_still_confirms_nothing() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(1))
     confirmed_at = bench.core.confirmed_at
     assert confirmed_at > 0.0
@@ -290,24 +290,24 @@
 
 
 def test_an_offer_confirms_nothing_before_it_is_used() -> None:
-    """Else a node back from a long silence refuses tokens by keys of long ago."""
-    bench = Bench(data_folder="data")
+    """Otherwise a node long out of contact would reject tokens by outdated keys."""
+    bench = NodeHarness(data_folder="data")
     bench.receive(offer(1))
     assert bench.core.confirmed_at == -math.inf
     token = bench.only(PersistSnapshot).token
     bench.now += 1.0
     bench.receive(Freshness(1, START_MILLISECONDS + 900, digest_of(1)))
     assert bench.core.confirmed_at == -math.inf
-    bench.give(events.RecordsPersisted(token))
+    bench.dispatch(events.RecordsPersisted(token))
     assert bench.core.confirmed_at == 100.0
 
 
 def test_heartbeats_confirm_only_what_relay_and_node_agree_on() -> None:
-    """The relay may hold an update back, and says so to nobody."""
-    held = Bench()
+    """A relay may hold an update back without reporting it."""
+    held = NodeHarness()
     held.receive(offer(1))
     memory = NodeMemory(2, floor=1, snapshot=held.core.holder.snapshot)
-    bench = Bench(memory=memory)
+    bench = NodeHarness(memory=memory)
     bench.receive(Freshness(1, START_MILLISECONDS, 0))
     assert bench.core.confirmed_at == -math.inf
     bench.receive(Freshness(1, START_MILLISECONDS, digest_of(2)))
@@ -320,7 +320,7 @@
 
 
 def test_what_a_heartbeat_waited_on_its_way_is_not_counted_as_fresh() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(1))
     bench.now += 1.2
     bench.receive(Freshness(1, START_MILLISECONDS + 300, digest_of(1)))
@@ -330,10 +330,10 @@
 
 
 def test_a_refused_offer_ends_the_agreement() -> None:
-    held = Bench()
+    held = NodeHarness()
     held.receive(offer(1))
     memory = NodeMemory(2, floor=3, snapshot=held.core.holder.snapshot)
-    bench = Bench(memory=memory)
+    bench = NodeHarness(memory=memory)
     bench.receive(Current(1, START_MILLISECONDS, digest_of(1)))
     agreed_at = bench.core.confirmed_at
     bench.now += 1.0
@@ -344,46 +344,46 @@
 
 
 def test_after_a_long_cut_a_node_is_back_soon_after_its_relays_are_reached() -> None:
-    bench = Bench(reconnect_milliseconds=250)
+    bench = NodeHarness(reconnect_milliseconds=250)
     bench.receive(offer(1))
     waits: list[float] = []
     for _ in range(60):
         timers = [each for each in bench.out if isinstance(each, SetTimer)]
         waits += [each.delay_seconds for each in timers if each.timer == CONNECT_TIMER]
         bench.now += 0.25
-        bench.give(events.TimerFired(WATCH_TIMER))
+        bench.dispatch(events.TimerFired(WATCH_TIMER))
         if any(each.timer == CONNECT_TIMER for each in timers):
-            bench.give(events.TimerFired(CONNECT_TIMER))
+            bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert len(waits) >= 8
     assert max(waits) <= 0.25
 
 
-def without_relay() -> Bench:
-    """Give a node whose first relay is gone and which dials the other."""
-    bench = Bench(reconnect_milliseconds=250)
-    bench.give(events.LinkClosed(1, "connection refused"))
-    bench.give(events.TimerFired(CONNECT_TIMER))
+def without_relay() -> NodeHarness:
+    """Return a node that lost its first relay and is dialling the other."""
+    bench = NodeHarness(reconnect_milliseconds=250)
+    bench.dispatch(events.LinkClosed(1, "connection refused"))
+    bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert bench.has(OpenLink)
     return bench
 
 
-def watch_until_given_up(bench: Bench) -> float:
-    """Let time pass until a link that does not open is given up; give the seconds."""
+def watch_until_given_up(bench: NodeHarness) -> float:
+    """Advance time until the link in progress is given up; return the seconds."""
     began = bench.now
     while not bench.has(CloseLink):
         assert bench.now < began + 5.0
         timers = [each for each in bench.out if isinstance(each, SetTimer)]
         waits = [each.delay_seconds for each in timers if each.timer == WATCH_TIMER]
         bench.now += waits[0] if waits else 0.05
-        bench.give(events.TimerFired(WATCH_TIMER))
+        bench.dispatch(events.TimerFired(WATCH_TIMER))
     return bench.now - began
 
 
 def test_without_a_relay_a_machine_that_says_nothing_is_soon_passed_over() -> None:
-    """A machine without power answers no dial; the next relay may be there."""
+    """A machine without power never answers; the next relay may be available."""
     bench = without_relay()
     assert watch_until_given_up(bench) <= 0.5
-    bench.give(events.TimerFired(CONNECT_TIMER))
+    bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert bench.has(OpenLink)
 
 
@@ -392,7 +392,7 @@
     given = []
     for _ in range(4):
         given.append(watch_until_given_up(bench))
-        bench.give(events.TimerFired(CONNECT_TIMER))
+        bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert given[0] < given[-1]
     assert 0.9 <= given[-1] <= 1.5
 
@@ -403,19 +403,19 @@
     for _ in range(4):
         bench.open_candidate()
         given.append(watch_until_given_up(bench))
-        bench.give(events.TimerFired(CONNECT_TIMER))
+        bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert given[0] <= 0.7
     assert given[-1] >= LONGEST_ANSWER_SECONDS
 
 
 def test_with_a_relay_in_use_another_is_given_its_full_time() -> None:
-    bench = Bench()
+    bench = NodeHarness()
     bench.receive(offer(1))
     bench.receive(Goodbye("stopping"))
-    bench.give(events.TimerFired(CONNECT_TIMER))
+    bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert bench.has(OpenLink)
     bench.now += 0.5
-    bench.give(events.TimerFired(WATCH_TIMER))
+    bench.dispatch(events.TimerFired(WATCH_TIMER))
     assert not bench.has(CloseLink)
 
 
@@ -423,5 +423,5 @@
     bench = without_relay()
     for _ in range(1_100):
         watch_until_given_up(bench)
-        bench.give(events.TimerFired(CONNECT_TIMER))
+        bench.dispatch(events.TimerFired(CONNECT_TIMER))
     assert bench.has(OpenLink)
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -1,4 +1,4 @@
-"""A node as a process: what its shell binds together."""
+"""A node as a complete process: TLS, metrics and planned stop."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def host() -> Iterator[str]:
-    """An address of this test's own: no other test's connection takes its ports."""
+    """Address used only by this test, so that no other test occupies its ports."""
     block = AddressBlock()
     yield block.next_host()
     block.close()
@@ -66,7 +66,7 @@
 
 
 async def greet_internal(settings: NodeSettings, context: ssl.SSLContext) -> str:
-    """Give the TLS version spoken with the node's listener for other nodes."""
+    """Return the TLS version negotiated with the node's listener for other nodes."""
     host, _, port = settings.internal_listen.rpartition(":")
     _, writer = await asyncio.open_connection(
         host, int(port), ssl=context, server_hostname=""
@@ -77,7 +77,7 @@
 
 
 async def ready_or_ended(ready: asyncio.Event, node: asyncio.Task[None]) -> None:
-    """Wait until the node serves; a node that ends before says why at once."""
+    """Wait until the node is ready; if it exits before that, raise its error."""
     waiting = asyncio.create_task(ready.wait())
     await asyncio.wait((waiting, node), return_when=asyncio.FIRST_COMPLETED)
     waiting.cancel()
--- a/tests/node/test_node_storage.py
+++ b/tests/node/test_node_storage.py
@@ -1,4 +1,4 @@
-"""The node's file: whole or not there, and refused when damaged or newer."""
+"""The node's state file: written atomically; refused if damaged or of a newer format."""
 
 from __future__ import annotations
 
--- a/tests/node/test_reborn_back_ends.py
+++ b/tests/node/test_reborn_back_ends.py
@@ -1,10 +1,11 @@
-"""A back end that starts again under its own name is another life of it.
-
-Seen: after a life of 19 heartbeats the same back end began anew with its first one; for
-30 s it was not heard, and after a word of its end it stayed leaving for good.
-How it came about: reports counted by the name alone, each above the one before.
-Cause: a name does not tell two lives apart; the moment of birth does.
-Proof: the same reports with a name of their own were taken at once.
+"""A back end that restarts under the same name is a new incarnation.
+
+These tests guard against a fault in which a node ignored a restarted back end. After 19
+heartbeats the back end restarted and numbered its heartbeats from 1 again. Its reports
+were ignored for 30 s, and after a termination report it remained leaving permanently.
+The node identified reports by the instance name alone and required each sequence number
+to exceed the previous one. The start time tells two incarnations of the same name apart:
+the same reports under a new name were accepted immediately.
 """
 
 from __future__ import annotations
@@ -60,52 +61,52 @@
 def test_a_life_born_later_is_heard_from_its_first_word_on() -> None:
     known = reports()
     for sequence in range(1, 20):
-        known.take(report(FIRST, sequence), sequence)
-    assert known.take(report(SECOND, 1), 20.0)
+        known.apply(report(FIRST, sequence), sequence)
+    assert known.apply(report(SECOND, 1), 20.0)
     assert known.view.life.name == f"i1@{SECOND}"
     assert known.view.state == "ready"
 
 
 def test_a_leaving_is_forgotten_with_its_life() -> None:
     known = reports()
-    known.take(report(FIRST, 1), 0.0)
-    assert known.left("i1")
-    assert known.take(report(SECOND, 1), 1.0)
+    known.apply(report(FIRST, 1), 0.0)
+    assert known.mark_leaving("i1")
+    assert known.apply(report(SECOND, 1), 1.0)
     assert known.view.state == "ready"
 
 
 @pytest.mark.parametrize("late", [report(FIRST, 30), report(FIRST, 31, is_leaving=True)])
 def test_a_late_word_of_the_life_before_changes_nothing(late: BackEndReport) -> None:
     known = reports()
-    known.take(report(FIRST, 1), 0.0)
-    known.take(report(SECOND, 1), 1.0)
-    assert not known.take(late, 1.1)
-    assert not known.left("i1", FIRST)
+    known.apply(report(FIRST, 1), 0.0)
+    known.apply(report(SECOND, 1), 1.0)
+    assert not known.apply(late, 1.1)
+    assert not known.mark_leaving("i1", FIRST)
     assert (known.view.born, known.view.state) == (SECOND, "ready")
 
 
 def test_a_name_may_come_back_after_another_one() -> None:
     known = reports()
-    known.take(report(FIRST, 1), 0.0)
-    known.take(report(FIRST + 1, 1, name="i2"), 1.0)
-    assert known.take(report(SECOND, 1), 2.0)
+    known.apply(report(FIRST, 1), 0.0)
+    known.apply(report(FIRST + 1, 1, name="i2"), 1.0)
+    assert known.apply(report(SECOND, 1), 2.0)
     assert known.view.life.name == f"i1@{SECOND}"
 
 
 def test_the_end_of_the_present_life_binds_with_and_without_its_birth() -> None:
     for born in (0, SECOND):
         known = reports()
-        known.take(report(SECOND, 1), 0.0)
-        assert known.left("i1", born)
-        assert not known.take(report(SECOND, 2), 0.1)
+        known.apply(report(SECOND, 1), 0.0)
+        assert known.mark_leaving("i1", born)
+        assert not known.apply(report(SECOND, 2), 0.1)
         assert known.view.state == "leaving"
 
 
 def test_one_without_a_birth_goes_by_its_name_alone() -> None:
     known = reports()
-    known.take(report(0, 9), 0.0)
-    assert not known.take(report(0, 1), 1.0)
-    assert known.take(report(0, 1, name="i2"), 2.0)
+    known.apply(report(0, 9), 0.0)
+    assert not known.apply(report(0, 1), 1.0)
+    assert known.apply(report(0, 1, name="i2"), 2.0)
 
 
 def _core() -> NodeCore:
@@ -119,7 +120,7 @@
 
 
 def test_a_node_that_started_anew_learns_from_others_which_life_is_the_latest() -> None:
-    """A late heartbeat may be the first that it hears."""
+    """The first heartbeat that it receives may be a late one of an earlier incarnation."""
     core = _core()
     core.step(BackEndReported(report(FIRST, 30)), 1.0)
     core._reports.overtaken(SECOND)  # noqa: SLF001
@@ -166,7 +167,7 @@
     assert second.incarnation > first.incarnation
 
 
-# --- words that can't be used
+# --- invalid reports
 
 
 def body(**changes: object) -> bytes:
@@ -261,12 +262,12 @@
 
 def test_a_flood_of_unusable_words_has_few_lines() -> None:
     core = _core()
-    told = []
+    logged = []
     for number in range(100):
         for command in core.step(BackEndReportRefused("x" * 1_000), 1.0 + number * 0.01):
             if isinstance(command, commands.Report):
-                told.append(command.notice)
-    assert told == [BackEndReportNotUsed("x" * 200, 1)]
+                logged.append(command.notice)
+    assert logged == [BackEndReportNotUsed("x" * 200, 1)]
 
 
 def test_a_word_of_the_end_may_tell_the_birth() -> None:
