--- a/src/peppershore/process/hub/configuration_api.py
+++ b/src/peppershore/process/hub/configuration_api.py
@@ -1,8 +1,8 @@
 """The operators' HTTP interface to complete configurations.
 
 ``PUT /configuration`` submits one: 200 accepted, 412 another release is in place, 400
-invalid, 503 undecided (retry). ``GET /configuration`` returns the newest one confirmed by
-a quorum, or 503.
+invalid, 503 undecided (retry). ``GET /configuration`` returns the newest one, confirmed
+by a quorum, or 503.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -65,7 +65,7 @@
 class RouteFigures(msgspec.Struct, frozen=True):
     """Statistics of both versions on a route ("" for all routes together).
 
-    ``reason`` says what is worse with the new version.
+    ``reason`` states the evidence against the new version.
     """
 
     route: str
@@ -124,7 +124,7 @@
         match request.path.strip("/").split("/"):
             case [root] if root == ROOT:
                 if request.method not in ("POST", "PUT"):
-                    return _error(METHOD_NOT_ALLOWED, "use POST to order a roll-out")
+                    return _error(METHOD_NOT_ALLOWED, "POST an order")
                 return await self._order(number, request.body)
             case [root, service] if root == ROOT:
                 if request.method != "GET":
@@ -192,7 +192,7 @@
             body = StateBody(rollout.state, rollout.version)
             return ServiceAnswer(OK, msgspec.json.encode(body), JSON)
         case RolloutUnderWay(target_version=version):
-            return _error(CONFLICT, f"the roll-out of version {version} is in progress")
+            return _error(CONFLICT, f"that of {version} is under way")
         case RolloutRefused(problem=problem):
             error = RolloutError(f"{problem.subject} {problem.reason}", problem.allowed)
             return ServiceAnswer(BAD_REQUEST, msgspec.json.encode(error), JSON)
--- a/src/peppershore/process/hub/shell.py
+++ b/src/peppershore/process/hub/shell.py
@@ -33,7 +33,7 @@
 from peppershore.process.shell import Shell
 
 MEMBERS_SECONDS = 0.2
-"""Interval between checks for a changed list of hubs, which the relay then receives."""
+"""Interval between checks of the list of hubs; a changed list is sent to the relay."""
 
 CLOCK_SECONDS = 1.0
 NANOSECONDS_PER_MILLISECOND = 1_000_000
--- a/src/peppershore/process/node/back_end_api.py
+++ b/src/peppershore/process/node/back_end_api.py
@@ -106,7 +106,7 @@
         if what == "gone":
             return self._respond(read_leaving(instance, request.body))
         if what != "heartbeat":
-            return _error(NOT_FOUND, "the path must end in heartbeat or gone")
+            return _error(NOT_FOUND, "heartbeat or gone")
         return self._respond(read_heartbeat(instance, request.body))
 
     def _respond(self, read: Result[Event, str]) -> ServiceAnswer:
@@ -125,13 +125,13 @@
     except _UNREADABLE as problem:
         return Failure(str(problem))
     if not INSTANCE_PATTERN.fullmatch(instance):
-        return Failure("the instance must be 1 to 128 visible ASCII characters")
+        return Failure("the instance is no name of 1 to 128 visible characters")
     if heartbeat.state not in READY_STATES | LEAVING_STATES:
-        return Failure("the state must be one of ready, draining, leaving")
+        return Failure("the state is none of ready, draining, leaving")
     if not VERSION_PATTERN.fullmatch(heartbeat.version):
-        return Failure("the version must be at most 64 visible ASCII characters")
+        return Failure("the version is no name of at most 64 visible characters")
     if _is_far_in_future(heartbeat.born):
-        return Failure("born is more than a day in the future")
+        return Failure("born lies more than a day ahead")
     report = BackEndReport(
         instance=instance,
         service=heartbeat.service,
@@ -149,7 +149,7 @@
 def read_leaving(instance: str, body: bytes) -> Result[Event, str]:
     """Return the event for a termination report, or why the report is invalid."""
     if not INSTANCE_PATTERN.fullmatch(instance):
-        return Failure("the instance must be 1 to 128 visible ASCII characters")
+        return Failure("the instance is no name of 1 to 128 visible characters")
     if not body.strip():
         return Success(BackEndLeft(instance))
     try:
--- a/src/peppershore/process/node/commands.py
+++ b/src/peppershore/process/node/commands.py
@@ -42,7 +42,7 @@
 
 
 class DrainBackend(Command, frozen=True):
-    """Stop accepting new work, finish calls in flight; ``BackendDrained`` answers it."""
+    """Stop accepting new work and finish calls in flight; ``BackendDrained`` follows."""
 
 
 class BackEndViewed(Command, frozen=True):
--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -165,9 +165,9 @@
     def confirmed_at(self) -> float:
         """When a quorum last confirmed the snapshot in use; -inf for never.
 
-        The time is in monotonic seconds of this node. Messages that waited in a socket
-        while the process was suspended do not count: the age that they state is from when
-        they were sent.
+        The time is in monotonic seconds of this node. A message that waited in a socket
+        while the process was suspended does not make it look recent, because the age of
+        its confirmation counts from when it was sent.
         """
         return self._confirmed_at
 
@@ -205,9 +205,10 @@
             case QuotaWanted():
                 self._request_quota(event.ask)
             case _:
-                self._handle_back_end_event(event)
+                self._handle_other_event(event)
 
-    def _handle_back_end_event(self, event: events.Event) -> None:
+    def _handle_other_event(self, event: events.Event) -> None:
+        """Handle reports of the local back end, its evidence, and changed seeds."""
         match event:
             case BackEndReported():
                 self._view_changed(self._reports.apply(event.report, self._now))
@@ -222,7 +223,7 @@
             case NodeSeedsChanged():
                 self.sessions.use_seeds(event.relays)
             case _:
-                raise AssertionError(f"a node takes no {type(event).__name__}")
+                raise AssertionError(f"a node core does not handle {type(event).__name__}")
 
     def _send_evidence(self, event: EvidenceGathered) -> None:
         """Send evidence to the relay in use.
@@ -511,8 +512,8 @@
                 self._view_changed(self._reports.overtaken(endpoint.born))
                 if self._own.raise_incarnation_above(endpoint):
                     self._announce()
-        is_heeded = self.sessions.active in (None, session)
-        if is_heeded and self.known.take(message):
+        is_accepted = self.sessions.active in (None, session)
+        if is_accepted and self.known.take(message):
             self._swap_endpoints()
 
     def _compare_endpoints(self, session: RelaySession, message: EndpointsHeld) -> None:
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -60,7 +60,8 @@
 UNRESTRICTED_DRAIN_SHARE = 0.5
 """Share of a planned stop's time limit in which every call is accepted.
 
-After it only calls are accepted whose deadline is before the end of the time limit.
+After it only calls are accepted that are certain to end within the time limit, because
+their deadline lies before its end.
 """
 
 MILLISECONDS = 1_000
@@ -164,7 +165,7 @@
         self.calls.use_endpoints(endpoints)
 
     def use_claims(self, claims: ClaimsClient) -> None:
-        """Record a claim before a call with an idempotency key is sent to a back end."""
+        """Record claims with this client before calls with an idempotency key are sent."""
         self.calls.claims.client = CheckedClaims(claims)
 
     def use_back_end(self, view: BackEndView) -> None:
@@ -371,7 +372,7 @@
             self._own.refuse_not_there(life)
 
     def _longest_call_seconds(self) -> float:
-        """Return the longest time-out of a call that another node may send directly."""
+        """Return the longest time-out of calls from other nodes to the local back end."""
         active = self.calls.configuration
         if active is None:
             return LONGEST_CALL_SECONDS
--- a/src/peppershore/process/node/inputs.py
+++ b/src/peppershore/process/node/inputs.py
@@ -27,7 +27,7 @@
 
 
 class BackEndLeft(Event, frozen=True):
-    """An incarnation of the local back end reported that it terminates."""
+    """An incarnation of the local back end reported that it is terminating."""
 
     instance: str
     born: int = START_UNKNOWN
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -21,9 +21,10 @@
     def record_outcome(
         self, event: BackEndEnded | SuspectEndedWell, relay: LinkId | None, now: float
     ) -> list[Command]:
-        """Record what the local back end showed; ``relay`` is the link to the one in use.
+        """Record requests suspected after a crash, or a suspected one that was answered.
 
-        Return the commands that pass new records on.
+        ``relay`` is the link to the relay in use, None if there is none. Return the
+        commands that pass new records on.
         """
         if isinstance(event, BackEndEnded):
             under = event.under
--- a/src/peppershore/process/node/relay_choice.py
+++ b/src/peppershore/process/node/relay_choice.py
@@ -35,7 +35,7 @@
         self._ranked = self._rank()
 
     def use_listed(self, listed: tuple[PeerRelay, ...]) -> None:
-        """Replace the relays listed by a relay; they rank above those of the settings."""
+        """Use the relays that a relay has listed; they rank above those of the settings."""
         self._listed = listed
         self._ranked = self._rank()
 
@@ -63,7 +63,7 @@
         return min(others, key=lambda relay: self._avoid_until[relay.name])
 
     def better_than(self, name: str, now: float) -> PeerRelay | None:
-        """Return a relay that ranks above ``name`` and is not avoided; None without any."""
+        """Return the best relay above ``name`` that is not avoided; None without one."""
         for relay in self._ranked:
             if relay.name == name:
                 return None
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -45,10 +45,10 @@
 FIRST_OPENING_SECONDS = 0.2
 """First time-out for opening a link while there is no relay, or only a stale one.
 
-It is short because another relay may be available immediately. For distant relays it
-doubles after each consecutive link that is given up, up to ``OPENING_SECONDS``.
+It is short because another relay may be available immediately. It doubles after each
+consecutive link that is given up, up to ``OPENING_SECONDS``, for relays that are far away.
 """
-ANSWER_SHARE = 2.5
+ANSWER_TIMEOUT_FACTOR = 2.5
 """Time-out for a relay's answer to the hello, as a multiple of that for opening a link.
 
 It applies while there is no usable relay, and is 0.5 s at first. The answer is short but
@@ -58,10 +58,10 @@
 STALE_SHARE = 0.6
 """Age from which a confirmation is stale, as a share of ``apply_milliseconds``.
 
-A smaller share speeds up changes but causes more futile dials when a leader is lost. With
-both relays of a zone without a quorum and a limit of 2 s, a node uses a change after at
-most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). When a leader is lost, 12 nodes dial in
-vain 8 times (16 with 0.45, 3 with 0.8).
+A smaller share brings changes into use sooner but causes more futile dials. In simulations
+(8 seeds) with both relays of a zone without a quorum and a limit of 2 s, a node uses a
+change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). The counts of futile dials
+with 12 nodes when a leader is lost are 8 (16 with 0.45, 3 with 0.8).
 """
 SEARCH_SPREAD_SECONDS = 0.1
 """Nodes of a stale relay spread the start of their search over this time."""
@@ -88,7 +88,10 @@
     confirmed_at: float = -math.inf
     """When a quorum last confirmed the relay's version, by this node's clock."""
     is_cut_off: bool = False
-    """Whether the relay reported that it is cut off, without a newer confirmation since."""
+    """Whether the relay reported that it is cut off from the control replicas.
+
+    It reports this when other relays are fresher. A newer confirmation resets the flag.
+    """
 
     def record_confirmation(self, at_milliseconds: int | None) -> None:
         """Record the time of the relay's latest confirmation, if it is a newer one."""
@@ -223,7 +226,10 @@
         return out
 
     def goodbye(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Look for a replacement of a relay that will stop or is cut off from a quorum."""
+        """Look for a replacement of a relay that will stop or is cut off.
+
+        The relay remains in use until another one has answered.
+        """
         if session is self.candidate:
             return self.drop(session, "goodbye", now)
         if reason == CUT_OFF:
@@ -344,8 +350,8 @@
         """Return the time-out in seconds for a link to open, or for a relay's answer."""
         if self.active is not None and not self._is_stale(self.active, now):
             return self._silence_seconds if session.is_open else OPENING_SECONDS
-        share = ANSWER_SHARE if session.is_open else 1.0
-        return share * self._short_opening_seconds
+        factor = ANSWER_TIMEOUT_FACTOR if session.is_open else 1.0
+        return factor * self._short_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
         """Return whether the relay is cut off or was last confirmed too long ago."""
--- a/src/peppershore/process/node/shell.py
+++ b/src/peppershore/process/node/shell.py
@@ -59,10 +59,10 @@
 """Time to send the last announcement before the links are closed."""
 
 EXIT_SECONDS = 0.5
-"""Maximum time that a process needs to exit after its drain."""
+"""Time reserved for the process to exit after its drain."""
 
 CLAIMS_STORED_SECONDS = 2.0
-"""Time limit for the last results and releases to be stored by the claims group."""
+"""Time limit for the last results and releases to reach the claims group's disks."""
 
 
 class StoredStateUnusable(Notice, frozen=True):
--- a/tests/node/test_node_core.py
+++ b/tests/node/test_node_core.py
@@ -141,98 +141,98 @@
 
 
 def test_the_hello_says_what_is_held() -> None:
-    bench = NodeHarness(memory=NodeMemory(1, floor=7))
-    (hello,) = bench.sent(NodeHello)
+    harness = NodeHarness(memory=NodeMemory(1, floor=7))
+    (hello,) = harness.sent(NodeHello)
     assert (hello.version, hello.digest, hello.floor) == (0, 0, 7)
 
 
 def test_a_node_without_memory_refuses_what_was_confirmed_before_its_hello() -> None:
-    bench = NodeHarness()
-    bench.now += 0.5
-    bench.receive(offer(1, confirmed_at=START_MILLISECONDS - 200))
-    assert [each.reason for each in bench.sent(UpdateRefused)] == ["unconfirmed"]
-    assert bench.core.holder.holds_nothing
-    bench.receive(offer(1, confirmed_at=START_MILLISECONDS + 100))
-    assert bench.sent(UpdateApplied) == [UpdateApplied(1, digest_of(1))]
+    harness = NodeHarness()
+    harness.now += 0.5
+    harness.receive(offer(1, confirmed_at=START_MILLISECONDS - 200))
+    assert [each.reason for each in harness.sent(UpdateRefused)] == ["unconfirmed"]
+    assert harness.core.holder.holds_nothing
+    harness.receive(offer(1, confirmed_at=START_MILLISECONDS + 100))
+    assert harness.sent(UpdateApplied) == [UpdateApplied(1, digest_of(1))]
 
 
 def test_a_node_with_a_floor_takes_unconfirmed_versions_at_or_above_it() -> None:
-    bench = NodeHarness(memory=NodeMemory(1, floor=2))
-    bench.receive(offer(1, confirmed_at=None))
-    assert [each.reason for each in bench.sent(UpdateRefused)] == ["below-floor"]
-    bench.receive(offer(2, confirmed_at=None))
-    assert bench.core.holder.snapshot.version == 2
+    harness = NodeHarness(memory=NodeMemory(1, floor=2))
+    harness.receive(offer(1, confirmed_at=None))
+    assert [each.reason for each in harness.sent(UpdateRefused)] == ["below-floor"]
+    harness.receive(offer(2, confirmed_at=None))
+    assert harness.core.holder.snapshot.version == 2
 
 
 def test_an_older_version_on_any_link_is_answered_with_what_is_held() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(3))
-    bench.receive(offer(2))
-    assert bench.sent(UpdateApplied) == [UpdateApplied(3, digest_of(3))]
-    assert not bench.has(ConfigurationSwapped)
+    harness = NodeHarness()
+    harness.receive(offer(3))
+    harness.receive(offer(2))
+    assert harness.sent(UpdateApplied) == [UpdateApplied(3, digest_of(3))]
+    assert not harness.has(ConfigurationSwapped)
 
 
 @pytest.mark.parametrize("packed", [b"", b"garbage", offer(1).packed_update[:-3]])
 def test_an_undecodable_update_ends_the_link_and_changes_nothing(packed: bytes) -> None:
-    bench = NodeHarness()
-    bench.receive(UpdateOffered(packed, 0))
-    assert bench.has(CloseLink)
-    assert bench.core.holder.holds_nothing
+    harness = NodeHarness()
+    harness.receive(UpdateOffered(packed, 0))
+    assert harness.has(CloseLink)
+    assert harness.core.holder.holds_nothing
 
 
 def test_a_version_is_used_only_once_it_is_on_disk() -> None:
-    bench = NodeHarness(data_folder="somewhere")
-    bench.receive(offer(1))
-    token = bench.only(PersistSnapshot).token
-    assert not bench.has(ConfigurationSwapped)
-    assert not bench.sent(UpdateApplied)
-    bench.dispatch(events.RecordsPersisted(token))
-    assert bench.only(ConfigurationSwapped).active.version == 1
-    assert bench.sent(UpdateApplied) == [UpdateApplied(1, digest_of(1))]
+    harness = NodeHarness(data_folder="somewhere")
+    harness.receive(offer(1))
+    token = harness.only(PersistSnapshot).token
+    assert not harness.has(ConfigurationSwapped)
+    assert not harness.sent(UpdateApplied)
+    harness.dispatch(events.RecordsPersisted(token))
+    assert harness.only(ConfigurationSwapped).active.version == 1
+    assert harness.sent(UpdateApplied) == [UpdateApplied(1, digest_of(1))]
 
 
 def test_a_version_the_disk_refuses_is_not_used_and_tried_again() -> None:
-    bench = NodeHarness(data_folder="somewhere")
-    bench.receive(offer(1))
-    token = bench.only(PersistSnapshot).token
-    bench.dispatch(events.RecordsFailed(token, "disk full"))
-    assert bench.core.holder.holds_nothing
-    bench.dispatch(events.TimerFired("node.persist"))
-    again = bench.only(PersistSnapshot).token
+    harness = NodeHarness(data_folder="somewhere")
+    harness.receive(offer(1))
+    token = harness.only(PersistSnapshot).token
+    harness.dispatch(events.RecordsFailed(token, "disk full"))
+    assert harness.core.holder.holds_nothing
+    harness.dispatch(events.TimerFired("node.persist"))
+    again = harness.only(PersistSnapshot).token
     assert again != token
-    bench.dispatch(events.RecordsPersisted(token))
-    assert bench.core.holder.holds_nothing
-    bench.dispatch(events.RecordsPersisted(again))
-    assert bench.core.holder.snapshot.version == 1
+    harness.dispatch(events.RecordsPersisted(token))
+    assert harness.core.holder.holds_nothing
+    harness.dispatch(events.RecordsPersisted(again))
+    assert harness.core.holder.snapshot.version == 1
 
 
 def test_a_heartbeat_raises_the_version_in_effect_and_is_answered() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(1))
-    bench.now += 0.25
-    bench.receive(Freshness(9, START_MILLISECONDS + 100, digest_of(1)))
-    assert bench.core.holder.effective_version == 9
-    assert bench.core.confirmed_at == 100.1
-    assert bench.sent(NodeAlive) == [NodeAlive(9, START_MILLISECONDS + 250)]
+    harness = NodeHarness()
+    harness.receive(offer(1))
+    harness.now += 0.25
+    harness.receive(Freshness(9, START_MILLISECONDS + 100, digest_of(1)))
+    assert harness.core.holder.effective_version == 9
+    assert harness.core.confirmed_at == 100.1
+    assert harness.sent(NodeAlive) == [NodeAlive(9, START_MILLISECONDS + 250)]
 
 
 def test_a_heartbeat_raises_nothing_while_a_version_is_being_stored() -> None:
-    bench = NodeHarness(data_folder="somewhere")
-    bench.receive(offer(1))
-    bench.dispatch(events.RecordsPersisted(bench.only(PersistSnapshot).token))
-    bench.receive(offer(2, base=1))
-    token = bench.only(PersistSnapshot).token
-    bench.receive(Freshness(9, START_MILLISECONDS, digest_of(1)))
-    assert bench.core.holder.effective_version == 1
-    bench.dispatch(events.RecordsPersisted(token))
-    assert bench.core.holder.effective_version == 2
+    harness = NodeHarness(data_folder="somewhere")
+    harness.receive(offer(1))
+    harness.dispatch(events.RecordsPersisted(harness.only(PersistSnapshot).token))
+    harness.receive(offer(2, base=1))
+    token = harness.only(PersistSnapshot).token
+    harness.receive(Freshness(9, START_MILLISECONDS, digest_of(1)))
+    assert harness.core.holder.effective_version == 1
+    harness.dispatch(events.RecordsPersisted(token))
+    assert harness.core.holder.effective_version == 2
 
 
 def test_a_deferred_hello_comes_back_within_the_time_the_relay_gave() -> None:
-    bench = NodeHarness()
-    bench.receive(RetryAfter(4_000))
-    assert bench.has(CloseLink)
-    (timer,) = [each for each in bench.out if hasattr(each, "delay_seconds")]
+    harness = NodeHarness()
+    harness.receive(RetryAfter(4_000))
+    assert harness.has(CloseLink)
+    (timer,) = [each for each in harness.out if hasattr(each, "delay_seconds")]
     assert 0 <= timer.delay_seconds <= 4.0
 
 
@@ -240,50 +240,52 @@
     first = NodeHarness()
     first.receive(offer(2))
     stored = first.core.holder.snapshot
-    bench = NodeHarness(memory=NodeMemory(2, floor=2, snapshot=stored))
-    (hello,) = bench.sent(NodeHello)
+    harness = NodeHarness(memory=NodeMemory(2, floor=2, snapshot=stored))
+    (hello,) = harness.sent(NodeHello)
     assert (hello.version, hello.digest, hello.floor) == (2, digest_of(2), 2)
-    bench.receive(Current(5, START_MILLISECONDS, digest_of(2)))
-    assert bench.core.holder.effective_version == 5
+    harness.receive(Current(5, START_MILLISECONDS, digest_of(2)))
+    assert harness.core.holder.effective_version == 5
 
 
 def test_an_answer_to_a_hello_counts_for_what_the_hello_named() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(2))
-    bench.receive(Goodbye("stopping"))
-    bench.dispatch(events.TimerFired("relay.connect"))
-    other = bench.open_candidate()
-    bench.receive(offer(3, base=2))
-    bench.receive(Current(4, START_MILLISECONDS, digest_of(2)), other)
-    assert bench.core.holder.effective_version == 3
-    assert bench.sent(UpdateApplied) == [UpdateApplied(3, digest_of(3))]
-    bench.receive(Freshness(4, START_MILLISECONDS, digest_of(2)), other)
-    assert bench.core.holder.effective_version == 3
+    harness = NodeHarness()
+    harness.receive(offer(2))
+    harness.receive(Goodbye("stopping"))
+    harness.dispatch(events.TimerFired("relay.connect"))
+    other = harness.open_candidate()
+    harness.receive(offer(3, base=2))
+    harness.receive(Current(4, START_MILLISECONDS, digest_of(2)), other)
+    assert harness.core.holder.effective_version == 3
+    assert harness.sent(UpdateApplied) == [UpdateApplied(3, digest_of(3))]
+    harness.receive(Freshness(4, START_MILLISECONDS, digest_of(2)), other)
+    assert harness.core.holder.effective_version == 3
 
 
 def test_an_answer_to_a_hello_is_acknowledged_with_what_is_held_now() -> None:
     first = NodeHarness()
     first.receive(offer(2))
-    bench = NodeHarness(memory=NodeMemory(2, floor=2, snapshot=first.core.holder.snapshot))
-    bench.receive(Current(4, START_MILLISECONDS, digest_of(2)))
-    assert bench.sent(UpdateApplied) == [UpdateApplied(4, digest_of(2))]
+    harness = NodeHarness(
+        memory=NodeMemory(2, floor=2, snapshot=first.core.holder.snapshot)
+    )
+    harness.receive(Current(4, START_MILLISECONDS, digest_of(2)))
+    assert harness.sent(UpdateApplied) == [UpdateApplied(4, digest_of(2))]
 
 
 def test_a_relay_whose_endpoints_cannot_be_read_is_left() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(1))
-    bench.receive(EndpointsPacked(b"not packed"))
-    assert bench.only(CloseLink).reason == "undecodable endpoints"
+    harness = NodeHarness()
+    harness.receive(offer(1))
+    harness.receive(EndpointsPacked(b"not packed"))
+    assert harness.only(CloseLink).reason == "undecodable endpoints"
 
 
 def test_what_waited_in_a_socket_while_the_node_stood_still_confirms_nothing() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(1))
-    confirmed_at = bench.core.confirmed_at
+    harness = NodeHarness()
+    harness.receive(offer(1))
+    confirmed_at = harness.core.confirmed_at
     assert confirmed_at > 0.0
-    bench.now += 60.0
-    out = bench.receive(Freshness(2, START_MILLISECONDS + 60_000, digest_of(1)))
-    assert bench.core.confirmed_at == confirmed_at
+    harness.now += 60.0
+    out = harness.receive(Freshness(2, START_MILLISECONDS + 60_000, digest_of(1)))
+    assert harness.core.confirmed_at == confirmed_at
     closed = [each for each in out if isinstance(each, CloseLink)]
     opened = [each for each in out if isinstance(each, OpenLink)]
     assert (len(closed), len(opened)) == (1, 1)
@@ -291,15 +293,15 @@
 
 def test_an_offer_confirms_nothing_before_it_is_used() -> None:
     """Otherwise a node long out of contact would reject tokens by outdated keys."""
-    bench = NodeHarness(data_folder="data")
-    bench.receive(offer(1))
-    assert bench.core.confirmed_at == -math.inf
-    token = bench.only(PersistSnapshot).token
-    bench.now += 1.0
-    bench.receive(Freshness(1, START_MILLISECONDS + 900, digest_of(1)))
-    assert bench.core.confirmed_at == -math.inf
-    bench.dispatch(events.RecordsPersisted(token))
-    assert bench.core.confirmed_at == 100.0
+    harness = NodeHarness(data_folder="data")
+    harness.receive(offer(1))
+    assert harness.core.confirmed_at == -math.inf
+    token = harness.only(PersistSnapshot).token
+    harness.now += 1.0
+    harness.receive(Freshness(1, START_MILLISECONDS + 900, digest_of(1)))
+    assert harness.core.confirmed_at == -math.inf
+    harness.dispatch(events.RecordsPersisted(token))
+    assert harness.core.confirmed_at == 100.0
 
 
 def test_heartbeats_confirm_only_what_relay_and_node_agree_on() -> None:
@@ -307,121 +309,121 @@
     held = NodeHarness()
     held.receive(offer(1))
     memory = NodeMemory(2, floor=1, snapshot=held.core.holder.snapshot)
-    bench = NodeHarness(memory=memory)
-    bench.receive(Freshness(1, START_MILLISECONDS, 0))
-    assert bench.core.confirmed_at == -math.inf
-    bench.receive(Freshness(1, START_MILLISECONDS, digest_of(2)))
-    assert bench.core.confirmed_at == -math.inf
-    bench.receive(Current(1, START_MILLISECONDS, digest_of(1)))
-    assert bench.core.confirmed_at == bench.now
-    bench.now += 1.0
-    bench.receive(Freshness(1, START_MILLISECONDS + 750, digest_of(1)))
-    assert bench.core.confirmed_at == bench.now - 0.25
+    harness = NodeHarness(memory=memory)
+    harness.receive(Freshness(1, START_MILLISECONDS, 0))
+    assert harness.core.confirmed_at == -math.inf
+    harness.receive(Freshness(1, START_MILLISECONDS, digest_of(2)))
+    assert harness.core.confirmed_at == -math.inf
+    harness.receive(Current(1, START_MILLISECONDS, digest_of(1)))
+    assert harness.core.confirmed_at == harness.now
+    harness.now += 1.0
+    harness.receive(Freshness(1, START_MILLISECONDS + 750, digest_of(1)))
+    assert harness.core.confirmed_at == harness.now - 0.25
 
 
 def test_what_a_heartbeat_waited_on_its_way_is_not_counted_as_fresh() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(1))
-    bench.now += 1.2
-    bench.receive(Freshness(1, START_MILLISECONDS + 300, digest_of(1)))
-    assert bench.core.confirmed_at == 100.3
-    bench.receive(Freshness(1, None, digest_of(1)))
-    assert bench.core.confirmed_at == 100.3
+    harness = NodeHarness()
+    harness.receive(offer(1))
+    harness.now += 1.2
+    harness.receive(Freshness(1, START_MILLISECONDS + 300, digest_of(1)))
+    assert harness.core.confirmed_at == 100.3
+    harness.receive(Freshness(1, None, digest_of(1)))
+    assert harness.core.confirmed_at == 100.3
 
 
 def test_a_refused_offer_ends_the_agreement() -> None:
     held = NodeHarness()
     held.receive(offer(1))
     memory = NodeMemory(2, floor=3, snapshot=held.core.holder.snapshot)
-    bench = NodeHarness(memory=memory)
-    bench.receive(Current(1, START_MILLISECONDS, digest_of(1)))
-    agreed_at = bench.core.confirmed_at
-    bench.now += 1.0
-    bench.receive(offer(2))
-    assert [each.reason for each in bench.sent(UpdateRefused)] == ["below-floor"]
-    bench.receive(Freshness(1, START_MILLISECONDS + 900, 0))
-    assert bench.core.confirmed_at == agreed_at
+    harness = NodeHarness(memory=memory)
+    harness.receive(Current(1, START_MILLISECONDS, digest_of(1)))
+    agreed_at = harness.core.confirmed_at
+    harness.now += 1.0
+    harness.receive(offer(2))
+    assert [each.reason for each in harness.sent(UpdateRefused)] == ["below-floor"]
+    harness.receive(Freshness(1, START_MILLISECONDS + 900, 0))
+    assert harness.core.confirmed_at == agreed_at
 
 
 def test_after_a_long_cut_a_node_is_back_soon_after_its_relays_are_reached() -> None:
-    bench = NodeHarness(reconnect_milliseconds=250)
-    bench.receive(offer(1))
+    harness = NodeHarness(reconnect_milliseconds=250)
+    harness.receive(offer(1))
     waits: list[float] = []
     for _ in range(60):
-        timers = [each for each in bench.out if isinstance(each, SetTimer)]
+        timers = [each for each in harness.out if isinstance(each, SetTimer)]
         waits += [each.delay_seconds for each in timers if each.timer == CONNECT_TIMER]
-        bench.now += 0.25
-        bench.dispatch(events.TimerFired(WATCH_TIMER))
+        harness.now += 0.25
+        harness.dispatch(events.TimerFired(WATCH_TIMER))
         if any(each.timer == CONNECT_TIMER for each in timers):
-            bench.dispatch(events.TimerFired(CONNECT_TIMER))
+            harness.dispatch(events.TimerFired(CONNECT_TIMER))
     assert len(waits) >= 8
     assert max(waits) <= 0.25
 
 
 def without_relay() -> NodeHarness:
     """Return a node that lost its first relay and is dialling the other."""
-    bench = NodeHarness(reconnect_milliseconds=250)
-    bench.dispatch(events.LinkClosed(1, "connection refused"))
-    bench.dispatch(events.TimerFired(CONNECT_TIMER))
-    assert bench.has(OpenLink)
-    return bench
+    harness = NodeHarness(reconnect_milliseconds=250)
+    harness.dispatch(events.LinkClosed(1, "connection refused"))
+    harness.dispatch(events.TimerFired(CONNECT_TIMER))
+    assert harness.has(OpenLink)
+    return harness
 
 
-def watch_until_given_up(bench: NodeHarness) -> float:
+def watch_until_given_up(harness: NodeHarness) -> float:
     """Advance time until the link in progress is given up; return the seconds."""
-    began = bench.now
-    while not bench.has(CloseLink):
-        assert bench.now < began + 5.0
-        timers = [each for each in bench.out if isinstance(each, SetTimer)]
+    began = harness.now
+    while not harness.has(CloseLink):
+        assert harness.now < began + 5.0
+        timers = [each for each in harness.out if isinstance(each, SetTimer)]
         waits = [each.delay_seconds for each in timers if each.timer == WATCH_TIMER]
-        bench.now += waits[0] if waits else 0.05
-        bench.dispatch(events.TimerFired(WATCH_TIMER))
-    return bench.now - began
+        harness.now += waits[0] if waits else 0.05
+        harness.dispatch(events.TimerFired(WATCH_TIMER))
+    return harness.now - began
 
 
 def test_without_a_relay_a_machine_that_says_nothing_is_soon_passed_over() -> None:
     """A machine without power never answers; the next relay may be available."""
-    bench = without_relay()
-    assert watch_until_given_up(bench) <= 0.5
-    bench.dispatch(events.TimerFired(CONNECT_TIMER))
-    assert bench.has(OpenLink)
+    harness = without_relay()
+    assert watch_until_given_up(harness) <= 0.5
+    harness.dispatch(events.TimerFired(CONNECT_TIMER))
+    assert harness.has(OpenLink)
 
 
 def test_relays_that_are_far_away_are_given_more_time_each_round() -> None:
-    bench = without_relay()
+    harness = without_relay()
     given = []
     for _ in range(4):
-        given.append(watch_until_given_up(bench))
-        bench.dispatch(events.TimerFired(CONNECT_TIMER))
+        given.append(watch_until_given_up(harness))
+        harness.dispatch(events.TimerFired(CONNECT_TIMER))
     assert given[0] < given[-1]
     assert 0.9 <= given[-1] <= 1.5
 
 
 def test_relays_whose_answers_wait_on_a_full_link_are_given_more_time_each_round() -> None:
-    bench = without_relay()
+    harness = without_relay()
     given: list[float] = []
     for _ in range(4):
-        bench.open_candidate()
-        given.append(watch_until_given_up(bench))
-        bench.dispatch(events.TimerFired(CONNECT_TIMER))
+        harness.open_candidate()
+        given.append(watch_until_given_up(harness))
+        harness.dispatch(events.TimerFired(CONNECT_TIMER))
     assert given[0] <= 0.7
     assert given[-1] >= LONGEST_ANSWER_SECONDS
 
 
 def test_with_a_relay_in_use_another_is_given_its_full_time() -> None:
-    bench = NodeHarness()
-    bench.receive(offer(1))
-    bench.receive(Goodbye("stopping"))
-    bench.dispatch(events.TimerFired(CONNECT_TIMER))
-    assert bench.has(OpenLink)
-    bench.now += 0.5
-    bench.dispatch(events.TimerFired(WATCH_TIMER))
-    assert not bench.has(CloseLink)
+    harness = NodeHarness()
+    harness.receive(offer(1))
+    harness.receive(Goodbye("stopping"))
+    harness.dispatch(events.TimerFired(CONNECT_TIMER))
+    assert harness.has(OpenLink)
+    harness.now += 0.5
+    harness.dispatch(events.TimerFired(WATCH_TIMER))
+    assert not harness.has(CloseLink)
 
 
 def test_a_node_that_is_cut_off_for_hours_goes_on_dialling() -> None:
-    bench = without_relay()
+    harness = without_relay()
     for _ in range(1_100):
-        watch_until_given_up(bench)
-        bench.dispatch(events.TimerFired(CONNECT_TIMER))
-    assert bench.has(OpenLink)
+        watch_until_given_up(harness)
+        harness.dispatch(events.TimerFired(CONNECT_TIMER))
+    assert harness.has(OpenLink)
