--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -1,8 +1,8 @@
-"""The node as a step function: relay in, configuration and endpoints out.
+"""The node core as a step function: it maps one event to a list of commands.
 
-``relay_sessions`` decides which relay is used, ``configuration`` what is held,
-``endpoints`` and ``own_endpoint`` the live endpoints.  This module routes
-events between them.
+``relay_sessions`` decides which relay is used and ``configuration`` which snapshot.
+``endpoints`` holds the live endpoints that are known, ``own_endpoint`` that of the local
+back end. This module routes events between them.
 """
 
 from __future__ import annotations
@@ -88,44 +88,47 @@
 PERSIST_RETRY_SECONDS = 1.0
 LEAVING_TIMER = "node.leaving"
 LEAVING_ANNOUNCED_SECONDS = 1.0
-"""After the begin of a planned stop others go on sending for so long: this node serves
-callers for some time in any case, and its back end would stand idle meanwhile."""
-PAUSE_SECONDS = 3.0
-"""Without any event for this long the process can't have been running."""
-REFUSAL_LINE_SECONDS = 10.0
-"""Between two lines on reports that can't be used; the first has one at once."""
+"""Delay from the start of a planned stop until the back end is announced as leaving.
 
-MOST_REASON = 200
-"""Characters of such a reason in a line."""
+Other nodes continue to send calls to it in the meantime: this node serves callers for some
+time in any case, and its back end would be idle otherwise.
+"""
+SUSPENSION_THRESHOLD_SECONDS = 3.0
+"""A process without any event for this long must have been suspended."""
+UNUSABLE_REPORT_LOG_SECONDS = 10.0
+"""Minimum time between log lines on unusable reports; the first is logged at once."""
+
+MAX_REASON_CHARACTERS = 200
+"""Maximum number of characters of the reason in such a log line."""
 
 MILLISECONDS = 1_000
 ROUNDING_MILLISECONDS = 1
-"""Times go over the wire as whole milliseconds, rounded down."""
+"""Tolerance for times on the wire, which are rounded down to whole milliseconds."""
 
 
 class NodeMemory:
-    """What a node brings along from before its start.
+    """State of a node that survives restarts.
 
-    ``incarnation`` is above that of every earlier start; ``floor`` and
-    ``snapshot`` come from the disk, if there is one.
+    ``incarnation`` is above that of every earlier start; ``floor`` and ``snapshot``
+    come from the disk, if the node has one.
     """
 
     def __init__(
         self, incarnation: int, floor: Version = 0, snapshot: Snapshot | None = None
     ) -> None:
-        """Keep the values."""
+        """Store the values."""
         self.incarnation = incarnation
         self.floor = floor
         self.snapshot = snapshot
 
 
 class NodeCore:
-    """Decides everything a node does towards relays; see ``process.core.Core``."""
+    """Decides how a node interacts with its relays; see ``process.core.Core``."""
 
     def __init__(
         self, settings: NodeSettings, memory: NodeMemory, owner_address: str = ""
     ) -> None:
-        """Begin with what the disk held; ``owner_address`` is the internal listener."""
+        """Start from the stored state; ``owner_address`` is the internal listener."""
         scope = Scope(settings.service, settings.zone)
         self._settings = settings
         self._has_disk = bool(settings.data_folder)
@@ -144,37 +147,38 @@
         self._token = 0
         self._is_stopping = False
         self._evidence_number = 0
-        self._refused_reports = 0
-        self._refusal_told_at = -math.inf
+        self._unusable_reports = 0
+        self._unusable_logged_at = -math.inf
         self._confirmed_at = -math.inf
         self._now = 0.0
         self._out: list[Command] = []
 
     def step(self, event: events.Event, now: float) -> list[Command]:
-        """Take one event; give the commands it leads to."""
+        """Handle one event and return the commands that result from it."""
         self._out = []
-        self._note_pause(event, now)
+        self._detect_suspension(event, now)
         self._now = now
-        self._take(event)
+        self._handle(event)
         return self._out
 
     @property
     def confirmed_at(self) -> float:
-        """When a quorum confirmed what is held, monotonic; -inf for never.
+        """When a quorum last confirmed the snapshot in use; -inf for never.
 
-        Nothing that waited in a socket while the process stood still counts: it
-        tells its age as of when it was sent.
+        The time is in monotonic seconds of this node. A message that waited in a socket
+        while the process was suspended does not make it look recent, because the age of
+        its confirmation counts from when it was sent.
         """
         return self._confirmed_at
 
     @property
     def incarnation(self) -> int:
-        """Number of this start; above that of every earlier one."""
+        """Number of this start of the node, above that of every earlier start."""
         return self._own.incarnation
 
     # --- events ----------------------------------------------------------------
 
-    def _take(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         match event:
             case events.MessageReceived():
                 self._message(event)
@@ -197,31 +201,35 @@
             case BackEndEnded() | SuspectEndedWell():
                 active = self.sessions.active
                 relay = None if active is None else active.link
-                self._do(self.quarantine.learned(event, relay, self._now))
+                self._emit(self.quarantine.record_outcome(event, relay, self._now))
             case QuotaWanted():
-                self._ask_quota(event.ask)
+                self._request_quota(event.ask)
             case _:
-                self._from_back_end(event)
+                self._handle_other_event(event)
 
-    def _from_back_end(self, event: events.Event) -> None:
+    def _handle_other_event(self, event: events.Event) -> None:
+        """Handle reports of the local back end, its evidence, and changed seeds."""
         match event:
             case BackEndReported():
-                self._viewed(self._reports.take(event.report, self._now))
+                self._view_changed(self._reports.apply(event.report, self._now))
             case BackEndLeft():
-                self._viewed(self._reports.left(event.instance, event.born))
+                self._view_changed(self._reports.mark_leaving(event.instance, event.born))
             case BackEndReportRefused():
-                self._refused_report(event)
+                self._log_unusable_report(event)
             case BackEndNotThere():
-                self._viewed(self._reports.not_there(event.life))
+                self._view_changed(self._reports.mark_unreachable(event.life))
             case EvidenceGathered():
-                self._tell_evidence(event)
+                self._send_evidence(event)
             case NodeSeedsChanged():
                 self.sessions.use_seeds(event.relays)
             case _:
-                raise AssertionError(f"a node takes no {type(event).__name__}")
+                raise AssertionError(f"a node core does not handle {type(event).__name__}")
+
+    def _send_evidence(self, event: EvidenceGathered) -> None:
+        """Send evidence to the relay in use.
 
-    def _tell_evidence(self, event: EvidenceGathered) -> None:
-        """Tell the relay in use; what it misses the next word tells as well."""
+        Evidence is cumulative, so a lost message is covered by the next one.
+        """
         active = self.sessions.active
         if active is None:
             return
@@ -237,28 +245,34 @@
         )
         self._out.append(SendMessage(active.link, EvidenceTold(evidence)))
 
-    def _ask_quota(self, ask: QuotaAsked) -> None:
-        """Ask the relay in use; without one the ask is made again a moment later."""
+    def _request_quota(self, ask: QuotaAsked) -> None:
+        """Send a quota request to the relay in use.
+
+        Without a relay it is dropped; the data plane repeats it a moment later.
+        """
         if self.sessions.active is not None:
             self._out.append(SendMessage(self.sessions.active.link, ask))
 
-    def _refused_report(self, event: BackEndReportRefused) -> None:
-        """Say so, but not for each: whoever sends them may go on for long."""
-        self._refused_reports += 1
-        if self._now >= self._refusal_told_at + REFUSAL_LINE_SECONDS:
-            reason = event.reason[:MOST_REASON]
-            count = self._refused_reports
+    def _log_unusable_report(self, event: BackEndReportRefused) -> None:
+        """Log an unusable report at a limited rate: its sender may send many of them."""
+        self._unusable_reports += 1
+        if self._now >= self._unusable_logged_at + UNUSABLE_REPORT_LOG_SECONDS:
+            reason = event.reason[:MAX_REASON_CHARACTERS]
+            count = self._unusable_reports
             self._report(notices.BackEndReportNotUsed(reason, count))
-            self._refusal_told_at = self._now
-
-    def _note_pause(self, event: events.Event, now: float) -> None:
-        """After a time without any event, begin anew with the relays."""
-        pause = now - self._now
-        if isinstance(event, events.Started) or pause < PAUSE_SECONDS:
+            self._unusable_logged_at = self._now
+
+    def _detect_suspension(self, event: events.Event, now: float) -> None:
+        """Reconnect to the relays if the process was suspended before this event."""
+        silence_seconds = now - self._now
+        if (
+            isinstance(event, events.Started)
+            or silence_seconds < SUSPENSION_THRESHOLD_SECONDS
+        ):
             return
         self._now = now
-        self._report(notices.NodePaused(round(pause * 1_000)))
-        self._do(self.sessions.begin_anew(now))
+        self._report(notices.NodePaused(round(silence_seconds * 1_000)))
+        self._emit(self.sessions.reconnect_all(now))
 
     def _started(self, event: events.Started) -> None:
         if not self.holder.holds_nothing:
@@ -266,24 +280,24 @@
             active = open_snapshot(self.holder.snapshot)
             self._services = frozenset(active.services)
             self._out.append(ConfigurationSwapped(active))
-        self._do(self.sessions.start(Randomness(event.seed), self._now))
+        self._emit(self.sessions.start(Randomness(event.seed), self._now))
 
     def _link_changed(self, event: events.LinkOpened | events.LinkClosed) -> None:
         session = self.sessions.find(event.link)
         if session is None:
             return
         if isinstance(event, events.LinkOpened):
-            self._do(self.sessions.opened(session, self._now))
+            self._emit(self.sessions.opened(session, self._now))
         else:
-            self._do(self.sessions.closed(session, event.reason, self._now))
+            self._emit(self.sessions.closed(session, event.reason, self._now))
 
     def _timer(self, timer: str) -> None:
         if timer == WATCH_TIMER:
-            self._viewed(self._reports.tick(self._now))
+            self._view_changed(self._reports.tick(self._now))
             self.quarantine.table.forget_old(self._now)
-            self._do(self.sessions.watch(self._now))
+            self._emit(self.sessions.watch(self._now))
         elif timer == CONNECT_TIMER:
-            self._do(self.sessions.connect(self._now))
+            self._emit(self.sessions.connect(self._now))
         elif timer == PERSIST_TIMER:
             self._persist()
         elif timer == LEAVING_TIMER:
@@ -299,19 +313,19 @@
     # --- the relay -------------------------------------------------------------
 
     def _from_relay(self, session: RelaySession, message: Message) -> None:
-        self.sessions.heard(session, self._now)
+        self.sessions.note_received(session, self._now)
         match message:
             case UpdateOffered():
-                self._answered(session, message)
-                self._offered(session, message)
+                self._handle_answer(session, message)
+                self._handle_offer(session, message)
             case Current():
-                self._answered(session, message)
+                self._handle_answer(session, message)
                 self._still_current(message)
-                self._tell_held(session)
+                self._send_applied(session)
             case Freshness():
-                self._answered(session, message)
+                self._handle_answer(session, message)
                 self._still_current(message)
-                self._say_alive(session)
+                self._send_alive(session)
             case EndpointsPacked():
                 self._endpoints_packed(session, message)
             case EndpointsHeld():
@@ -321,66 +335,66 @@
                     PeerRelay(name=each.name, zone=each.zone, address=each.address)
                     for each in message.relays
                 )
-                self._do(self.sessions.use_listed(listed, self._now))
+                self._emit(self.sessions.use_listed(listed, self._now))
             case CrashesTold():
-                self._do(self.quarantine.told(message, self._now))
+                self._emit(self.quarantine.merge_records(message, self._now))
             case QuotaGranted():
                 self._out.append(QuotaAnswered(message))
             case RetryAfter():
-                self._do(self.sessions.deferred(session, message.milliseconds, self._now))
+                self._emit(self.sessions.deferred(session, message.milliseconds, self._now))
             case Goodbye():
-                self._do(self.sessions.goodbye(session, message.reason, self._now))
+                self._emit(self.sessions.goodbye(session, message.reason, self._now))
             case Refused():
-                self._do(self.sessions.drop(session, message.reason, self._now))
+                self._emit(self.sessions.drop(session, message.reason, self._now))
             case _:
-                self._do(self.sessions.drop(session, "unexpected message", self._now))
+                self._emit(self.sessions.drop(session, "unexpected message", self._now))
 
-    def _answered(
+    def _handle_answer(
         self, session: RelaySession, message: UpdateOffered | Current | Freshness
     ) -> None:
-        """Note an answer and its confirmation; a candidate may become the relay in use."""
-        session.confirmed(message.confirmed_at_milliseconds)
+        """Record an answer and its confirmation; it may make a candidate the active one."""
+        session.record_confirmation(message.confirmed_at_milliseconds)
         session.answered = True
         was_active = session is self.sessions.active
-        self._do(self.sessions.settle(session, self._now))
+        self._emit(self.sessions.resolve_candidate(session, self._now))
         if session is self.sessions.active and not was_active:
             self._introduce(session)
 
     def _introduce(self, session: RelaySession) -> None:
-        """Tell a relay that is used from now on of the back end and the endpoints."""
+        """Send local endpoint, endpoint digest and quarantine to a newly chosen relay."""
         if self._own.exists:
             self._announce()
         self._out.append(SendMessage(session.link, EndpointsHeld(self.known.digest)))
-        self._do(self.quarantine.introduce(session.link, self._now))
+        self._emit(self.quarantine.send_all_to(session.link, self._now))
 
-    def _say_alive(self, session: RelaySession) -> None:
+    def _send_alive(self, session: RelaySession) -> None:
         alive = NodeAlive(self.holder.effective_version, self._clock_milliseconds)
         self._out.append(SendMessage(session.link, alive))
 
     @property
     def _clock_milliseconds(self) -> int:
-        """What this node's clock shows, never ahead of it."""
+        """Time of this node's clock in milliseconds, rounded down."""
         return math.floor(self._now * MILLISECONDS)
 
     def _still_current(self, message: Current | Freshness) -> None:
-        """Take a confirmation of what is held, which the relay names by its digest.
+        """Apply a confirmation if its digest is that of the snapshot in use.
 
-        It names nothing while it holds an update back or has one on its way.
+        The relay sends no digest while it holds an update back or has one in flight.
         """
         if self._pending is None and message.digest == self.holder.digest:
             self.holder.still_current(message.version)
             self._confirm(message.confirmed_at_milliseconds)
 
     def _confirm(self, at_milliseconds: int | None) -> None:
-        """What is held was the latest at this time of the node's clock."""
+        """Note that the snapshot was the latest at this time of this node's clock."""
         if at_milliseconds is not None and not self.holder.holds_nothing:
             self._confirmed_at = max(self._confirmed_at, at_milliseconds / MILLISECONDS)
 
-    def _offered(self, session: RelaySession, offer: UpdateOffered) -> None:
+    def _handle_offer(self, session: RelaySession, offer: UpdateOffered) -> None:
         held = self.holder.snapshot
         unpacked = unpack_update(offer.packed_update, held.scope, held.digest)
         if isinstance(unpacked, Failure):
-            self._do(self.sessions.drop(session, "undecodable update", self._now))
+            self._emit(self.sessions.drop(session, "undecodable update", self._now))
             return
         update = unpacked.unwrap()
         if self._pending is not None and session is not self._pending_from:
@@ -399,7 +413,11 @@
         self._persist()
 
     def _is_acceptable(self, session: RelaySession, offer: UpdateOffered) -> bool:
-        """Take what was confirmed after the hello, unless there is a floor to go by."""
+        """Return whether an offered version is confirmed recently enough.
+
+        A node with a floor accepts any offer here, since the floor excludes old versions.
+        A node without one requires a confirmation no earlier than its hello.
+        """
         if self.holder.floor > 0:
             return True
         confirmed_at = offer.confirmed_at_milliseconds
@@ -410,7 +428,7 @@
 
     def _answer_refusal(self, session: RelaySession, version: Version, reason: str) -> None:
         if reason == NOT_NEWER:
-            self._tell_held(session)
+            self._send_applied(session)
         else:
             self._refuse(session, version, reason)
 
@@ -418,14 +436,14 @@
         self._report(notices.VersionRefused(version, reason))
         self._out.append(SendMessage(session.link, UpdateRefused(version, reason)))
 
-    def _tell_held(self, session: RelaySession) -> None:
+    def _send_applied(self, session: RelaySession) -> None:
         applied = UpdateApplied(self.holder.effective_version, self.holder.digest)
         self._out.append(SendMessage(session.link, applied))
 
     # --- storing and using a version -------------------------------------------
 
     def _persist(self) -> None:
-        """Store the prepared version; use it only once it is synced."""
+        """Store the prepared version, which is used only once it is synced to disk."""
         if self._pending is None:
             return
         if not self._has_disk:
@@ -458,17 +476,18 @@
         self._report(applied)
         self._services_changed(frozenset(active.services))
         for session in self.sessions.all_answered():
-            self._tell_held(session)
+            self._send_applied(session)
 
     # --- endpoints -------------------------------------------------------------
 
     def _services_changed(self, services: frozenset[str]) -> None:
-        """Drop what is no longer needed; let the relay add what may be lacking.
+        """Drop endpoints of removed services; request those of new ones from the relay.
 
-        The endpoints of new services come ahead of the update; they are dropped
-        when a version between, from another relay, doesn't hold those services.
+        A relay sends the endpoints of new services before the update. They may be missing
+        here: they are dropped if an intermediate version from another relay does not
+        contain those services.
         """
-        if self.known.forget_services_but(services):
+        if self.known.retain_services(services):
             self._swap_endpoints()
         has_new = not services <= self._services
         self._services = services
@@ -479,19 +498,22 @@
     def _endpoints_packed(self, session: RelaySession, message: EndpointsPacked) -> None:
         unpacked = unpack_endpoints(message)
         if isinstance(unpacked, Failure):
-            self._do(self.sessions.drop(session, "undecodable endpoints", self._now))
+            self._emit(self.sessions.drop(session, "undecodable endpoints", self._now))
             return
         self._endpoints_changed(session, unpacked.unwrap())
 
     def _endpoints_changed(self, session: RelaySession, message: EndpointsChanged) -> None:
-        """Take what the relay in use says, and what comes ahead of a first update."""
+        """Apply endpoints from the relay in use, or from any relay while none is in use.
+
+        The latter arrive before a first update.
+        """
         for endpoint in message.endpoints:
             if endpoint.node == self._settings.node:
-                self._viewed(self._reports.overtaken(endpoint.born))
-                if self._own.overtake(endpoint):
+                self._view_changed(self._reports.overtaken(endpoint.born))
+                if self._own.raise_incarnation_above(endpoint):
                     self._announce()
-        is_heeded = self.sessions.active in (None, session)
-        if is_heeded and self.known.take(message):
+        is_accepted = self.sessions.active in (None, session)
+        if is_accepted and self.known.take(message):
             self._swap_endpoints()
 
     def _compare_endpoints(self, session: RelaySession, message: EndpointsHeld) -> None:
@@ -500,7 +522,7 @@
             self._out.append(SendMessage(session.link, EndpointsHeld(digest)))
 
     def _swap_endpoints(self) -> None:
-        """Let calls go by the endpoints known now; say of which services that is news."""
+        """Use the known endpoints for calls; report services whose ready nodes changed."""
         endpoints = self.known.endpoints
         self._out.append(EndpointsSwapped(endpoints))
         ready: dict[str, list[str]] = {}
@@ -515,19 +537,19 @@
                 self._report(notices.BackEndsKnown(service, nodes))
         self._ready = known
 
-    def _viewed(self, changed: bool) -> None:
-        """The back end said something new of itself: tell its node and all others."""
+    def _view_changed(self, changed: bool) -> None:
+        """Pass a changed state of the local back end to the data plane and other nodes."""
         if not changed:
             return
         view = self._reports.view
         self._out.append(BackEndViewed(view))
         self._report(notices.BackEndViewChanged(view.instance, view.state, view.slots))
-        if not self._is_stopping and self._own.take_view(view):
-            self._know_own_endpoint()
+        if not self._is_stopping and self._own.apply_view(view):
+            self._apply_local_endpoint()
             self._announce()
 
-    def _know_own_endpoint(self) -> None:
-        """The node's own calls heed it at once, not only when a relay repeats it."""
+    def _apply_local_endpoint(self) -> None:
+        """Apply the local endpoint to this node's calls without waiting for a relay."""
         if self.known.take(EndpointsChanged((self._own.current,))):
             self._swap_endpoints()
 
@@ -572,7 +594,7 @@
             sent_at_milliseconds=self._clock_milliseconds,
         )
 
-    def _do(self, commands: list[Command]) -> None:
+    def _emit(self, commands: list[Command]) -> None:
         self._out.extend(commands)
 
     def _report(self, notice: Notice) -> None:
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -1,12 +1,12 @@
-"""The node's links to relays: one in use, and one that may take its place.
+"""The node's links to relays: the active one, and a candidate that may replace it.
 
-A relay is left for another only once the other has answered, except when the
-link is gone or the relay is silent.  Reasons to move: the relay's confirmation
-is stale, it says goodbye, or a relay that ranks higher is back.
+The node leaves a relay for another only once the other has answered, unless the link
+is closed or the relay is silent. It moves if the relay's latest confirmation by a quorum
+is stale, if the relay says goodbye, or if a relay that ranks higher is available again.
 
-Whether it is stale the node tells by its own clock, and when it looks for another
-relay follows from the one bound within which changes come into force: what is silent,
-cut off or slow is left by the same rule, before the bound and not after it.
+The node judges staleness by its own clock. The time after which it searches for another
+relay is derived from the time within which configuration changes must come into force, so
+that a relay that is silent, cut off or slow is replaced before that time has passed.
 """
 
 from __future__ import annotations
@@ -37,52 +37,64 @@
 WATCH_TIMER = "relay.watch"
 
 WATCH_SECONDS = 0.25
-"""How often relays are looked at."""
+"""Interval between checks of the relays."""
 WATCH_WITHOUT_RELAY_SECONDS = 0.1
-"""The same while there is no relay, or only a stale one."""
+"""Interval between checks while there is no relay, or only a stale one."""
 OPENING_SECONDS = 1.0
-"""A link that is not open by then is given up: its machine may be cut off."""
+"""Time-out for opening a link; the machine of the relay may be unreachable."""
 FIRST_OPENING_SECONDS = 0.2
-"""The same while there is no relay at all, or only a stale one: another may be there at
-once.  It doubles with each link given up in a row, for relays that are far away."""
-ANSWER_SHARE = 2.5
-"""A relay that is tried while there is no other of use answers within so many times what
-a link may take to open: half a second at first.  Its answer is short but may wait behind
-bodies on a full link, so each in vain doubles it, up to two seconds and a half."""
+"""First time-out for opening a link while there is no relay, or only a stale one.
+
+It is short because another relay may be available immediately. It doubles after each
+consecutive link that is given up, up to ``OPENING_SECONDS``, for relays that are far away.
+"""
+ANSWER_TIMEOUT_FACTOR = 2.5
+"""Time-out for a relay's answer to the hello, as a multiple of that for opening a link.
+
+It applies while there is no usable relay, and is 0.5 s at first. The answer is short but
+may wait behind bodies on a full link, so the time-out doubles after each relay that was
+tried in vain, up to 2.5 s.
+"""
 STALE_SHARE = 0.6
-"""Part of the time in which changes come into force after which a relay counts as stale.
-With both relays of a zone without quorum and a bound of 2 s (simulator, 8 seeds) a node
-uses a change after 1.35 s at the latest, with 0.45 after 1.0 s and with 0.8 after 1.75 s;
-of 12 nodes 8, 16 and 3 dial in vain when a leader is lost."""
+"""Age from which a confirmation is stale, as a share of ``apply_milliseconds``.
+
+A smaller share brings changes into use sooner but causes more futile dials. In simulations
+(8 seeds) with both relays of a zone without a quorum and a limit of 2 s, a node uses a
+change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). The counts of futile dials
+with 12 nodes when a leader is lost are 8 (16 with 0.45, 3 with 0.8).
+"""
 SEARCH_SPREAD_SECONDS = 0.1
-"""Nodes of a relay that is stale begin to look for another one within this time."""
+"""Nodes of a stale relay spread the start of their search over this time."""
 
 ROUNDING_SECONDS = 0.001
-"""A timer for a moment is due just after it."""
+"""Added to a timer for a point in time, so that it fires just after that time."""
 
 RELAY_LISTED_SECONDS = 0.2
-"""A node that learns of a relay in its own zone moves there within this time."""
+"""A node that learns of a relay in its own zone tries to move there within this time."""
 
 
 @dataclass(slots=True)
 class RelaySession:
-    """One link to a relay.  Times are monotonic seconds of the node."""
+    """One link to a relay. Times are monotonic seconds of the node."""
 
     link: LinkId
     relay: PeerRelay
     opened_at: float
-    last_heard: float
+    last_received_at: float
     is_open: bool = False
     answered: bool = False
     is_leaving: bool = False
-    """The relay said goodbye: another one must answer before it ends."""
+    """Whether the relay said goodbye: another one must answer before it stops."""
     confirmed_at: float = -math.inf
-    """When a quorum confirmed the relay's version, by this node's clock."""
+    """When a quorum last confirmed the relay's version, by this node's clock."""
     is_cut_off: bool = False
-    """The relay said that others are fresher, and was not confirmed since."""
+    """Whether the relay reported that it is cut off from the control replicas.
+
+    It reports this when other relays are fresher. A newer confirmation resets the flag.
+    """
 
-    def confirmed(self, at_milliseconds: int | None) -> None:
-        """Note what the relay says of its newest confirmation."""
+    def record_confirmation(self, at_milliseconds: int | None) -> None:
+        """Record the time of the relay's latest confirmation, if it is a newer one."""
         if at_milliseconds is None:
             return
         confirmed_at = at_milliseconds / MILLISECONDS
@@ -92,7 +104,7 @@
 
 
 class RelaySessions:
-    """Keeps a session with the best relay there is."""
+    """Maintains a session with the best available relay."""
 
     def __init__(
         self,
@@ -100,7 +112,7 @@
         numbers: LinkNumbers,
         make_hello: Callable[[], NodeHello],
     ) -> None:
-        """Connect to nothing until ``start``."""
+        """Initialize without any link; ``start`` opens the first one."""
         self.active: RelaySession | None = None
         self.candidate: RelaySession | None = None
         self._zone = settings.zone
@@ -113,45 +125,45 @@
         self._randomness = Randomness(0)
         self._rebalance_at = 0.0
         self._connect_due = False
-        self._quick_opening_seconds = FIRST_OPENING_SECONDS
+        self._short_opening_seconds = FIRST_OPENING_SECONDS
 
     def start(self, randomness: Randomness, now: float) -> list[Command]:
-        """Open the first link."""
+        """Open the first link and start the periodic checks."""
         self._randomness = randomness
         self._plan_rebalance(now)
         return [*self.connect(now), SetTimer(WATCH_TIMER, WATCH_SECONDS)]
 
     def find(self, link: LinkId) -> RelaySession | None:
-        """Give the session of a link."""
+        """Return the session of a link; None if there is none."""
         for session in (self.active, self.candidate):
             if session is not None and session.link == link:
                 return session
         return None
 
     def all_answered(self) -> tuple[RelaySession, ...]:
-        """Give the sessions whose relay has answered the hello."""
+        """Return the sessions whose relay has answered the hello."""
         sessions = (self.active, self.candidate)
         return tuple(each for each in sessions if each is not None and each.answered)
 
     def connect(self, now: float) -> list[Command]:
-        """Open a link to the next relay, unless one is being tried."""
+        """Open a link to the next relay unless there is already a candidate."""
         self._connect_due = False
         if self.candidate is not None:
             return []
-        besides = self.active.relay.name if self.active else ""
-        elsewhere = self._has_only_a_stale_one(now)
-        relay = self._choice.next_relay(now, besides, elsewhere=elsewhere)
+        excluding = self.active.relay.name if self.active else ""
+        other_zones_first = self._is_active_stale(now)
+        relay = self._choice.next_relay(now, excluding, other_zones_first=other_zones_first)
         return [] if relay is None else self._open(relay, now)
 
     def opened(self, session: RelaySession, now: float) -> list[Command]:
-        """Say hello on a link that is open now."""
+        """Send the hello on a link that has opened."""
         session.is_open = True
         session.opened_at = now
-        session.last_heard = now
+        session.last_received_at = now
         return [SendMessage(session.link, self._make_hello())]
 
     def closed(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Forget a link that is gone and plan the next."""
+        """Remove the session of a closed link; schedule a new one if a relay is needed."""
         was_active = session is self.active
         if was_active:
             self.active = None
@@ -168,13 +180,17 @@
         return [*out, Report(notice), *self._connect_after(wait)]
 
     def drop(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Close a link from here and plan the next."""
+        """Close a link; schedule a new one if a relay is needed."""
         return [CloseLink(session.link, reason), *self.closed(session, reason, now)]
 
     def deferred(
         self, session: RelaySession, milliseconds: int, now: float
     ) -> list[Command]:
-        """Come back later, as the relay asked; the wait is spread at random."""
+        """Close a link whose relay asked to retry later; schedule the next one.
+
+        The wait is random, at most ``milliseconds``. If the active relay asks this, the
+        usual back-off applies.
+        """
         if session is self.active:
             return self.drop(session, "deferred", now)
         self.candidate = None
@@ -187,22 +203,22 @@
         )
         return [close, Report(notice), *self._connect_after(wait)]
 
-    def heard(self, session: RelaySession, now: float) -> None:
-        """Note that a relay spoke."""
-        session.last_heard = now
+    def note_received(self, session: RelaySession, now: float) -> None:
+        """Record that a message of the relay was received."""
+        session.last_received_at = now
 
-    def settle(self, session: RelaySession, now: float) -> list[Command]:
-        """Decide, after a relay's answer, whether the candidate takes over."""
+    def resolve_candidate(self, session: RelaySession, now: float) -> list[Command]:
+        """Make a candidate that has answered the active relay, or reject it."""
         if session is not self.candidate:
             return []
         old = self.active
         if old is not None and not old.is_leaving:
-            reason = self._no_reason_to_move(old, session, now)
+            reason = self._rejection_reason(old, session, now)
             if reason:
                 return self._reject(session, reason, now)
         self.active = session
         self.candidate = None
-        self._quick_opening_seconds = FIRST_OPENING_SECONDS
+        self._short_opening_seconds = FIRST_OPENING_SECONDS
         self._choice.succeeded(session.relay.name)
         out: list[Command] = [Report(notices.RelayChosen(session.relay.name))]
         if old is not None:
@@ -210,7 +226,10 @@
         return out
 
     def goodbye(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Move away from a relay that will stop, or that others are fresher than."""
+        """Look for a replacement of a relay that will stop or is cut off.
+
+        The relay remains in use until another one has answered.
+        """
         if session is self.candidate:
             return self.drop(session, "goodbye", now)
         if reason == CUT_OFF:
@@ -220,8 +239,8 @@
         self._choice.failed(session.relay.name, now)
         return self._connect_after(self._choice.wait_seconds(self._randomness))
 
-    def begin_anew(self, now: float) -> list[Command]:
-        """The process stood still: drop every session and connect again at once."""
+    def reconnect_all(self, now: float) -> list[Command]:
+        """Drop all sessions after a suspension of the process and reconnect immediately."""
         out: list[Command] = []
         for session in (self.candidate, self.active):
             if session is not None:
@@ -232,13 +251,16 @@
         return [*out, *self.connect(now)] if out else out
 
     def watch(self, now: float) -> list[Command]:
-        """Leave silent relays; look for a better one when there is reason to."""
+        """Drop silent relays; look for another if the active one is stale.
+
+        From time to time, also look for a relay that ranks above the active one.
+        """
         out: list[Command] = []
         for session in (self.active, self.candidate):
             if session is not None and self._is_silent(session, now):
                 if not session.answered:
-                    doubled = 2.0 * self._quick_opening_seconds
-                    self._quick_opening_seconds = min(doubled, OPENING_SECONDS)
+                    doubled = 2.0 * self._short_opening_seconds
+                    self._short_opening_seconds = min(doubled, OPENING_SECONDS)
                 out.extend(self.drop(session, "silent", now))
         out.append(SetTimer(WATCH_TIMER, self._until_next_watch(now)))
         if self.active is None or self.candidate is not None or self._connect_due:
@@ -252,11 +274,11 @@
         return out
 
     def use_seeds(self, seeds: tuple[PeerRelay, ...]) -> None:
-        """The settings name other relays to begin with."""
+        """Replace the relays named in the settings."""
         self._choice.use_seeds(seeds)
 
     def use_listed(self, listed: tuple[PeerRelay, ...], now: float) -> list[Command]:
-        """A relay told of those there are; move to one in the own zone soon."""
+        """Replace the listed relays; try to move soon to one in the node's zone."""
         self._choice.use_listed(listed)
         active = self.active
         if active is None or self._choice.is_in_own_zone(active.relay.name):
@@ -267,10 +289,10 @@
         return []
 
     def _search(self, now: float) -> list[Command]:
-        """Look for a relay that is fresher than the one in use, which stays meanwhile.
+        """Schedule a link to a fresher relay; the active one is used meanwhile.
 
-        Those that did not fail lately are tried one right after the other, for each may
-        be as stale; once all were tried the waits grow.
+        Relays without a recent failure are tried in quick succession, because each of them
+        may be as stale. Once all were tried, the waits grow.
         """
         assert self.active is not None
         in_use = self.active.relay.name
@@ -281,13 +303,13 @@
             wait = self._choice.wait_seconds(self._randomness)
         return self._connect_after(wait)
 
-    def _no_reason_to_move(
+    def _rejection_reason(
         self, old: RelaySession, session: RelaySession, now: float
     ) -> str:
-        """Give why a candidate does not take over from a relay that stays, "" if it does.
+        """Return why a candidate does not replace the old relay, "" if it does.
 
-        One that was tried because the old one was stale is not needed once that is
-        fresh again, unless it goes before it anyhow.
+        A candidate that was tried because the old relay was stale is not needed once that
+        is fresh again, unless the candidate ranks above it.
         """
         if self._is_stale(session, now):
             return "stale"
@@ -295,54 +317,54 @@
         return "" if goes_first or self._is_stale(old, now) else "not needed"
 
     def _reject(self, session: RelaySession, reason: str, now: float) -> list[Command]:
-        """Close a candidate; after a stale one the next is tried at once."""
+        """Close a candidate; if it was stale, try the next relay immediately."""
         self.candidate = None
         out: list[Command] = [CloseLink(session.link, reason)]
         if reason != "stale":
             return out
         self._choice.failed(session.relay.name, now)
         assert self.active is not None
-        is_needed = self._has_only_a_stale_one(now) and not self._connect_due
+        is_needed = self._is_active_stale(now) and not self._connect_due
         if is_needed and self._choice.has_untried(now, self.active.relay.name):
             out.extend(self.connect(now))
         return out
 
-    def _has_only_a_stale_one(self, now: float) -> bool:
+    def _is_active_stale(self, now: float) -> bool:
         return self.active is not None and self._is_stale(self.active, now)
 
     def _until_next_watch(self, now: float) -> float:
-        """Give the seconds to the next look: at the latest when a relay grows stale."""
+        """Return the seconds to the next check, at the latest when the relay gets stale."""
         if self.active is None or self._is_stale(self.active, now):
             return WATCH_WITHOUT_RELAY_SECONDS
         fresh_for = self.active.confirmed_at + self._stale_seconds - now
         return min(WATCH_SECONDS, fresh_for + ROUNDING_SECONDS)
 
     def _is_silent(self, session: RelaySession, now: float) -> bool:
-        """Tell whether nothing was heard for too long."""
+        """Return whether the relay has sent nothing for too long."""
         bound = self._silence_seconds
         if not session.answered:
-            bound = min(bound, self._patience_seconds(session, now))
-        return now - session.last_heard > bound
+            bound = min(bound, self._answer_timeout_seconds(session, now))
+        return now - session.last_received_at > bound
 
-    def _patience_seconds(self, session: RelaySession, now: float) -> float:
-        """Give how long a link may take to open, or a relay to answer the hello."""
+    def _answer_timeout_seconds(self, session: RelaySession, now: float) -> float:
+        """Return the time-out in seconds for a link to open, or for a relay's answer."""
         if self.active is not None and not self._is_stale(self.active, now):
             return self._silence_seconds if session.is_open else OPENING_SECONDS
-        share = ANSWER_SHARE if session.is_open else 1.0
-        return share * self._quick_opening_seconds
+        factor = ANSWER_TIMEOUT_FACTOR if session.is_open else 1.0
+        return factor * self._short_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
-        """Tell whether the relay's version was confirmed too long ago."""
+        """Return whether the relay is cut off or was last confirmed too long ago."""
         return session.is_cut_off or now - session.confirmed_at > self._stale_seconds
 
     @property
     def _needs_relay(self) -> bool:
-        """Whether there is no relay, or one that is about to end."""
+        """Whether there is no active relay, or one that is about to stop."""
         return self.active is None or self.active.is_leaving
 
     def _open(self, relay: PeerRelay, now: float) -> list[Command]:
         link = self._numbers.take()
-        self.candidate = RelaySession(link, relay, opened_at=now, last_heard=now)
+        self.candidate = RelaySession(link, relay, opened_at=now, last_received_at=now)
         return [OpenLink(link, relay.address)]
 
     def _connect_after(self, seconds: float) -> list[Command]:
@@ -357,6 +379,6 @@
 
 
 def _stale_seconds(settings: NodeSettings) -> float:
-    """Give the age of a confirmation from which a relay is looked past."""
+    """Return the age in seconds beyond which a relay's confirmation is stale."""
     derived = STALE_SHARE * settings.apply_milliseconds
     return (settings.stale_milliseconds or derived) / MILLISECONDS
