--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -1,4 +1,4 @@
-"""What a node's core knows of requests that end back ends, and whom it tells."""
+"""Requests suspected of crashing back ends: a node's records and their exchange."""
 
 from __future__ import annotations
 
@@ -12,39 +12,46 @@
 
 
 class NodeQuarantine:
-    """The quarantine of one node: its relay and its data plane hear what is news."""
+    """Quarantine of one node; passes new records to its data plane and its relay."""
 
     def __init__(self) -> None:
-        """Know of nothing."""
+        """Start without records."""
         self.table = Quarantine()
 
-    def learned(
+    def record_outcome(
         self, event: BackEndEnded | SuspectEndedWell, relay: LinkId | None, now: float
     ) -> list[Command]:
-        """Take what the back end beside this node showed; ``relay`` is the one in use."""
+        """Record requests suspected after a crash, or a suspected one that was answered.
+
+        ``relay`` is the link to the relay in use, None if there is none. Return the
+        commands that pass new records on.
+        """
         if isinstance(event, BackEndEnded):
             under = event.under
             records = tuple(self.table.ended(each, event.life, now) for each in under)
         else:
             cleared = self.table.cleared(event.key, now)
             records = () if cleared is None else (cleared,)
-        out = self._heed(records)
+        out = self._apply(records)
         if records and relay is not None:
             out.append(SendMessage(relay, CrashesTold(records)))
         return out
 
-    def told(self, message: CrashesTold, now: float) -> list[Command]:
-        """Take what a relay knows."""
+    def merge_records(self, message: CrashesTold, now: float) -> list[Command]:
+        """Merge records of a relay; return the commands that apply the new ones."""
         merge = self.table.merge
-        return self._heed(tuple(each for each in message.records if merge(each, now)))
+        return self._apply(tuple(each for each in message.records if merge(each, now)))
+
+    def send_all_to(self, relay: LinkId, now: float) -> list[Command]:
+        """Return the command that sends all records to a newly chosen relay.
 
-    def introduce(self, relay: LinkId, now: float) -> list[Command]:
-        """Tell a relay that is used from now on: it may have heard nothing of it."""
+        That relay may not have received any of them yet.
+        """
         if not len(self.table):
             return []
         return [SendMessage(relay, CrashesTold(self.table.records(now)))]
 
-    def _heed(self, records: tuple[CrashRecord, ...]) -> list[Command]:
+    def _apply(self, records: tuple[CrashRecord, ...]) -> list[Command]:
         if not records:
             return []
         reports = (Report(notice) for notice in notices_of(records))
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/told_load.py
@@ -1,8 +1,9 @@
-"""What a back end says of itself in a field of its answers, read and checked.
+"""Parsing and validation of the load field in a back end's answers.
 
-The field holds whole numbers with commas between them: running, waiting, slots, and with
-some the pace of the machine.  A field that can't be read whole counts as missing: nothing
-tells which of its figures is right.  A pace that can't be is left out, the rest counts.
+The field holds integers separated by commas: running calls, waiting calls, slots, and
+optionally the pace of the machine (time that work takes, 100 as usual, 200 twice as long).
+A field that can't be parsed completely counts as missing, since nothing shows which of its
+values are right. An implausible pace is ignored, and the other values are used.
 """
 
 from __future__ import annotations
@@ -11,60 +12,60 @@
 
 import msgspec
 
-PACE_NOT_TOLD: Final = 0
+PACE_NOT_REPORTED: Final = 0
 
-MOST_FIELD_BYTES = 64
-MOST_CALLS = 100_000
-"""More calls or slots than that no one back end has."""
+MAX_FIELD_BYTES = 64
+MAX_CALLS = 100_000
+"""No single back end has more calls or slots than this."""
 
-LEAST_PERCENT = 10
-MOST_PERCENT = 10_000
-"""A machine that is ten times as quick as usual, or a hundred times as slow, is none."""
+MIN_PERCENT = 10
+MAX_PERCENT = 10_000
+"""No machine is ten times as fast as usual, or a hundred times as slow."""
 
-FIGURES_WITHOUT_PACE = 3
-FIGURES_WITH_PACE = 4
+VALUES_WITHOUT_PACE = 3
+VALUES_WITH_PACE = 4
 
 
 class ToldLoad(msgspec.Struct, frozen=True):
-    """Calls that run and wait at a back end, its slots, and its machine's pace.
+    """Running and waiting calls of a back end, its slots, and its machine's pace.
 
-    ``pace_percent`` is how long work takes now, 100 as usual, 0 where it is not told.
+    ``pace_percent`` is how long work takes now: 100 as usual, 0 if it is not reported.
     """
 
     running: int
     waiting: int
     slots: int
-    pace_percent: int = PACE_NOT_TOLD
+    pace_percent: int = PACE_NOT_REPORTED
 
 
 def read_load(value: bytes) -> ToldLoad | None:
-    """Read the field's value; None if it is missing or can't be read whole."""
-    if not value or len(value) > MOST_FIELD_BYTES:
+    """Parse the field's value; return None if it is missing or malformed."""
+    if not value or len(value) > MAX_FIELD_BYTES:
         return None
-    figures = [figure.strip(b" ") for figure in value.split(b",")]
-    if len(figures) not in {FIGURES_WITHOUT_PACE, FIGURES_WITH_PACE}:
+    parts = [part.strip(b" ") for part in value.split(b",")]
+    if len(parts) not in {VALUES_WITHOUT_PACE, VALUES_WITH_PACE}:
         return None
-    running, waiting, slots = (_count(figure) for figure in figures[:3])
+    running, waiting, slots = (_count(part) for part in parts[:3])
     if running is None or waiting is None or not slots:
         return None
-    pace = figures[3] if len(figures) == FIGURES_WITH_PACE else b""
+    pace = parts[3] if len(parts) == VALUES_WITH_PACE else b""
     return ToldLoad(running, waiting, slots, _percent(pace))
 
 
-def _count(figure: bytes) -> int | None:
-    """Give a whole number that may be, else None; a sign makes it none."""
-    if not figure.isdigit():
+def _count(part: bytes) -> int | None:
+    """Return the integer if it is plausible, else None; a sign is not allowed."""
+    if not part.isdigit():
         return None
-    count = int(figure)
-    return count if count <= MOST_CALLS else None
+    count = int(part)
+    return count if count <= MAX_CALLS else None
 
 
-def _percent(figure: bytes) -> int:
-    """Give a pace that may be, a fraction of it dropped, else ``PACE_NOT_TOLD``."""
-    whole, point, fraction = figure.partition(b".")
+def _percent(part: bytes) -> int:
+    """Return the pace without its fraction, or ``PACE_NOT_REPORTED`` if implausible."""
+    whole, point, fraction = part.partition(b".")
     if point and not fraction.isdigit():
-        return PACE_NOT_TOLD
+        return PACE_NOT_REPORTED
     percent = _count(whole)
-    if percent is None or not LEAST_PERCENT <= percent <= MOST_PERCENT:
-        return PACE_NOT_TOLD
+    if percent is None or not MIN_PERCENT <= percent <= MAX_PERCENT:
+        return PACE_NOT_REPORTED
     return percent
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -1,6 +1,7 @@
 """The bounded queue of calls that wait for a slot.
 
-By class, priority, whether they come for the first time, fair shares of tenants, deadline.
+They are ordered by class, priority, first sends before retries, fair shares of tenants, and
+deadline.
 """
 
 from __future__ import annotations
@@ -10,34 +11,38 @@
 
 import msgspec
 
-from peppershore.request.tenants.fair_shares import FairLine, WeightOf, equal_weight
+from peppershore.request.tenants.fair_shares import FairQueue, WeightOf, equal_weight
 from peppershore.request.version_lanes import Lane
 from peppershore.version.model import CallClass
 
 RANKS: dict[CallClass, int] = {"critical": 0, "normal": 1, "bulk": 2}
 PRIORITIES = 101
-"""Priorities 0 to 100 within each class."""
+"""Number of priorities within each class: 0 to 100."""
 
 RANKS_OF_CLASS = 2 * PRIORITIES
-"""First sends and retries of each priority."""
+"""Number of ranks of a class: for each priority, one for first sends, one for retries."""
 
 BULK_RANK = RANKS["bulk"] * RANKS_OF_CLASS
 
 FAIRNESS_INTERVAL = 16
-"""Every so many calls the last waiting rank goes first, so that it moves."""
+"""Once in this many calls the last waiting rank goes first, so that it is not starved."""
 
 
 class Ticket(msgspec.Struct, eq=False):
-    """One call's place in the queue; ``excluded``: nodes that failed it before.
-
-    One that may not wait is refused where no slot is free; another one waits until
-    ``start_by`` (monotonic seconds).  ``is_client_retry``: it was refused before.
-    ``prefers_far``: back ends near by had no slot, so one of another zone is asked.
-    ``route`` tells how long it is likely to run.  A back end of another zone is worth the
-    way if it answers so much sooner than one nearby (``crossing_seconds``).  ``lane``
-    tells the version of the service's software that the call was drawn for, ``tenant`` on
-    whose behalf it is made ("" where there are none).  Where the ``answer_is_large`` it
-    takes room on a link, and should be through by ``due`` (monotonic seconds).
+    """One call's place in the queue.
+
+    - ``excluded``: nodes that failed the call before.
+    - ``may_wait``: if false, the call is refused at once when no slot is free; otherwise it
+      waits until ``start_by`` (monotonic seconds).
+    - ``is_client_retry``: it was refused before.
+    - ``prefers_far``: nearby back ends had no slot, so one of another zone is preferred.
+    - ``route``: determines how long it is likely to run.
+    - ``crossing_seconds``: how much sooner a back end of another zone must answer than a
+      nearby one to be chosen.
+    - ``lane``: the version of the service's software chosen for the call.
+    - ``tenant``: on whose behalf it is made, "" if there are no tenants.
+    - ``answer_is_large``: its answer takes room on a link and should arrive by ``due``
+      (monotonic seconds).
     """
 
     number: int
@@ -59,97 +64,101 @@
 
     @property
     def rank(self) -> int:
-        """What goes first, lowest first: class, the route's priority, first calls."""
-        return line_of(self.call_class, self.priority) + self.is_client_retry
+        """Rank in the queue, lowest first: by class, the route's priority, first sends."""
+        return base_rank(self.call_class, self.priority) + self.is_client_retry
 
 
-def line_of(call_class: CallClass, priority: int) -> int:
-    """Give the rank of the first sends of a class and priority, lowest first."""
+def base_rank(call_class: CallClass, priority: int) -> int:
+    """Return the rank of the first sends of a class and priority, lowest first."""
     return RANKS[call_class] * RANKS_OF_CLASS + 2 * min(priority, PRIORITIES - 1)
 
 
 class WaitingQueue:
-    """Tickets in order; the least important one gives way when it is full.
+    """Tickets in order; if the queue is full, the least important one is evicted.
 
-    Within a rank the tenants who wait have fair shares; calls without a tenant go by
-    deadline.
+    Within a rank, the waiting tenants have fair shares; calls without a tenant are ordered
+    by deadline.
     """
 
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
-        """Start empty; ``weight_of`` gives a tenant's share against those of others."""
+        """Start empty; ``weight_of`` returns a tenant's share relative to the others."""
         self._weight_of = weight_of
-        self._lines: dict[int, FairLine[Ticket]] = {}
+        self._queues: dict[int, FairQueue[Ticket]] = {}
         self._length = 0
         self._taken = 0
 
     def __len__(self) -> int:
-        """Tickets that wait."""
+        """Return the number of waiting tickets."""
         return self._length
 
     def ahead_of(self, ticket: Ticket) -> int:
-        """Give how many waiting tickets a new one would stand behind."""
+        """Return how many waiting tickets would go before a new one."""
         own_rank = ticket.rank
         ahead = 0
-        for rank, line in self._lines.items():
+        for rank, queue in self._queues.items():
             if rank < own_rank:
-                ahead += line.waiting
+                ahead += queue.waiting
             elif rank == own_rank:
-                ahead += line.ahead_of(ticket.tenant, ticket.deadline)
+                ahead += queue.ahead_of(ticket.tenant, ticket.deadline)
         return ahead
 
     def push(self, ticket: Ticket) -> None:
         """Add a ticket."""
         ticket.waiting = True
         self._length += 1
-        line = self._lines.get(ticket.rank)
-        if line is None:
-            line = self._lines[ticket.rank] = FairLine[Ticket](self._weight_of)
-        line.push(ticket)
+        queue = self._queues.get(ticket.rank)
+        if queue is None:
+            queue = self._queues[ticket.rank] = FairQueue[Ticket](self._weight_of)
+        queue.push(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        """Take a ticket out, wherever it stands."""
+        """Remove a ticket, whatever its position."""
         if ticket.waiting:
             ticket.waiting = False
             self._length -= 1
-            self._lines[ticket.rank].left(ticket)
+            self._queues[ticket.rank].left(ticket)
 
     def peek(self, with_bulk: bool = True) -> Ticket | None:
-        """Give the next ticket; without ``with_bulk`` those of that class stay."""
-        for rank in sorted(self._lines, reverse=self._lowest_first()):
+        """Return the next ticket, or None; without ``with_bulk``, bulk ones are skipped."""
+        for rank in sorted(self._queues, reverse=self._lowest_first()):
             if rank >= BULK_RANK and not with_bulk:
                 continue
-            first = self._lines[rank].first()
+            first = self._queues[rank].first()
             if first is not None:
                 return first
         return None
 
-    def take_out(self, is_out: Callable[[Ticket], bool]) -> list[Ticket]:
-        """Take out the waiting tickets for which ``is_out`` holds."""
-        out = [ticket for line in self._lines.values() for ticket in line if is_out(ticket)]
+    def remove_matching(self, matches: Callable[[Ticket], bool]) -> list[Ticket]:
+        """Remove and return the waiting tickets for which ``matches`` is true."""
+        out = [
+            ticket for queue in self._queues.values() for ticket in queue if matches(ticket)
+        ]
         for ticket in out:
             self.remove(ticket)
         return out
 
     def taken(self, ticket: Ticket) -> None:
-        """A ticket got its slot."""
+        """Record that a ticket got its slot, and remove it."""
         self._taken += 1
         if ticket.waiting:
-            self._lines[ticket.rank].served(ticket)
+            self._queues[ticket.rank].served(ticket)
         self.remove(ticket)
 
-    def gives_way(self, ticket: Ticket) -> Ticket | None:
-        """Give the ticket that leaves its place to a new one; None if none does.
+    def displaced_by(self, ticket: Ticket) -> Ticket | None:
+        """Return the ticket to evict in favour of a new one, or None if there is none.
 
-        That is one of the last rank, and there of the tenant that holds most.
+        It is one of the last rank, and there of the tenant that holds most.
         """
-        for rank in sorted(self._lines, reverse=True):
-            line = self._lines[rank]
-            if not line.waiting:
+        for rank in sorted(self._queues, reverse=True):
+            queue = self._queues[rank]
+            if not queue.waiting:
                 continue
-            last = line.last()
+            last = queue.last()
             if ticket.rank < rank:
                 return last
-            is_less = ticket.rank == rank and line.holds_less(ticket.tenant, last.tenant)
+            is_less = ticket.rank == rank and queue.would_hold_less(
+                ticket.tenant, last.tenant
+            )
             return last if is_less else None
         return None
 
--- a/tests/data_plane/test_callers_leave_large_answers.py
+++ b/tests/data_plane/test_callers_leave_large_answers.py
@@ -1,8 +1,8 @@
-"""A caller that leaves midway keeps a link from others for half a second at the most.
+"""A caller that disconnects midway occupies the links for at most half a second more.
 
-Virtual time; the links' queues stand for the buffers of the systems and of the network.
-The way of an answer is the product's: ``PacedAnswer`` at the back end's node and at the
-caller's, with the window that the caller's node gives.
+Runs in virtual time; the links' queues model the buffers of the operating systems and of
+the network. The answer passes through the product's code: ``PacedAnswer`` at the owner and
+at the caller's node, with the window that the caller's node announces.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from peppershore.process.node.data.paced_answer import LargeTerms, PacedAnswer
 from peppershore.request.outcome import Failed
 
-MOST_SECONDS = 0.5
-"""What operators are promised."""
+MAX_OCCUPIED_SECONDS = 0.5
+"""The bound promised to operators."""
 
-WAY_SECONDS = 0.0015
+PATH_SECONDS = 0.0015
 LEAVER_BYTES = 4_000_000
 OTHER_BYTES = 90_000
 READ_BYTES = 16 * 1024
@@ -27,8 +27,8 @@
 TERMS = LargeTerms("frames", 600.0, 0.0, elsewhere=False)
 
 
-class _Quiet:
-    """Those parts of an attempt and of its sink that no scene here needs."""
+class _NoOp:
+    """Empty implementations of the methods of attempts and sinks not needed here."""
 
     def send_data(self, data: bytes) -> None:
         pass
@@ -61,8 +61,8 @@
         raise AssertionError(failed)
 
 
-class BackEnd(_Quiet):
-    """Answers at once with so many bytes, as fast as they are read."""
+class BackEnd(_NoOp):
+    """Answers at once with ``octets`` bytes, as fast as they are read."""
 
     def __init__(self, octets: int, sink: AttemptSink) -> None:
         self.left = octets
@@ -92,40 +92,40 @@
         self._sink.answer_batch_ended()
 
 
-class OwnersLink(_Quiet):
-    """An attempt of the caller's node: the answer comes over the owner's link.
+class OwnersLink(_NoOp):
+    """An attempt of the caller's node, whose answer comes over the owner's link.
 
-    So many bytes may be under way as the caller's node said; it gives credit for what it
-    took, unless it takes no more.
+    The window of the caller's node bounds the bytes in transit. It grants credit for
+    the bytes that it received, except while it is paused.
     """
 
     def __init__(self, owner: Wire, edge: Wire, octets: int, sink: AttemptSink) -> None:
         self._owner = owner
         self._sink = sink
         self._left = octets
-        self._room = edge.desk.window_bytes
-        self._credit_kept = 0
+        self._room = edge.scheduler.window_bytes
+        self._credit_withheld = 0
         self._is_paused = False
         self._is_owner_paused = False
         self.last_sent_at = 0.0
         self._paced = PacedAnswer(
-            owner.desk, TERMS, self, lambda paced: BackEnd(octets, paced)
+            owner.scheduler, TERMS, self, lambda paced: BackEnd(octets, paced)
         )
 
     def start(self) -> None:
-        self._owner.clock.after(WAY_SECONDS, self._paced.start)
+        self._owner.clock.after(PATH_SECONDS, self._paced.start)
 
     def cancel(self) -> None:
-        self._owner.clock.after(WAY_SECONDS, self._paced.cancel)
+        self._owner.clock.after(PATH_SECONDS, self._paced.cancel)
 
     def pause_answer(self) -> None:
         self._is_paused = True
 
     def resume_answer(self) -> None:
         self._is_paused = False
-        self._give_credit(0)
+        self._grant_credit(0)
 
-    # --- as the owner's sink
+    # --- AttemptSink of the owner
 
     def answer_data(self, data: bytes) -> None:
         self.last_sent_at = self._owner.clock.now + self._owner.link.backlog_seconds
@@ -145,14 +145,14 @@
             self._sink.answer_batch_ended()
         else:
             self._sink.answer_ended([])
-        self._give_credit(len(data))
+        self._grant_credit(len(data))
 
-    def _give_credit(self, octets: int) -> None:
-        self._credit_kept += octets
+    def _grant_credit(self, octets: int) -> None:
+        self._credit_withheld += octets
         if self._is_paused:
             return
-        credit, self._credit_kept = self._credit_kept, 0
-        self._owner.clock.after(2 * WAY_SECONDS, lambda: self._credited(credit))
+        credit, self._credit_withheld = self._credit_withheld, 0
+        self._owner.clock.after(2 * PATH_SECONDS, lambda: self._credited(credit))
 
     def _credited(self, octets: int) -> None:
         self._room += octets
@@ -161,8 +161,8 @@
             self._paced.resume_answer()
 
 
-class Caller(_Quiet):
-    """Asks at the edge for an answer of so many bytes, and may leave."""
+class Caller(_NoOp):
+    """Requests an answer of ``octets`` bytes at the edge node, and may disconnect."""
 
     def __init__(self, owner: Wire, edge: Wire, octets: int) -> None:
         self._edge = edge
@@ -174,7 +174,7 @@
             self.owners_link = OwnersLink(owner, edge, octets, sink)
             return self.owners_link
 
-        self._paced = PacedAnswer(edge.desk, TERMS, self, over_owner)
+        self._paced = PacedAnswer(edge.scheduler, TERMS, self, over_owner)
         self._paced.start()
 
     def leave(self) -> None:
@@ -182,15 +182,15 @@
 
     def answer_data(self, data: bytes) -> None:
         self.last_sent_at = self._edge.clock.now + self._edge.link.backlog_seconds
-        self._edge.link.carry(len(data), lambda: self._came(len(data)))
+        self._edge.link.carry(len(data), lambda: self._received(len(data)))
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        self._edge.link.carry(1, self._whole)
+        self._edge.link.carry(1, self._completed)
 
-    def _came(self, octets: int) -> None:
+    def _received(self, octets: int) -> None:
         self.got += octets
 
-    def _whole(self) -> None:
+    def _completed(self) -> None:
         self.ended_at = self._edge.clock.now
 
 
@@ -198,7 +198,7 @@
     ("owner_megabits", "edge_megabits"),
     [(1.0, 1.0), (3.9, 3.9), (6.0, 6.0), (6.0, 1.0), (1.0, 6.0)],
 )
-def test_a_caller_that_leaves_midway_keeps_no_link_for_long(
+def test_a_caller_that_leaves_midway_does_not_occupy_links_for_long(
     owner_megabits: float, edge_megabits: float
 ) -> None:
     clock = Clock()
@@ -211,22 +211,22 @@
     assert other.got == 0
     leaver.leave()
     clock.run(60.0)
-    assert leaver.last_sent_at <= LEAVES_AT + MOST_SECONDS
-    assert leaver.owners_link.last_sent_at <= LEAVES_AT + MOST_SECONDS
-    narrow = min(owner.desk.room.rate, edge.desk.room.rate)
+    assert leaver.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
+    assert leaver.owners_link.last_sent_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS
+    narrow = min(owner.scheduler.room.rate, edge.scheduler.room.rate)
     alone = OTHER_BYTES / narrow * 1.2
     assert other.got == OTHER_BYTES
-    assert other.ended_at <= LEAVES_AT + MOST_SECONDS + alone
+    assert other.ended_at <= LEAVES_AT + MAX_OCCUPIED_SECONDS + alone
     for wire in (owner, edge):
-        assert (wire.desk.room.transfers, wire.desk.room.held) == (0, 0)
+        assert (wire.scheduler.room.transfers, wire.scheduler.room.held) == (0, 0)
 
 
-def test_an_answer_behind_another_costs_no_more_than_its_window_when_dropped() -> None:
-    """It goes only while the one before it waits for credit."""
+def test_a_dropped_answer_behind_another_costs_at_most_its_window() -> None:
+    """It is sent only while the answer before it waits for credit."""
     clock = Clock()
     owner, edge = Wire(3.9, clock), Wire(3.9, clock)
     first = Caller(owner, edge, OTHER_BYTES)
-    window = edge.desk.window_bytes
+    window = edge.scheduler.window_bytes
     leaver = Caller(owner, edge, LEAVER_BYTES)
     clock.run(0.01)
     leaver.leave()
--- a/tests/data_plane/test_planned_stop.py
+++ b/tests/data_plane/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: no new work after a while, nothing in flight cut, a bound."""
+"""A planned stop refuses new calls after a while, cuts none in flight, and is bounded."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     monkeypatch.setattr(data_plane, "LEAVING_SECONDS", 0.1)
 
 
-async def _beside(address: str, seconds: float) -> Caller:
-    """Open a connection and give the system time before a request is sent on it."""
+async def _connect_and_wait(address: str, seconds: float) -> Caller:
+    """Open a connection, and wait some seconds before a request is sent on it."""
     caller = await Caller.connect(address)
     await asyncio.sleep(seconds)
     return caller
@@ -69,7 +69,7 @@
         drained = asyncio.create_task(edge.plane.drained(5.0))
         await asyncio.sleep(0.01)
         late = await call(address, method="POST", body=b"late")
-        assert late.body == b"ok:late", "until neighbours know, callers are answered"
+        assert late.body == b"ok:late", "callers are answered until neighbours know"
         assert late.headers["connection"] == "close"
         assert (await busy.answer()).body == b"ok:a"
         assert await idle.reader.read() == b""
@@ -80,7 +80,7 @@
     run(scene())
 
 
-def test_drain_ends_at_its_bound_and_says_what_is_left() -> None:
+def test_drain_ends_at_its_bound_and_reports_the_calls_cut() -> None:
     async def hang(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.reader.read(1)
         raise ConnectionError
@@ -100,7 +100,7 @@
     run(scene())
 
 
-def test_probe_tells_when_the_back_end_comes_and_goes() -> None:
+def test_probe_reports_when_the_back_end_is_up_and_down() -> None:
     async def scene() -> None:
         backend = ScriptedBackend()
         states: list[str] = []
@@ -124,7 +124,9 @@
 
         async def calls_on(request: Received, writer: asyncio.StreamWriter) -> None:
             await may_go_on.wait()
-            caller = await _beside(owner.addresses.callers, 5 * DRAIN_POLL_SECONDS)
+            caller = await _connect_and_wait(
+                owner.addresses.callers, 5 * DRAIN_POLL_SECONDS
+            )
             caller.request()
             inner.append((await caller.answer()).body.decode())
             await answer_ok(request, writer)
@@ -157,7 +159,7 @@
 def test_callers_that_know_no_other_node_are_answered_until_they_come_no_more(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where few nodes of a zone are ready, callers are not sent elsewhere."""
+    """Where few nodes of a zone are ready, callers are not redirected to others."""
     monkeypatch.setattr(data_plane, "CALLERS_QUIET_SECONDS", 2.0)
 
     async def scene() -> None:
