--- a/src/peppershore/version/__init__.py
+++ b/src/peppershore/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version: tree, resolved settings, snapshot, update."""
+"""Values of one configuration version: tree, resolved settings, snapshot, update."""
--- a/src/peppershore/version/active.py
+++ b/src/peppershore/version/active.py
@@ -1,4 +1,4 @@
-"""A snapshot opened for use: decoded routes, services and secrets, and matching."""
+"""A decoded snapshot as the data plane uses it, and the matching of routes."""
 
 from __future__ import annotations
 
@@ -24,18 +24,19 @@
 _INDEX_ATTRIBUTE = "route_index"
 _NAMES_ATTRIBUTE = "held_names"
 MatchOrder = tuple[int, bool, str, str]
-"""Longest prefix first, then the hosted service's own, then by service and route."""
+"""Sort key of a route: longest prefix first, then the routes of the service that the
+node hosts, then by names of service and route."""
 
 DOT_SEGMENTS = (".", "..")
 _SUSPICIOUS = re.compile(r"/\.|[%\\]")
-ENCODED_SIGNS = (("%2e", "."), ("%2f", "/"), ("%5c", "\\"), ("%3b", ";"))
+ENCODED_CHARACTERS = (("%2e", "."), ("%2f", "/"), ("%5c", "\\"), ("%3b", ";"))
 
 
 class RouteIndex:
-    """Routes by host and prefix, so that a match costs no walk over all of them."""
+    """Routes by host and path prefix; a match does not scan all routes."""
 
     def __init__(self, routes: Iterable[RouteResource]) -> None:
-        """Index routes that are in matching order."""
+        """Index ``routes``, which must be sorted by ``match_order``."""
         self._by_host: dict[str, dict[str, list[RouteResource]]] = {}
         for route in routes:
             of_host = self._by_host.setdefault(route.settings.host, {})
@@ -44,7 +45,10 @@
     def changed(
         self, gone: list[RouteResource], came: list[RouteResource], hosted: str
     ) -> RouteIndex:
-        """Give the index without some routes and with others; this one stays."""
+        """Return a new index without the routes ``gone`` and with the routes ``came``.
+
+        ``hosted`` is the service that the node hosts. This index is not changed.
+        """
         copy = RouteIndex(())
         copy._by_host = dict(self._by_host)
         for host in {route.settings.host for route in (*gone, *came)}:
@@ -70,7 +74,11 @@
             del self._by_host[host]
 
     def candidates(self, host: str, path: str) -> Iterator[RouteResource]:
-        """Give the routes that cover a path: longest prefix first, own host first."""
+        """Yield the routes whose prefix covers a path, whatever their methods.
+
+        Routes of ``host`` come before the routes of any host, and within each the
+        longest prefix comes first.
+        """
         hosts = (host, ANY_HOST) if host != ANY_HOST else (ANY_HOST,)
         for each in hosts:
             of_host = self._by_host.get(each)
@@ -81,11 +89,11 @@
 
 
 class ActiveConfiguration(Value, frozen=True, dict=True):
-    """All that one node holds, as its data plane uses it.
+    """The complete configuration of one node, as its data plane uses it.
 
-    ``services`` maps a name to its settings in the node's zone, ``secrets`` a
-    name to its generations; ``routes`` is in the order in which they match.
-    ``tenants`` maps a name to what is held of it.
+    ``services`` maps the name of a service to its settings in the node's zone,
+    ``secrets`` the name of a secret to its generations, and ``tenants`` the name of a
+    tenant to its resource. ``routes`` is sorted by ``match_order``.
     """
 
     scope: Scope
@@ -99,32 +107,35 @@
     def match_route(
         self, path: str, method: str, service: str = "", host: str = ""
     ) -> RouteResource | None:
-        """Give the route with the longest prefix of ``path`` that takes ``method``.
-
-        Routes of ``host`` alone go before those of every host.
-
-        ``service`` narrows the search to one service's routes.  Between routes
-        of equal prefix the hosted service's comes first, then by name.  A
-        prefix ends at a segment: "/pay" takes "/pay/1" and not "/payout".  A path
-        with dot segments matches nothing: what a back end makes of "/pay/../x"
-        may belong to another route, with another audience.
+        """Return the route that accepts ``method`` and has the longest prefix of ``path``.
+
+        Return None if there is none. Routes of ``host`` have precedence over the
+        routes of any host. ``service`` limits the search to the routes of one
+        service. Among routes of equal prefix, those of the service that the node
+        hosts come first, then they are sorted by name. A prefix ends at a segment:
+        "/pay" matches "/pay/1" and not "/payout". A path with dot segments matches
+        nothing, because a back end may resolve "/pay/../x" to a path of another
+        route, which may have another audience.
         """
         if _has_dot_segment(path):
             return None
         for route in self._index.candidates(host, path):
             if service and route.service != service:
                 continue
-            if _takes(route, method):
+            if _accepts_method(route, method):
                 return route
         return None
 
     def use_index(self, index: RouteIndex, names: Container[str]) -> None:
-        """Take an index of these routes, and the names of all that is held."""
+        """Set the index of the routes and the names of all resources of the snapshot.
+
+        Without this call both are computed at first use.
+        """
         self.__dict__[_INDEX_ATTRIBUTE] = index
         self.__dict__[_NAMES_ATTRIBUTE] = names
 
     def holds_route(self, service: str, route: str) -> bool:
-        """Whether there is such a route."""
+        """Report whether the configuration has this route of this service."""
         names: Container[str] | None = self.__dict__.get(_NAMES_ATTRIBUTE)
         if names is None:
             names = {route_name(each.service, each.route) for each in self.routes}
@@ -140,49 +151,58 @@
         return index
 
     def allowed_methods(self, path: str, service: str = "") -> tuple[str, ...]:
-        """Give the methods that some route takes on ``path``; none: no route."""
+        """Return the sorted methods that the routes matching ``path`` accept."""
         if _has_dot_segment(path):
             return ()
         methods: set[str] = set()
         for route in self.routes:
-            if (not service or route.service == service) and _covers(route, path):
+            if (not service or route.service == service) and _covers_path(route, path):
                 methods.update(route.settings.methods)
         return tuple(sorted(methods))
 
 
 def decode_contents(resources: Iterable[Resource]) -> list[ResourceContent]:
-    """Decode resources that were checked before; one that fails is a broken invariant."""
+    """Decode resources that were validated before.
+
+    Raise AssertionError if one can't be decoded.
+    """
     contents = []
     for resource in resources:
         content = decode_resource(resource).value_or(None)
         if content is None:
-            raise AssertionError(f"resource {resource.name} was taken in undecodable")
+            raise AssertionError(
+                f"resource {resource.name} was accepted but cannot be decoded"
+            )
         contents.append(content)
     return contents
 
 
 def match_order(hosted: str, route: RouteResource) -> MatchOrder:
-    """Give the key by which the routes of a snapshot are sorted; no two are equal."""
+    """Return the key by which the routes of a snapshot are sorted; keys are unique.
+
+    ``hosted`` is the service that the node hosts.
+    """
     length = len(route.settings.path_prefix)
     return (-length, route.service != hosted, route.service, route.route)
 
 
 def _has_dot_segment(path: str) -> bool:
-    """Tell whether a path, before its query, has a "." or ".." segment in any form.
+    """Report whether a path, without its query, has a "." or ".." segment in any form.
 
-    Percent-encoded, behind a backslash, or with parameters (";") it counts too.
+    Segments that are percent-encoded, that follow a backslash or that have parameters
+    (";") count too.
     """
     if _SUSPICIOUS.search(path) is None:
         return False
     plain = path.partition("?")[0].lower()
-    for encoded, sign in ENCODED_SIGNS:
-        plain = plain.replace(encoded, sign)
+    for encoded, character in ENCODED_CHARACTERS:
+        plain = plain.replace(encoded, character)
     segments = plain.replace("\\", "/").split("/")
     return any(segment.partition(";")[0] in DOT_SEGMENTS for segment in segments)
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """Give every prefix of a path that ends at a segment, the longest first."""
+    """Yield each prefix of a path that ends at a segment boundary, the longest first."""
     plain = path.partition("?")[0]
     yield plain
     end = len(plain)
@@ -194,12 +214,12 @@
         end = slash
 
 
-def _takes(route: RouteResource, method: str) -> bool:
+def _accepts_method(route: RouteResource, method: str) -> bool:
     methods = route.settings.methods
     return method in methods or methods == (ANY_METHOD,)
 
 
-def _covers(route: RouteResource, path: str) -> bool:
+def _covers_path(route: RouteResource, path: str) -> bool:
     prefix = route.settings.path_prefix
     if not path.startswith(prefix):
         return False
--- a/src/peppershore/version/catalog.py
+++ b/src/peppershore/version/catalog.py
@@ -1,13 +1,13 @@
-"""The catalog: the snapshot of every scope in use, kept up edit by edit.
+"""The catalog: the snapshots of all scopes in use, updated with each edit.
 
-A scope's resources are the hosted service and the services it calls, with
-their routes in the scope's zone; the services those routes go to; and the
-secrets those routes verify and the hosted service signs with.  All tenants
-belong to every scope that has anything.
+A scope has these resources: the hosted service and the services it calls, with
+their routes in the scope's zone; the services that are targets of those routes;
+and the secrets with which those routes verify tokens and the hosted service signs
+them. Every scope that has any resource also has all tenants.
 
-The work of one edit grows with what it changes: the services it touched are
-resolved again, once per zone in which they differ, and the scopes that hold a
-resource whose bytes changed are put together again from shared parts.
+The cost of an edit is proportional to what it changes. The services that it
+touched are resolved again, once per zone in which they differ, and the scopes
+that hold a resource whose encoding changed are rebuilt from shared entries.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 from peppershore.version.tree_index import index_of, split_path
 
 
-class _Changed(Value, frozen=True):
-    """What encodes otherwise than before."""
+class _ChangedResources(Value, frozen=True):
+    """The resources whose encoding an edit changed."""
 
     groups: set[GroupKey]
     secrets: set[str]
@@ -49,12 +49,12 @@
 class ScopeCatalog:
     """Snapshots and updates of all scopes in use, at the tree's version.
 
-    A scope comes into use with the first question about it and stays so until
-    it is forgotten.  Deltas reach back to when the scope came into use.
+    A scope is in use from the first request for it until ``forget``. Deltas start
+    from any digest in the scope's history, which begins when the scope comes into use.
     """
 
     def __init__(self) -> None:
-        """Begin with an empty tree; ``load`` gives the real one."""
+        """Start with an empty tree; ``load`` replaces it."""
         self._tree = empty_tree("")
         self._tables = EncodedTables()
         self._states: dict[Scope, ScopeState] = {}
@@ -63,110 +63,119 @@
 
     @property
     def tree(self) -> Tree:
-        """The tree that all answers come from."""
+        """Newest tree that was loaded or reached by edits."""
         return self._tree
 
     @property
     def version(self) -> Version:
-        """The version of the tree."""
+        """Version of the tree."""
         return self._tree.version
 
     @property
     def scopes(self) -> tuple[Scope, ...]:
-        """The scopes in use."""
+        """Scopes in use."""
         return tuple(self._states)
 
     def load(self, tree: Tree) -> tuple[Scope, ...]:
-        """Take a whole tree; give the scopes in use whose digest changed.
+        """Replace the tree; return the scopes in use whose digest changed.
 
-        Scopes in use keep their history, so that a catalog which fell behind
-        the log still gives deltas.  The version may not go back.
+        Scopes in use keep their history, so that a catalog that fell behind the
+        log can still produce deltas. Raise AssertionError if the version is lower
+        than that of the present tree.
         """
         if tree.version < self._tree.version:
-            raise AssertionError(f"{tree.version} is below {self._tree.version}")
+            raise AssertionError(f"{tree.version} is below version {self._tree.version}")
         former = self._tree
         self._tree = tree
         secrets = self._tables.secrets
-        changed = _Changed(
+        changed = _ChangedResources(
             groups=self._tables.groups.refresh(tree, self._all_groups()),
             secrets=secrets.refresh(tree, secrets.names),
             any_tenant=self._tables.tenants.refresh_all(tree),
         )
-        return self._put_together(former, changed)
+        return self._rebuild_scopes(former, changed)
 
     def advance(self, applied: AppliedEdit) -> tuple[Scope, ...]:
-        """Take the next edit; give the scopes in use whose digest changed."""
+        """Apply the next edit; return the scopes in use whose digest changed."""
         return self.advance_all((applied,))
 
     def advance_all(self, edits: Sequence[AppliedEdit]) -> tuple[Scope, ...]:
-        """Take the next edits at once; give the scopes in use whose digest changed.
+        """Apply the next edits together; return the scopes in use whose digest changed.
 
-        Costs what one edit that touches the same costs.  The digests between
-        the edits are not known afterwards: a holder of one gets full state.
+        The cost is that of one edit with the same changes. The digests between the
+        edits are not recorded: a holder of one of them gets full state. Raise
+        AssertionError if the versions do not rise.
         """
         former = self._tree
         for applied in edits:
             if applied.tree.version <= self._tree.version:
                 raise AssertionError(
-                    f"{applied.tree.version} does not follow {self._tree.version}"
+                    f"{applied.tree.version} is not above version {self._tree.version}"
                 )
             self._tree = applied.tree
         paths = frozenset().union(*(applied.changed_paths for applied in edits))
         secrets = frozenset().union(*(applied.changed_secrets for applied in edits))
         tenants = frozenset().union(*(applied.changed_tenants for applied in edits))
-        changed = _Changed(
+        changed = _ChangedResources(
             groups=self._tables.groups.refresh(self._tree, self._touched_groups(paths)),
             secrets=self._tables.secrets.refresh(self._tree, secrets),
             any_tenant=self._refresh_tenants(paths, tenants),
         )
-        return self._put_together(former, changed)
+        return self._rebuild_scopes(former, changed)
 
     def affected(self, applied: AppliedEdit) -> tuple[Scope, ...]:
-        """Give the scopes in use whose digest the newest edit changed."""
+        """Return the scopes in use whose digest the newest edit changed.
+
+        Raise AssertionError if ``applied`` is not the newest edit.
+        """
         if applied.tree.version != self._tree.version:
-            raise AssertionError("only the newest edit's scopes are known")
+            raise AssertionError("affected scopes are known only for the newest edit")
         return self._last_affected
 
     def use(self, scope: Scope) -> None:
-        """Keep a scope up to date from now on, so that deltas reach back to now."""
+        """Start to track a scope, so that deltas can start from its present state."""
         self._state(scope)
 
     def forget(self, scope: Scope) -> None:
-        """Stop keeping a scope that nobody uses."""
+        """Stop tracking a scope; its history is lost."""
         state = self._states.pop(scope, None)
         if state is not None:
             self._holders.remove(scope)
 
     def snapshot(self, scope: Scope) -> Snapshot:
-        """Give all that a node of a scope must hold."""
+        """Return the complete state of a node of this scope."""
         state = self._state(scope)
         resources = {name: entry.resource for name, entry in state.entries.items()}
         return Snapshot(scope, self.version, state.digest, resources)
 
     def digest(self, scope: Scope) -> Digest:
-        """Give the digest of a scope's snapshot."""
+        """Return the digest of a scope's snapshot."""
         return self._state(scope).digest
 
     def changed_at(self, scope: Scope) -> Version:
-        """Give the version at which a scope got its present digest.
+        """Return the version at which a scope got its present digest.
 
-        For a scope that has not changed since it came into use, it is the
-        version of that moment.
+        For a scope that has not changed since it came into use, that is the version
+        at which it came into use.
         """
         return self._state(scope).changed_at
 
     def services_held(self, scope: Scope) -> frozenset[str]:
-        """Give the services a node of a scope holds, so whose endpoints it needs."""
+        """Return the services that a node of a scope holds.
+
+        These are the services whose endpoints the node needs.
+        """
         self._state(scope)
         return self._holders.services_of(scope)
 
     def update_since(self, scope: Scope, version: Version, digest: Digest) -> Update | None:
-        """Give what a holder lacks; None if it lacks nothing.
+        """Return the update that a holder needs; None if it needs none.
 
-        The holder's digest says what it holds: equal to the scope's, it lacks
-        nothing, whatever its version; one of the scope's former digests, it
-        gets the difference; any other, it gets full state.  A holder above the
-        catalog's version gets nothing: what is here is older than what it has.
+        The holder's digest determines the update. If it equals the scope's present
+        digest, the holder needs none, whatever its version. If it is one of the
+        scope's former digests, the holder gets the difference. For any other digest
+        it gets full state. A holder whose version is above the catalog's gets no
+        update, because the catalog's state is older than the holder's.
         """
         state = self._state(scope)
         if version > self.version:
@@ -186,7 +195,10 @@
         return dict.fromkeys(self._tables.groups.services, frozenset({ANY_ZONE}))
 
     def _refresh_tenants(self, paths: frozenset[str], names: frozenset[str]) -> bool:
-        """Encode tenants again that an edit touched; all of them inherit from the root."""
+        """Encode again the tenants that an edit touched; report whether any changed.
+
+        If the root changed, that is all tenants, because they inherit from it.
+        """
         if ROOT_PATH in paths:
             return self._tables.tenants.refresh_all(self._tree)
         return self._tables.tenants.refresh(self._tree, names)
@@ -200,11 +212,14 @@
             zones[path.service].add(path.zone or ANY_ZONE)
         return {service: frozenset(names) for service, names in zones.items()}
 
-    def _put_together(self, former: Tree, changed: _Changed) -> tuple[Scope, ...]:
-        """Put together the scopes that hold what changed; give those that differ.
+    def _rebuild_scopes(
+        self, former: Tree, changed: _ChangedResources
+    ) -> tuple[Scope, ...]:
+        """Rebuild the scopes that hold what changed; return those whose digest changed.
 
-        A scope that holds every service is also concerned by one that is new, which
-        nobody holds yet; every scope by tenants.
+        A service that is new or removed may concern scopes that hold every service,
+        and the index of holders does not list a new one yet. A change of the set of
+        services therefore rebuilds every scope in use, and so does a change of tenants.
         """
         affected = []
         concerned = self._holders.holders_of(changed.groups, changed.secrets)
--- a/src/peppershore/version/closure.py
+++ b/src/peppershore/version/closure.py
@@ -1,4 +1,4 @@
-"""The closure of a snapshot: everything its resources name is held as well."""
+"""Closure check of a snapshot: every resource that its resources name is in it too."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def find_gaps(scope: Scope, resources: Iterable[Resource]) -> tuple[str, ...]:
-    """Give one text for each name that is used and not held, sorted.
+    """Return one sorted text for each resource that is used but missing.
 
-    A node that holds nothing at all has no gap: its service is not in the tree; nor
-    need it be where everybody holds every service.  A service's ``calls`` and
-    ``sign_secret`` count on its own nodes only: a caller neither follows the calls of
-    what it calls nor signs for it.
+    A snapshot without resources has no gap: the tree does not have the scope's service.
+    The scope's service may also be missing where nodes hold every service. The
+    ``calls`` and the ``sign_secret`` of a service count only on the nodes that host it,
+    because its callers neither need the services that it calls nor sign for it.
     """
     contents = decode_contents(resources)
     services = {each.service for each in contents if isinstance(each, ServiceResource)}
@@ -40,7 +40,7 @@
     held = {resource_name(each) for each in contents}
     for content in contents:
         gaps.update(
-            f"{_where(content)} uses {_shown(name)}, which is not held"
+            f"{_describe_user(content)} uses {_readable_name(name)}, which is not held"
             for name in used_names(scope, content)
             if name not in held
         )
@@ -48,7 +48,7 @@
 
 
 def used_names(scope: Scope, content: ResourceContent) -> tuple[str, ...]:
-    """Give the names of the resources that a holder needs beside this one."""
+    """Return the names of the other resources that a holder of this one needs."""
     if isinstance(content, RouteResource):
         services = {content.service, *targets_of(content.settings)}
         secret = content.settings.verify_secret
@@ -61,11 +61,11 @@
     return (*names, secret_name(secret)) if secret else names
 
 
-def _where(content: ResourceContent) -> str:
+def _describe_user(content: ResourceContent) -> str:
     if isinstance(content, RouteResource):
         return f"route {content.service}/{content.route}"
     return resource_name(content).replace(":", " ", 1)
 
 
-def _shown(name: str) -> str:
+def _readable_name(name: str) -> str:
     return name.replace(":", " ", 1)
--- a/src/peppershore/version/cycles.py
+++ b/src/peppershore/version/cycles.py
@@ -8,21 +8,23 @@
 
 
 def find_cycles(graph: Graph) -> list[tuple[str, ...]]:
-    """Give each group of services that reach each other, members sorted.
+    """Return each group of services that can reach each other, members sorted.
 
-    A service that refers to itself is a group of one.  References to services
-    that the graph does not have are ignored.  Peels off, again and again, the
-    services that nobody refers to or that refer to nobody; what stays is split
-    into components.
+    A service that refers to itself is a group of one. References to services that
+    the graph does not have are ignored. Services without references are removed
+    repeatedly until each remaining one has some; the rest is split into components.
     """
-    remaining = _peel(graph)
+    remaining = _remove_leaves(graph)
     if not remaining:
         return []
     return _components(remaining)
 
 
-def _peel(graph: Graph) -> dict[str, set[str]]:
-    """Drop every service that can't be on a cycle for want of edges out of it."""
+def _remove_leaves(graph: Graph) -> dict[str, set[str]]:
+    """Remove services without outgoing edges until each remaining one has some.
+
+    A service that is removed can't be on a cycle.
+    """
     forward = {
         name: {other for other in others if other in graph}
         for name, others in graph.items()
@@ -43,8 +45,8 @@
 
 
 def _components(graph: dict[str, set[str]]) -> list[tuple[str, ...]]:
-    """Group services that reach each other, by mutual reachability."""
-    reachable = {name: frozenset(_reach(graph, name)) for name in graph}
+    """Return the groups of services that can reach each other, sorted."""
+    reachable = {name: frozenset(_reachable_from(graph, name)) for name in graph}
     grouped: set[str] = set()
     components = []
     for name in sorted(graph):
@@ -58,8 +60,8 @@
     return components
 
 
-def _reach(graph: dict[str, set[str]], start: str) -> Iterator[str]:
-    """Give every service that can be reached from ``start`` in one step or more."""
+def _reachable_from(graph: dict[str, set[str]], start: str) -> Iterator[str]:
+    """Yield every service that can be reached from ``start`` in one step or more."""
     seen: set[str] = set()
     waiting = [start]
     while waiting:
--- a/src/peppershore/version/difference.py
+++ b/src/peppershore/version/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two trees, for people and for the command line."""
+"""Differences between two trees, as the command line and other outputs show them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 
 class Difference(Value, frozen=True):
-    """One setting, zone, secret or tenant that is not the same in two trees.
+    """One setting of a node, zone, secret or tenant that differs between two trees.
 
-    ``subject`` is a path, "zone:NAME", "secret:NAME" or "tenant:NAME".  ``setting``
-    is empty where a node without overrides comes or goes.  ``before`` and ``after``
-    are JSON texts, empty for absent.  Of a secret only the numbers of its
-    generations show, never its material; of a tenant's keys their fingerprints.
+    ``subject`` is a path, "zone:NAME", "secret:NAME" or "tenant:NAME". ``setting``
+    is empty where a node without overrides is added or removed. ``before`` and
+    ``after`` are JSON texts, empty where the setting is absent. A secret is shown by
+    the numbers of its generations, never by its key material; the keys of a tenant are
+    shown by their fingerprints.
     """
 
     subject: str
@@ -35,20 +36,20 @@
 
 
 def compare_trees(before: Tree, after: Tree) -> tuple[Difference, ...]:
-    """Give all differences between two trees, sorted by subject and setting.
+    """Return all differences between two trees, sorted by subject and setting.
 
-    Revisions don't count: two trees of the same content have no differences.
+    Revisions are not compared: two trees of the same content have no differences.
     """
     found = [
-        *_compare(before.nodes, after.nodes, "", _node_settings),
-        *_compare(before.zones, after.zones, ZONE_SUBJECT, _zone_settings),
-        *_compare(before.secrets, after.secrets, SECRET_SUBJECT, _secret_settings),
-        *_compare(before.tenants, after.tenants, TENANT_SUBJECT, _tenant_settings),
+        *_compare_items(before.nodes, after.nodes, "", _node_settings),
+        *_compare_items(before.zones, after.zones, ZONE_SUBJECT, _zone_settings),
+        *_compare_items(before.secrets, after.secrets, SECRET_SUBJECT, _secret_settings),
+        *_compare_items(before.tenants, after.tenants, TENANT_SUBJECT, _tenant_settings),
     ]
     return tuple(sorted(found, key=lambda each: (each.subject, each.setting)))
 
 
-def _compare(
+def _compare_items(
     before: Mapping[str, _Item],
     after: Mapping[str, _Item],
     prefix: str,
--- a/src/peppershore/version/editor.py
+++ b/src/peppershore/version/editor.py
@@ -1,4 +1,4 @@
-"""The operations of an edit, carried out on copies of a tree's maps."""
+"""The operations of an edit, applied to copies of a tree's maps."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class AppliedEdit(Value, frozen=True):
-    """The tree after an edit and what the edit touched."""
+    """The tree after an edit, and the paths and names that the edit touched."""
 
     tree: Tree
     changed_paths: frozenset[str]
@@ -47,12 +47,12 @@
 
 
 class Editor:
-    """Carries out the operations of one edit on copies of the tree's maps."""
+    """Applies the operations of one edit to copies of the tree's maps."""
 
     def __init__(
         self, tree: Tree, change_id: str, version: Version, release: Version = 0
     ) -> None:
-        """``release`` 0 leaves the tree's release as it is."""
+        """Start with the maps of ``tree``; ``release`` 0 keeps the tree's release."""
         self._release = release or tree.release
         self.problems: list[Problem] = []
         self._before = tree
@@ -68,7 +68,7 @@
         self._tenant_names: set[str] = set()
 
     def finish(self) -> AppliedEdit:
-        """Give the edited tree, with an index derived from the former one's."""
+        """Return the edited tree, with an index derived from that of the former tree."""
         after = Tree(
             cluster=self._before.cluster,
             version=self._version,
@@ -89,8 +89,8 @@
 
     @singledispatchmethod
     def apply(self, operation: Operation) -> None:
-        """Carry out one operation; what hinders it is added to ``problems``."""
-        raise AssertionError(f"no rule for {type(operation).__name__}")
+        """Apply one operation; if it can't be applied, add the reasons to ``problems``."""
+        raise AssertionError(f"no handler for operation {type(operation).__name__}")
 
     @apply.register
     def _set_overrides(self, operation: model.SetOverrides) -> None:
@@ -127,14 +127,14 @@
         if operation.path == ROOT_PATH:
             self._refuse(Problem(ROOT_PATH, "the root can't be removed", "unset settings"))
             return
-        doomed = self._at_and_below(operation.path)
-        if not doomed:
+        removed = self._at_and_below(operation.path)
+        if not removed:
             self._refuse(Problem(operation.path, "there is no such node", ""))
             return
-        self._own_nodes()
-        for path in doomed:
+        self._copy_nodes_once()
+        for path in removed:
             del self._nodes[path]
-        self._paths |= doomed
+        self._paths |= removed
 
     @apply.register
     def _set_zone(self, operation: model.SetZone) -> None:
@@ -199,7 +199,7 @@
             subject = f"{SECRET_SUBJECT}{operation.name}"
             self._refuse(Problem(subject, "there is no such secret", ""))
             return
-        self._own_secrets()
+        self._copy_secrets_once()
         del self._secrets[operation.name]
         self._secret_names.add(operation.name)
 
@@ -209,7 +209,7 @@
         keys = operation.keys
         if keys is UNSET:
             keys = () if known is None else known.keys
-        self._own_tenants()
+        self._copy_tenants_once()
         self._tenants[operation.name] = Tenant(
             keys=keys,
             **given_limits(operation),
@@ -230,7 +230,7 @@
             for reason in changed.failure():
                 self._refuse(Problem(subject, reason, ""))
             return
-        self._own_tenants()
+        self._copy_tenants_once()
         self._tenants[operation.name] = msgspec.structs.replace(
             known,
             keys=changed.unwrap(),
@@ -245,22 +245,22 @@
             subject = f"{TENANT_SUBJECT}{operation.name}"
             self._refuse(Problem(subject, "there is no such tenant", ""))
             return
-        self._own_tenants()
+        self._copy_tenants_once()
         del self._tenants[operation.name]
         self._tenant_names.add(operation.name)
 
     def _refuse(self, problem: Problem) -> None:
         self.problems.append(problem)
 
-    def _own_nodes(self) -> None:
+    def _copy_nodes_once(self) -> None:
         if self._nodes is self._before.nodes:
             self._nodes = dict(self._nodes)
 
-    def _own_secrets(self) -> None:
+    def _copy_secrets_once(self) -> None:
         if self._secrets is self._before.secrets:
             self._secrets = dict(self._secrets)
 
-    def _own_tenants(self) -> None:
+    def _copy_tenants_once(self) -> None:
         if self._tenants is self._before.tenants:
             self._tenants = dict(self._tenants)
 
@@ -275,12 +275,12 @@
             self._store_node(path, merged)
 
     def _store_node(self, path: str, overrides: Overrides) -> None:
-        self._own_nodes()
+        self._copy_nodes_once()
         self._nodes[path] = TreeNode(overrides, self._version, self._change_id)
         self._paths.add(path)
 
     def _store_secret(self, name: str, secret: Secret) -> None:
-        self._own_secrets()
+        self._copy_secrets_once()
         self._secrets[name] = secret
         self._secret_names.add(name)
 
--- a/src/peppershore/version/encoded.py
+++ b/src/peppershore/version/encoded.py
@@ -1,8 +1,9 @@
 """Resolved and encoded resources: one service in one zone, one secret or one tenant.
 
-A zone in which a service overrides nothing resolves to the same as "any zone",
-so all such zones share one group of resources.  A resource whose bytes did not
-change keeps its identity from tree to tree; who holds it need not look inside.
+All zones in which a service overrides nothing resolve to the same settings as "any
+zone", so they share one group of resources. A resource whose encoding did not change
+remains the same object from tree to tree, so that a change is found by identity,
+without a comparison of content.
 """
 
 from __future__ import annotations
@@ -51,11 +52,11 @@
 
 
 RouteNodes = tuple[TreeNode | None, TreeNode | None]
-"""The nodes of a route for every zone and for one of them."""
+"""Nodes of a route: the one for every zone, and the one for a single zone."""
 
 
 class EncodedRoute(Value, frozen=True):
-    """A route as it was encoded, and the nodes of the tree that it was made from."""
+    """An encoded route, and the nodes of the tree from which it was resolved."""
 
     nodes: RouteNodes
     entry: Entry
@@ -64,9 +65,9 @@
 
 
 class ServiceGroup(Value, frozen=True):
-    """A service and its routes in a zone, encoded, and the names they use.
+    """A service and its routes in a zone, encoded, and the names that they use.
 
-    ``inherited`` is what all its routes inherit.
+    ``inherited`` has the settings that all of its routes inherit.
     """
 
     service: Entry
@@ -80,16 +81,16 @@
 
     @property
     def entries(self) -> tuple[Entry, ...]:
-        """The service and its routes."""
+        """Entries of the service and of its routes."""
         return (self.service, *(each.entry for each in self.routes.values()))
 
 
 FormerGroups = Sequence[ServiceGroup]
-"""Groups of the same service, whose entries are used again for equal resources."""
+"""Former groups of the same service; their entries are reused for equal resources."""
 
 
 def overrides_in_zone(tree: Tree, service: str, zone: str) -> bool:
-    """Tell whether a service has nodes of its own in a zone."""
+    """Report whether a service has nodes that apply to this zone only."""
     branch = index_of(tree).get(service)
     return branch is not None and zone in branch.zones
 
@@ -99,21 +100,21 @@
 ) -> ServiceGroup | None:
     """Resolve and encode a service and its routes; None if there is no such service.
 
-    A route that was made from the same nodes before is taken as it was, so that a
-    change costs by the routes it touched.
+    A route that was resolved from the same nodes before is reused, so that the cost of
+    a change is proportional to the number of routes that it touches.
     """
     if service not in index_of(tree):
         return None
     inherited = _inherited_values(tree, service, zone)
     service_settings = _service_settings(inherited)
-    alike = [each for each in former if each.inherited == inherited]
+    with_equal_inheritance = [each for each in former if each.inherited == inherited]
     routes: dict[str, EncodedRoute] = {}
     everywhere, here = route_path(service, ANY_ZONE, ""), route_path(service, zone, "")
     for route in routes_of(tree, service, zone):
         nodes = (tree.nodes.get(everywhere + route), tree.nodes.get(here + route))
-        routes[route] = _made_from(nodes, route, alike) or _encode_route(
-            RouteName(service, route), nodes, inherited, former
-        )
+        routes[route] = _find_reusable_route(
+            nodes, route, with_equal_inheritance
+        ) or _encode_route(RouteName(service, route), nodes, inherited, former)
     content = ServiceResource(service, service_settings)
     return ServiceGroup(
         service=_entry(content, [each.service for each in former]),
@@ -136,7 +137,7 @@
 
 
 def encode_tenant(tree: Tree, name: str, former: Entry | None) -> Entry:
-    """Encode a tenant: the digests of its keys, and what holds for it."""
+    """Encode a tenant: the digests of its keys, and its effective limits and priority."""
     limits = limits_of(tree, name)
     content = TenantResource(
         name=name,
@@ -155,8 +156,10 @@
     route: str
 
 
-def _made_from(nodes: RouteNodes, route: str, former: FormerGroups) -> EncodedRoute | None:
-    """Give the route that was made from the very same nodes, if there is one."""
+def _find_reusable_route(
+    nodes: RouteNodes, route: str, former: FormerGroups
+) -> EncodedRoute | None:
+    """Return the route resolved from the identical nodes; None if there is none."""
     for group in former:
         known = group.routes.get(route)
         if known and known.nodes[0] is nodes[0] and known.nodes[1] is nodes[1]:
@@ -182,14 +185,14 @@
 
 
 def targets_of(settings: RouteSettings) -> frozenset[str]:
-    """Give the services that a route's calls go to."""
+    """Return the services that receive the calls of a route."""
     if settings.splits:
         return split_services(settings.splits)
     return frozenset({settings.target})
 
 
 def _entry(content: ResourceContent, former: Iterable[Entry]) -> Entry:
-    """Encode a content; give the former entry of the same bytes if there is one."""
+    """Encode ``content``; return the former entry with the same bytes if there is one."""
     resource = encode_resource(content)
     for entry in former:
         if entry.resource == resource:
@@ -198,7 +201,7 @@
 
 
 def _inherited_values(tree: Tree, service: str, zone: str) -> dict[str, Any]:
-    """Overlay everything that the zone's routes and the service itself inherit."""
+    """Return the overrides that the service and its routes inherit in a zone."""
     values: dict[str, Any] = {}
     for path in service_layers(service, zone):
         node = tree.nodes.get(path)
--- a/src/peppershore/version/hidden.py
+++ b/src/peppershore/version/hidden.py
@@ -1,7 +1,7 @@
-"""The text form of values that may hold key material or callers' data.
+"""Text form of values that may hold key material or callers' data.
 
-Both are always ``bytes`` in this system, so that hiding every field of bytes
-keeps them out of logs, tracebacks and assertion messages.
+Both are ``bytes`` in the values that use ``describe``, so hiding the content of all
+``bytes`` keeps them out of logs, tracebacks and assertion messages.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def describe(value: msgspec.Struct) -> str:
-    """Give a ``repr`` that shows of bytes only how many there are."""
+    """Return a ``repr`` that shows only the length of each ``bytes`` value."""
     names = value.__struct_fields__
     fields = (f"{name}={_field(getattr(value, name))}" for name in names)
     return f"{type(value).__name__}({', '.join(fields)})"
--- a/src/peppershore/version/model.py
+++ b/src/peppershore/version/model.py
@@ -1,8 +1,8 @@
 """The typed values of a configuration version: tree, edit, resource, snapshot, update.
 
-Everything here is an immutable value without behaviour.  The stages of the
-pipeline (tree -> resolved -> snapshot -> update) live in the other modules of
-this package and exchange these values.
+All types are immutable values without behaviour. The stages of the pipeline
+(tree -> resolved settings -> snapshot -> update) are in the other modules of this
+package and exchange these values.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from peppershore.version.hidden import describe
 
 Version = int
-"""Position of an accepted change in the replicated log; 0 means "nothing yet"."""
+"""Position of an accepted edit in the replicated log; 0 before the first one."""
 
 Digest = int
 """Unsigned 64-bit digest of a resource or of a whole snapshot."""
@@ -24,7 +24,7 @@
 """Path of the tree's root."""
 
 ANY_ZONE = "*"
-"""Zone segment of a path that applies to every zone of a service."""
+"""Zone segment of a path whose node applies to every zone."""
 
 ANY_METHOD = "*"
 """Stands for every method in a route's ``methods``."""
@@ -33,21 +33,21 @@
 Audience = Literal["public", "member", "internal"]
 HopMode = Literal["direct", "owner"]
 RolloutState = Literal["", "running", "completed", "rolled_back"]
-"""Of the latest roll-out of a service; "" before the first."""
+"""State of the latest roll-out of a service; "" before the first."""
 Figure = int | float
-"""A number that is given back as it was given: a whole one stays whole."""
+"""A number that is returned in the type in which it was sent: 350 stays an integer."""
 
 
 class Value(msgspec.Struct, frozen=True):
-    """Base of the immutable values of a version."""
+    """Base class of the immutable values of a configuration version."""
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Return a text that shows only the length of each ``bytes`` value."""
         return describe(self)
 
 
 class Overrides(Value, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """What one node of the tree overrides; an unset field is inherited."""
+    """The settings that one node of the tree overrides; an unset field is inherited."""
 
     path_prefix: str | UnsetType = UNSET
     methods: tuple[str, ...] | UnsetType = UNSET
@@ -100,15 +100,16 @@
 class RouteSettings(Value, frozen=True):
     """Effective settings of one route in one zone, after inheritance.
 
-    ``host`` "" takes every host, ``methods`` "*" every method.  ``splits`` share the
-    calls out over services by weight, in place of ``target``.  ``priority`` 0 is the
-    most urgent.  ``target_latency_milliseconds`` 0 names no aim.  With
-    ``retry_errors`` a call that may be repeated is tried elsewhere when a back end
-    itself fails (5xx).  With ``streamed_bodies`` a request's body may be large: it is
-    passed on as it comes, and kept for another attempt only as far as it goes out
-    before a back end takes it.  With ``large_answers`` answers are so large that the
-    link of the back end's node bounds how many are given at a time.  Where the tree has
-    tenants, a call carries a tenant's key unless its route is ``keyless``.
+    ``host`` "" matches every host, ``methods`` "*" every method. ``splits``, if set,
+    replace ``target`` and distribute the calls over services by weight. ``priority`` 0
+    is the most urgent. ``target_latency_milliseconds`` 0 means no latency objective.
+    With ``retry_errors`` an idempotent call is retried on another back end if a back
+    end answers with an error of its own (5xx). With ``streamed_bodies`` the body of a
+    request may be large: it is forwarded as it arrives, and only the part that is sent
+    before a back end accepts the call is buffered for a retry. With ``large_answers``
+    answers are so large that the network link of the back end's node limits how many
+    are sent at a time. If the tree has tenants, a call must carry a tenant's key unless
+    its route is ``keyless``.
     """
 
     path_prefix: str = ""
@@ -139,13 +140,15 @@
     """Effective settings of one service in one zone, after inheritance.
 
     The nodes of a service that ``holds_every_service`` hold all services of the
-    tree and their routes.  The last three bound what a caller of the service's
-    nodes may send and how long it may take or rest.
-
-    The ``rollout_`` settings are the group's own, no operator's: the software version
-    that the latest roll-out brings in, how far that is, which part of the calls goes to
-    it (of ``version.rollout.ALL_CALLS``), when it was ordered (Unix milliseconds) and
-    within what time it is to be done.
+    tree and their routes. ``max_header_bytes``, ``header_timeout_milliseconds`` and
+    ``idle_timeout_milliseconds`` bound what a caller of the service's nodes may send,
+    how long sending the header may take and how long a connection may be idle.
+
+    The ``rollout_`` settings are written by the control group, not by operators. They
+    describe the latest roll-out: the new software version, the state, the share of
+    calls that goes to the new version (in units of 1/``version.rollout.ALL_CALLS``),
+    when it was ordered (Unix milliseconds) and the time within which it must be
+    completed.
     """
 
     calls: tuple[str, ...] = ()
@@ -178,16 +181,16 @@
     material: bytes
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return f"SecretGeneration(generation={self.generation}, material=<hidden>)"
 
 
 class Secret(Value, frozen=True):
-    """A named secret: verifiers accept every generation, signers use one.
+    """A secret: verifiers accept every generation, signers use one of them.
 
-    ``rotation_version`` is the version that added the newest generation while
-    signers still use an older one; 0 when no rotation is in progress.
-    ``change_id`` names the edit that made ``revision``.
+    ``rotation_version`` is the version that added the newest generation, as long as
+    signers use an older one; 0 if no rotation is in progress. ``change_id`` is the
+    change id of the edit that created ``revision``.
     """
 
     generations: tuple[SecretGeneration, ...]
@@ -198,7 +201,7 @@
 
 
 class TreeNode(Value, frozen=True):
-    """One node of the tree, and the version and edit that changed it last."""
+    """One node of the tree, and the version and change id of its last change."""
 
     overrides: Overrides
     revision: Version = 0
@@ -206,12 +209,13 @@
 
 
 class Tenant(Value, frozen=True):
-    """Callers who share keys and a limit; what is unset is inherited from the root.
+    """Callers who share keys and a rate limit; unset limits are inherited from the root.
 
-    ``keys`` are key material: they leave the control group in a configuration that an
-    operator reads back, and nowhere else.  ``rate_per_second`` calls a second and
-    ``burst`` on top are admitted over all nodes together, 0 for no limit.  ``priority``
-    goes before that of a route; unset, the route's counts.
+    ``keys`` are key material: they leave the control group only in a complete
+    configuration that an operator reads back. All nodes together admit
+    ``rate_per_second`` calls per second, plus a burst of ``burst`` calls; a rate of 0
+    means no limit. ``priority`` overrides the priority of the route; if it is unset, the
+    route's applies.
     """
 
     keys: tuple[str, ...]
@@ -222,12 +226,12 @@
     change_id: str = ""
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return f"Tenant(keys=<{len(self.keys)} hidden>, revision={self.revision})"
 
 
 class Zone(Value, frozen=True):
-    """A zone and the region it belongs to."""
+    """A zone and the region to which it belongs."""
 
     region: str
     revision: Version = 0
@@ -235,14 +239,14 @@
 
 
 class Tree(Value, frozen=True, dict=True):
-    """The whole accepted configuration at one version.
+    """The complete accepted configuration at one version.
 
     ``nodes`` maps a path ("/", "/service", "/service/zone",
-    "/service/zone/route", zone may be "*") to its node.  Never mutated: an
-    edit gives a new tree that shares the untouched nodes.  The instance also
-    carries indexes derived from it (``tree_index``); they are never encoded.
-    ``release`` is the operators' own number of the whole configuration that was
-    taken last, 0 before the first.
+    "/service/zone/route", zone may be "*") to its node. A tree is never mutated: an
+    edit creates a new tree that shares the nodes it did not touch. The instance also
+    carries indexes derived from it (``tree_index``), which are never encoded.
+    ``release`` is the operators' number of the complete configuration that was accepted
+    last, 0 before the first.
     """
 
     cluster: str
@@ -255,7 +259,7 @@
 
 
 class SetOverrides(Value, frozen=True, tag="set"):
-    """Create the node at ``path`` if absent and set the given overrides on it."""
+    """Create the node at ``path`` if it is absent, and set these overrides on it."""
 
     path: str
     overrides: Overrides
@@ -275,7 +279,7 @@
 
 
 class SetZone(Value, frozen=True, tag="set_zone"):
-    """Declare a zone or move it to another region."""
+    """Declare a zone, or assign it to another region."""
 
     name: str
     region: str
@@ -288,18 +292,21 @@
 
 
 class PutSecret(Value, frozen=True, tag="put_secret"):
-    """Create a secret, or add a generation and begin its rotation."""
+    """Create a secret, or add a generation to it and so start a rotation."""
 
     name: str
     material: bytes
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return f"PutSecret(name={self.name!r}, material=<hidden>)"
 
 
 class PromoteSecret(Value, frozen=True, tag="promote_secret"):
-    """Let signers use the newest generation; drop the generations before ``keep``."""
+    """Make signers use ``generation``.
+
+    Of the generations before it only the one directly before it is retained.
+    """
 
     name: str
     generation: int
@@ -312,9 +319,10 @@
 
 
 class SetTenant(Value, frozen=True, tag="set_tenant"):
-    """Create a tenant, or give one other limits; what is unset is inherited.
+    """Create a tenant, or replace its limits; unset limits are inherited.
 
-    ``keys`` replace those that it has; unset, they stay (a new tenant has none).
+    ``keys`` replace the tenant's keys. If unset, its keys do not change (a new tenant
+    has none).
     """
 
     name: str
@@ -324,16 +332,16 @@
     keys: tuple[str, ...] | UnsetType = UNSET
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         keys = "kept" if self.keys is UNSET else f"{len(self.keys)} hidden"
         return f"SetTenant(name={self.name!r}, keys=<{keys}>)"
 
 
 class ChangeTenantKeys(Value, frozen=True, tag="change_tenant_keys"):
-    """Give a tenant further keys and take others away; its limits stay.
+    """Add keys to a tenant and remove others; its limits do not change.
 
-    ``keys`` are those to add.  ``drop`` are fingerprints: those who change keys see no
-    more of them.
+    ``keys`` are added. ``drop`` has the fingerprints of the keys to remove, because
+    operators who change keys are shown only fingerprints.
     """
 
     name: str
@@ -341,7 +349,7 @@
     drop: tuple[str, ...] = ()
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return (
             f"ChangeTenantKeys(name={self.name!r}, keys=<{len(self.keys)} hidden>, "
             f"drop=<{len(self.drop)}>)"
@@ -349,7 +357,7 @@
 
 
 class RemoveTenant(Value, frozen=True, tag="remove_tenant"):
-    """Remove a tenant; its keys are of no use any more."""
+    """Remove a tenant; its keys become invalid."""
 
     name: str
 
@@ -370,7 +378,7 @@
 
 
 class ExpectedRevision(Value, frozen=True):
-    """The revision that an operator saw.
+    """The revision of a subject on which an edit is based.
 
     ``subject`` is a path, "secret:NAME", "zone:NAME" or "tenant:NAME".
     """
@@ -380,12 +388,12 @@
 
 
 class Edit(Value, frozen=True):
-    """One atomic change of the tree, named by the ``change_id`` of its sender.
+    """One atomic change of the tree; its sender identifies it by ``change_id``.
 
-    ``accepted_unix_milliseconds`` is stamped by the leader for people to read;
-    nothing is ordered by it.  ``release`` is set where the edit brings a whole
-    configuration in place, with the operators' own number; it is taken only while
-    ``base_release`` is in place, and only if its number is higher.
+    The leader sets ``accepted_unix_milliseconds`` for display; nothing is ordered by
+    it. ``release`` is the operators' number of a complete configuration that the edit
+    puts in force, 0 for any other edit. Such an edit is accepted only if
+    ``base_release`` is the release in force and ``release`` is higher.
     """
 
     change_id: str
@@ -399,7 +407,7 @@
 
 
 class Problem(Value, frozen=True):
-    """One thing wrong with a tree or an edit: where, what, and what is allowed."""
+    """One fault in a tree or an edit: where it is, what it is, and what is allowed."""
 
     subject: str
     reason: str
@@ -407,21 +415,21 @@
 
 
 class EditAccepted(Value, frozen=True, tag="accepted"):
-    """The edit is committed as ``version``; also the answer to a resend."""
+    """The edit is committed as ``version``; a retry of the edit gets the same reply."""
 
     change_id: str
     version: Version
 
 
 class EditInvalid(Value, frozen=True, tag="invalid"):
-    """The edit would give a tree that breaks the listed rules; nothing changed."""
+    """The edit is invalid, or would make the tree invalid; the tree did not change."""
 
     change_id: str
     problems: tuple[Problem, ...]
 
 
 class EditConflict(Value, frozen=True, tag="conflict"):
-    """Another edit won the race for ``subject``; nothing changed."""
+    """An earlier edit has changed ``subject`` already; the tree did not change."""
 
     change_id: str
     subject: str
@@ -431,7 +439,7 @@
 
 
 class EditExpired(Value, frozen=True, tag="expired"):
-    """The change id is older than the table of outcomes reaches; not run again."""
+    """The change id is older than the retained outcomes; the edit is not applied again."""
 
     change_id: str
     horizon_version: Version
@@ -441,9 +449,9 @@
 
 
 class Scope(Value, frozen=True, array_like=True, order=True):
-    """Which nodes share one snapshot: the hosted service and the zone.
+    """Identifies the nodes that share one snapshot: the service they host and the zone.
 
-    The services it may call follow from the tree (``calls`` of the service).
+    The services that they may call are in the tree (``calls`` of the hosted service).
     """
 
     service: str
@@ -451,7 +459,7 @@
 
 
 class RouteResource(Value, frozen=True, array_like=True, tag=1):
-    """A route as a node holds it."""
+    """A route in a snapshot."""
 
     service: str
     route: str
@@ -459,14 +467,14 @@
 
 
 class ServiceResource(Value, frozen=True, array_like=True, tag=2):
-    """A service as a node holds it."""
+    """A service in a snapshot."""
 
     service: str
     settings: ServiceSettings
 
 
 class SecretResource(Value, frozen=True, array_like=True, tag=3):
-    """A secret as a node holds it: all verifying generations."""
+    """A secret in a snapshot, with all generations that verifiers accept."""
 
     name: str
     generations: tuple[SecretGeneration, ...]
@@ -474,9 +482,9 @@
 
 
 class TenantResource(Value, frozen=True, array_like=True, tag=4):
-    """A tenant as a node holds it: no key, only the digest of each.
+    """A tenant in a snapshot; it has the digests of the tenant's keys, not the keys.
 
-    ``rate_per_second`` 0 stands for no limit, ``priority`` None for the route's.
+    ``rate_per_second`` 0 means no limit, ``priority`` None the priority of the route.
     """
 
     name: str
@@ -492,23 +500,23 @@
 class Resource(Value, frozen=True, array_like=True, dict=True):
     """An encoded resource; ``payload`` is MessagePack of a ``ResourceContent``.
 
-    Names: "service:S", "route:S/R", "secret:N", "tenant:N".  Its content is kept beside
-    it once it was decoded (``decode_resource``).
+    Names: "service:S", "route:S/R", "secret:N", "tenant:N". ``decode_resource`` caches
+    the decoded content on the instance.
     """
 
     name: str
     payload: bytes
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return f"Resource(name={self.name!r}, payload=<{len(self.payload)} bytes>)"
 
 
 class Snapshot(Value, frozen=True, dict=True):
-    """All a node of ``scope`` holds at ``version``; replaced as a whole.
+    """The complete state of a node of ``scope`` at ``version``; never changed in place.
 
-    ``digest`` is the digest over (name, payload) of all resources.  What was worked out
-    of them is kept beside them (``version.snapshot``).
+    ``digest`` is the digest over the name and payload of all resources.
+    ``version.snapshot`` caches the decoded contents on the instance.
     """
 
     scope: Scope
@@ -518,9 +526,10 @@
 
 
 class Update(Value, frozen=True, array_like=True):
-    """State that takes a holder of ``base_digest`` to ``digest`` at ``version``.
+    """The change from the state of ``base_digest`` to that of ``digest`` at ``version``.
 
-    ``full`` means: start from nothing, ``removed`` is empty.
+    If ``full``, the update has the complete state: it replaces what the holder has,
+    and ``removed`` is empty.
     """
 
     scope: Scope
--- a/src/peppershore/version/path.py
+++ b/src/peppershore/version/path.py
@@ -16,7 +16,7 @@
 
 
 class Level(Enum):
-    """How deep in the tree a node is, and so which settings make sense on it."""
+    """Level of a node in the tree; it determines which settings the node may have."""
 
     ROOT = "root"
     SERVICE = "service"
@@ -25,7 +25,7 @@
 
 
 class TreePath(Value, frozen=True, order=True):
-    """A parsed path; segments that the path does not have are empty."""
+    """A parsed path; a segment that the path does not have is empty."""
 
     service: str = ""
     zone: str = ""
@@ -33,7 +33,7 @@
 
     @property
     def level(self) -> Level:
-        """The level of the node at this path."""
+        """Level of the node at this path."""
         if self.route:
             return Level.ROUTE
         if self.zone:
@@ -44,12 +44,12 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether a text may name a service, zone, route or secret."""
+    """Report whether a text may be the name of a service, zone, route, secret or tenant."""
     return NAME_PATTERN.fullmatch(text) is not None
 
 
 def parse_path(text: str) -> Result[TreePath, Problem]:
-    """Give the parsed path, or what is wrong with the text."""
+    """Return the parsed path, or the problem if the text is not a path."""
     if text == ROOT_PATH:
         return Success(TreePath())
     if not text.startswith(ROOT_PATH):
@@ -66,21 +66,21 @@
 
 
 def format_path(path: TreePath) -> str:
-    """Give the text of a path."""
+    """Return the text of a parsed path."""
     segments = [segment for segment in (path.service, path.zone, path.route) if segment]
     return ROOT_PATH + "/".join(segments)
 
 
 def service_path(service: str) -> str:
-    """Give the path of a service."""
+    """Return the path of a service."""
     return f"/{service}"
 
 
 def zone_path(service: str, zone: str) -> str:
-    """Give the path of a service in a zone."""
+    """Return the path of a service in a zone."""
     return f"/{service}/{zone}"
 
 
 def route_path(service: str, zone: str, route: str) -> str:
-    """Give the path of a route of a service in a zone."""
+    """Return the path of a route of a service in a zone."""
     return f"/{service}/{zone}/{route}"
--- a/src/peppershore/version/resolve.py
+++ b/src/peppershore/version/resolve.py
@@ -1,7 +1,8 @@
 """Inheritance: the effective settings of a route or a service in a zone.
 
-Layers, later wins: built-in defaults, "/", "/S", "/S/*", "/S/Z", "/S/*/R",
-"/S/Z/R".  A route without a target goes to its own service.
+A later layer overrides an earlier one: built-in defaults, "/", "/S", "/S/*", "/S/Z",
+"/S/*/R", "/S/Z/R", for service S, zone Z and route R. The target of a route without
+a target is the service to which the route belongs.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from peppershore.version.tree_index import index_of
 
 BUILT_IN = "built-in"
-"""The origin of a setting that no node of the tree overrides."""
+"""Origin of a setting that no node of the tree overrides."""
 
 SERVICE_SETTING_NAMES: tuple[str, ...] = ServiceSettings.__struct_fields__
 ROUTE_SETTING_NAMES: tuple[str, ...] = RouteSettings.__struct_fields__
@@ -34,9 +35,10 @@
 
 
 class Origin(Value, frozen=True):
-    """Where one effective setting comes from: a path of the tree or BUILT_IN.
+    """The effective value of a setting, and where it is set.
 
-    ``value`` is the effective value (a JSON-like value of the setting's type).
+    ``path`` is the path of the node that sets it, "tenant:NAME" if a tenant does, or
+    BUILT_IN. ``value`` is a JSON-like value of the setting's type.
     """
 
     name: str
@@ -64,7 +66,7 @@
 
 
 def routes_of(tree: Tree, service: str, zone: str) -> tuple[str, ...]:
-    """Give the names of a service's routes in a zone, sorted."""
+    """Return the sorted names of a service's routes in a zone."""
     branch = index_of(tree).get(service)
     if branch is None:
         return ()
@@ -74,12 +76,12 @@
 
 
 def services_of(tree: Tree) -> tuple[str, ...]:
-    """Give the names of all services, sorted."""
+    """Return the sorted names of all services."""
     return tuple(sorted(index_of(tree)))
 
 
 def service_layers(service: str, zone: str) -> tuple[str, ...]:
-    """Give the paths that a service in a zone inherits from, weakest first."""
+    """Return the paths that a service in a zone inherits from, lowest precedence first."""
     return (
         ROOT_PATH,
         service_path(service),
@@ -89,7 +91,7 @@
 
 
 def route_layers(service: str, zone: str, route: str) -> tuple[str, ...]:
-    """Give the paths that a route in a zone inherits from, weakest first."""
+    """Return the paths that a route in a zone inherits from, lowest precedence first."""
     return (
         *service_layers(service, zone),
         route_path(service, ANY_ZONE, route),
@@ -98,7 +100,7 @@
 
 
 def resolve_route(tree: Tree, service: str, zone: str, route: str) -> ResolvedRoute:
-    """Give the effective settings of a route in a zone, with their origins."""
+    """Return the effective settings of a route in a zone, and their origins."""
     values = route_defaults(service)
     layers = route_layers(service, zone, route)
     origins = _merge(tree, layers, _ROUTE_NAME_SET, values)
@@ -112,7 +114,7 @@
 
 
 def resolve_service(tree: Tree, service: str, zone: str) -> ResolvedService:
-    """Give the effective settings of a service in a zone, with their origins."""
+    """Return the effective settings of a service in a zone, and their origins."""
     values = service_defaults()
     origins = _merge(tree, service_layers(service, zone), _SERVICE_NAME_SET, values)
     return ResolvedService(
@@ -124,17 +126,17 @@
 
 
 def route_defaults(service: str) -> dict[str, Any]:
-    """Give the built-in settings of a route; its target is its own service."""
+    """Return the built-in settings of a route of this service, by name."""
     return msgspec.structs.asdict(RouteSettings(target=service))
 
 
 def service_defaults() -> dict[str, Any]:
-    """Give the built-in settings of a service."""
+    """Return the built-in settings of a service, by name."""
     return msgspec.structs.asdict(ServiceSettings())
 
 
 def set_values(overrides: Overrides) -> dict[str, Any]:
-    """Give the settings that one node overrides, by name."""
+    """Return the settings that ``overrides`` sets, by name."""
     values = msgspec.structs.asdict(overrides)
     return {name: value for name, value in values.items() if value is not UNSET}
 
@@ -142,7 +144,10 @@
 def _merge(
     tree: Tree, layers: tuple[str, ...], names: frozenset[str], values: dict[str, Any]
 ) -> dict[str, str]:
-    """Overlay the layers on ``values`` in place; give each setting's origin."""
+    """Apply the layers to ``values`` in place; return the path that set each setting.
+
+    Only settings in ``names`` are considered.
+    """
     origins: dict[str, str] = {}
     for path in layers:
         node = tree.nodes.get(path)
--- a/src/peppershore/version/resource_codec.py
+++ b/src/peppershore/version/resource_codec.py
@@ -1,8 +1,8 @@
-"""Resources to bytes and back.
+"""Encoding and decoding of resources.
 
-On the wire settings are rows (arrays in the order of the fields) without field
-names: a name on every value would be three quarters of a resource's bytes.
-Fields are only ever appended to the settings, with a default.
+On the wire, settings are rows: arrays of values in the order of the fields. Field
+names would make up three quarters of the bytes of a resource. New settings are
+only ever appended, with a default, so that old rows stay decodable.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 
 class _RouteSettingsRow(RouteSettings, frozen=True, array_like=True):
-    """Route settings as an array."""
+    """Route settings, encoded as an array."""
 
 
 class _ServiceSettingsRow(ServiceSettings, frozen=True, array_like=True):
-    """Service settings as an array."""
+    """Service settings, encoded as an array."""
 
 
 class _RouteRow(Value, frozen=True, array_like=True, tag=1):
@@ -64,33 +64,33 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _Row = _RouteRow | _ServiceRow | _SecretRow | TenantResource
-"""What stands on the wire; a tenant is a row as it is."""
+"""Content of a resource on the wire; ``TenantResource`` is a row already."""
 
 _DECODER = msgspec.msgpack.Decoder(_Row)
 
 
 def service_name(service: str) -> str:
-    """Give the name of a service's resource."""
+    """Return the name of the resource of a service."""
     return f"{SERVICE_PREFIX}{service}"
 
 
 def route_name(service: str, route: str) -> str:
-    """Give the name of a route's resource."""
+    """Return the name of the resource of a route."""
     return f"{ROUTE_PREFIX}{service}/{route}"
 
 
 def secret_name(secret: str) -> str:
-    """Give the name of a secret's resource."""
+    """Return the name of the resource of a secret."""
     return f"{SECRET_PREFIX}{secret}"
 
 
 def tenant_name(tenant: str) -> str:
-    """Give the name of a tenant's resource."""
+    """Return the name of the resource of a tenant."""
     return f"{TENANT_PREFIX}{tenant}"
 
 
 def resource_name(content: ResourceContent) -> str:
-    """Give the name that a resource of this content must have."""
+    """Return the name of the resource that has this content."""
     if isinstance(content, RouteResource):
         return route_name(content.service, content.route)
     if isinstance(content, ServiceResource):
@@ -101,15 +101,15 @@
 
 
 def encode_resource(content: ResourceContent) -> Resource:
-    """Give the named bytes of a route, service, secret or tenant."""
+    """Encode a route, service, secret or tenant as a resource."""
     return Resource(resource_name(content), _ENCODER.encode(_row(content)))
 
 
 def resource_of(payload: bytes) -> Resource:
-    """Give the resource that a payload says it is.
+    """Return the resource of a payload, named after the payload's content.
 
-    The name is empty if the payload says nothing; ``decode_resource`` gives the
-    reason.
+    The name is empty if the payload can't be decoded; ``decode_resource`` then returns
+    the reason.
     """
     try:
         row = _DECODER.decode(payload)
@@ -119,10 +119,10 @@
 
 
 def decode_resource(resource: Resource) -> Result[ResourceContent, Problem]:
-    """Give the content of a resource, or why its bytes are not what its name says.
+    """Return the content of a resource, or why the payload does not fit its name.
 
-    A resource is decoded once: a snapshot shares what did not change with the one before
-    it, so that a version costs by what changed.
+    The content is cached on the resource. A snapshot shares unchanged resources with
+    the one before it, so that a new version costs only the decoding of what changed.
     """
     known: ResourceContent | None = resource.__dict__.get(_CONTENT_ATTRIBUTE)
     if known is not None:
--- a/src/peppershore/version/resource_tables.py
+++ b/src/peppershore/version/resource_tables.py
@@ -1,7 +1,8 @@
-"""The encoded resources of the newest tree: by service and zone, secret, tenant.
+"""Encoded resources of the newest tree: by service and zone, by secret and by tenant.
 
-Filled on demand and refreshed where an edit touched them.  What encodes to the
-same bytes as before keeps its identity, so "changed" means other bytes.
+The tables are filled on demand, and refreshed where an edit touched the tree. An entry
+whose bytes did not change remains the same object, so that a change is found by
+identity.
 """
 
 from __future__ import annotations
@@ -22,39 +23,42 @@
 from peppershore.version.model import ANY_ZONE, Tree, Value
 
 TouchedZones = dict[str, frozenset[str]]
-"""Zones in which nodes of a service changed, by service; "*" stands for all."""
+"""Zones in which nodes of a service changed, by service; "*" means all zones."""
 
 _GroupsByZone = dict[str, ServiceGroup | None]
 
 
 class GroupKey(Value, frozen=True):
-    """Names the resources of one service in one zone."""
+    """Key of the group of resources of one service in one zone."""
 
     service: str
     zone: str
 
 
 class GroupTable:
-    """The groups of services by zone; None for a service the tree does not have."""
+    """Groups by service and zone; None for a service that the tree does not have."""
 
     def __init__(self) -> None:
         self._groups: dict[str, _GroupsByZone] = defaultdict(dict)
 
     @property
     def services(self) -> frozenset[str]:
-        """The services of which any group is known."""
+        """Services that have an encoded group in any zone."""
         return frozenset(self._groups)
 
     def get(self, tree: Tree, service: str, zone: str) -> ServiceGroup | None:
-        """Give a group, encoding it the first time."""
+        """Return the group of a service in a zone; encode it at the first request.
+
+        Return None if the tree does not have the service.
+        """
         groups = self._groups[service]
         if zone not in groups:
-            former = _distinct(groups)
+            former = _distinct_groups(groups)
             groups[zone] = _encode_in_zone(tree, service, zone, groups, former)
         return groups[zone]
 
     def refresh(self, tree: Tree, touched: TouchedZones) -> set[GroupKey]:
-        """Encode known groups that an edit touched again; give those that differ now."""
+        """Encode again the known groups that an edit touched; return those that changed."""
         changed: set[GroupKey] = set()
         for service, zones in touched.items():
             former = self._groups.get(service)
@@ -71,9 +75,9 @@
         changed = set()
         for zone in stale:
             if zone not in groups:
-                known = [*_distinct(former), *_distinct(groups)]
+                known = [*_distinct_groups(former), *_distinct_groups(groups)]
                 groups[zone] = _encode_in_zone(tree, service, zone, groups, known)
-            if _is_same(former[zone], groups[zone]):
+            if _has_identical_entries(former[zone], groups[zone]):
                 groups[zone] = former[zone]
             else:
                 changed.add(GroupKey(service, zone))
@@ -82,18 +86,18 @@
 
 
 class SecretTable:
-    """The encoded secrets that any scope holds."""
+    """Encoded secrets, of those that were requested."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
 
     @property
     def names(self) -> frozenset[str]:
-        """The secrets that are known."""
+        """Names of the secrets in the table."""
         return frozenset(self._entries)
 
     def get(self, tree: Tree, name: str) -> Entry:
-        """Give a secret of the tree, encoding it the first time."""
+        """Return the entry of a secret of the tree; encode it at the first request."""
         entry = self._entries.get(name)
         if entry is None:
             entry = encode_secret(name, tree.secrets[name], None)
@@ -101,7 +105,7 @@
         return entry
 
     def refresh(self, tree: Tree, names: Iterable[str]) -> set[str]:
-        """Encode known secrets again; give those that differ or are gone."""
+        """Encode known secrets again; return those that changed or were removed."""
         changed = set()
         for name in names:
             former = self._entries.pop(name, None)
@@ -115,19 +119,19 @@
 
 
 class TenantTable:
-    """The encoded tenants; whoever holds anything holds all of them."""
+    """Encoded tenants; every scope that has any resource has all of them."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] | None = None
 
     def all(self, tree: Tree) -> dict[str, Entry]:
-        """Give all tenants of the tree by name, encoding them the first time."""
+        """Return all tenants of the tree by name; encode them at the first request."""
         if self._entries is None:
             self._entries = {name: encode_tenant(tree, name, None) for name in tree.tenants}
         return self._entries
 
     def refresh(self, tree: Tree, names: Iterable[str]) -> bool:
-        """Encode tenants again that changed; tell whether any differs or is gone."""
+        """Encode these tenants again; report whether any was changed, added or removed."""
         if self._entries is None:
             return False
         entries = dict(self._entries)
@@ -138,7 +142,7 @@
         return self._replace(entries)
 
     def refresh_all(self, tree: Tree) -> bool:
-        """Encode all tenants again; tell whether any differs or is gone."""
+        """Encode all tenants again; report whether any was changed, added or removed."""
         known = self._entries or {}
         return self.refresh(tree, known.keys() | tree.tenants.keys())
 
@@ -152,7 +156,7 @@
 def _encode_in_zone(
     tree: Tree, service: str, zone: str, groups: _GroupsByZone, former: FormerGroups
 ) -> ServiceGroup | None:
-    """Encode a group, or take that of any zone if the zone overrides nothing."""
+    """Encode a group, or reuse that of "any zone" if the zone overrides nothing."""
     if zone == ANY_ZONE or overrides_in_zone(tree, service, zone):
         return encode_group(tree, service, zone, former)
     if ANY_ZONE not in groups:
@@ -160,14 +164,14 @@
     return groups[ANY_ZONE]
 
 
-def _distinct(groups: _GroupsByZone) -> list[ServiceGroup]:
-    """Give the groups of a service; most zones share one."""
+def _distinct_groups(groups: _GroupsByZone) -> list[ServiceGroup]:
+    """Return the distinct groups of a service; zones without overrides share one."""
     found = {id(group): group for group in groups.values() if group is not None}
     return list(found.values())
 
 
-def _is_same(former: ServiceGroup | None, now: ServiceGroup | None) -> bool:
-    """Tell whether two groups are made of the identical entries."""
+def _has_identical_entries(former: ServiceGroup | None, now: ServiceGroup | None) -> bool:
+    """Report whether two groups have identical entries."""
     if former is None or now is None:
         return former is now
     if former is now:
--- a/src/peppershore/version/revert.py
+++ b/src/peppershore/version/revert.py
@@ -1,10 +1,10 @@
-"""Operations that give a tree the content of another one, as a new version.
+"""Operations that restore the content of another tree, as a new version.
 
-Versions only go up: an operator who wants an older tree back edits the newest
-one.  Key material is not taken back: a secret that both trees have stays as it
-is, because a key that was replaced may be known to others.  So do the keys of a
-tenant: one that was taken away is not given back.  Only a whole configuration,
-which says itself which keys there are, sets them.
+Versions only rise: to restore an older tree, an operator edits the newest one.
+Key material is not restored: a secret that both trees have does not change, because a
+key may have been replaced after it became known to others. For the same reason a key
+that was removed from a tenant is not added again. Only a complete configuration, which
+lists the keys of each tenant, sets them.
 """
 
 from __future__ import annotations
@@ -37,10 +37,11 @@
 def revert_operations(
     current: Tree, older: Tree, *, with_keys: bool = False
 ) -> tuple[Operation, ...]:
-    """Give what makes ``current`` equal to ``older`` but for key material both have.
+    """Return the operations that make ``current`` equal to ``older``.
 
-    ``with_keys``: tenants get the keys of ``older`` all the same.  Empty if there is
-    nothing to do.  The operations belong in one edit.
+    Secrets that both trees have do not change. The keys of tenants that both trees have
+    are replaced only if ``with_keys``. The result is empty if there is nothing to
+    change. All operations belong in one edit.
     """
     return (
         *_zone_operations(current, older),
@@ -69,7 +70,10 @@
 
 
 def _create_secret(name: str, secret: Secret) -> list[Operation]:
-    """Create a secret from the generation before the signing one onwards."""
+    """Return the operations that create a secret.
+
+    They start with the generation before the signing one.
+    """
     numbers = [each.generation for each in secret.generations]
     signing = numbers.index(secret.signing_generation)
     first = max(0, signing - GENERATIONS_BEFORE_SIGNING)
@@ -87,14 +91,17 @@
     for name, tenant in sorted(older.tenants.items()):
         known = current.tenants.get(name)
         has_keys = known is not None and (not with_keys or known.keys == tenant.keys)
-        if known is None or not has_keys or _shown(known) != _shown(tenant):
+        if known is None or not has_keys or _limits_text(known) != _limits_text(tenant):
             keys = UNSET if has_keys else tenant.keys
             operations.append(SetTenant(name, keys=keys, **given_limits(tenant)))
     return operations
 
 
-def _shown(tenant: Tenant) -> str:
-    """Give what a tenant sets; 350 and 350.0 are not the same, as they are given back."""
+def _limits_text(tenant: Tenant) -> str:
+    """Return the limits that a tenant sets, as text for a comparison.
+
+    350 and 350.0 differ, because a number is returned to operators as it was sent.
+    """
     return repr(given_limits(tenant))
 
 
@@ -125,6 +132,6 @@
 
 
 def _is_below(path: str, others: frozenset[str]) -> bool:
-    """Tell whether a path is one of the others or lies under one of them."""
+    """Report whether a path is one of the others or below one of them."""
     segments = path.split("/")
     return any("/".join(segments[: end + 1]) in others for end in range(1, len(segments)))
--- a/src/peppershore/version/rollout.py
+++ b/src/peppershore/version/rollout.py
@@ -1,9 +1,9 @@
-"""A roll-out of a new version of a service's software, as the tree holds it.
+"""The roll-out of a new version of a service's software, as settings in the tree.
 
-It stands in settings of the service's node that only the control group itself changes:
-so it is replicated, confirmed and handed to nodes as every other setting is.  An edit of
-operators neither sees nor touches it.  States go one way: running, then completed or
-rolled back.
+Only the control group changes these settings of the service's node, so that a roll-out
+is replicated, confirmed and distributed to nodes like any other setting. Edits of
+operators neither show nor change them. The state changes once: from running to
+completed or rolled back.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from peppershore.version.path import service_path
 
 ALL_CALLS = 10_000
-"""The share of all calls: shares are parts of this."""
+"""The share that stands for all calls; other shares are fractions of it."""
 
 ROLLOUT_FIELDS = (
     "rollout_version",
@@ -39,7 +39,7 @@
     "rollout_milliseconds",
 )
 
-_ROLLOUT = frozenset(ROLLOUT_FIELDS)
+_ROLLOUT_FIELD_SET = frozenset(ROLLOUT_FIELDS)
 
 RUNNING: RolloutState = "running"
 COMPLETED: RolloutState = "completed"
@@ -47,9 +47,12 @@
 
 
 class Rollout(Value, frozen=True):
-    """The latest roll-out of a service; ``revision`` is when its settings changed last.
+    """The latest roll-out of a service.
 
-    ``began_milliseconds`` is Unix time, ``milliseconds`` what it may take.
+    ``revision`` is the version of the last change of the service's node. ``share`` is
+    the part of the calls that goes to the new version, of ``ALL_CALLS``.
+    ``began_milliseconds`` is Unix time, ``milliseconds`` the time that the roll-out may
+    take.
     """
 
     service: str
@@ -62,12 +65,12 @@
 
     @property
     def seconds(self) -> float:
-        """The time within which it is to be done."""
+        """Time that the roll-out may take, in seconds."""
         return self.milliseconds / 1_000
 
 
 def rollout_of(tree: Tree, service: str) -> Rollout | None:
-    """Give the latest roll-out of a service, or None if there was none."""
+    """Return the latest roll-out of a service; None if there was none."""
     node = tree.nodes.get(service_path(service))
     if node is None:
         return None
@@ -89,7 +92,7 @@
 
 
 def start_edit(rollout: Rollout, change_id: str) -> Edit:
-    """Give the edit that begins a roll-out."""
+    """Return the edit that starts a roll-out."""
     overrides = Overrides(
         rollout_version=rollout.version,
         rollout_state=rollout.state,
@@ -102,15 +105,18 @@
 
 
 def share_edit(rollout: Rollout, share: int) -> Edit:
-    """Give the edit that moves a part of the calls; each part once in a roll-out."""
+    """Return the edit that sets the share of calls that goes to the new version.
+
+    Its change id is made of the share, so each share is set at most once per roll-out.
+    """
     operation = SetOverrides(service_path(rollout.service), Overrides(rollout_share=share))
     return Edit(change_id=_change_id(rollout, str(share)), operations=(operation,))
 
 
 def end_edit(rollout: Rollout, state: RolloutState, comment: str) -> Edit:
-    """Give the edit that ends a roll-out.
+    """Return the edit that completes or rolls back a roll-out.
 
-    Both ends have one change id: whichever is taken first is the only one.
+    Both have the same change id, so that only the first one to be accepted takes effect.
     """
     share = ALL_CALLS if state == COMPLETED else 0
     overrides = Overrides(rollout_state=state, rollout_share=share)
@@ -121,18 +127,18 @@
 
 
 def without_rollout(overrides: Overrides) -> Overrides:
-    """Give the overrides that are the operators'."""
+    """Return the overrides without the settings of roll-outs."""
     return msgspec.structs.replace(overrides, **dict.fromkeys(ROLLOUT_FIELDS, UNSET))
 
 
 def with_rollout_of(overrides: Overrides, present: Overrides) -> Overrides:
-    """Give overrides with the roll-out that is under way."""
+    """Return ``overrides`` with the settings of roll-outs of ``present``."""
     kept: dict[str, Any] = {name: getattr(present, name) for name in ROLLOUT_FIELDS}
     return msgspec.structs.replace(overrides, **kept)
 
 
 def touches_rollout(operations: Iterable[Operation]) -> bool:
-    """Whether operations would change what is the group's own."""
+    """Report whether any operation would change settings of roll-outs."""
     return any(_touches(operation) for operation in operations)
 
 
@@ -140,7 +146,7 @@
     if isinstance(operation, SetOverrides):
         return without_rollout(operation.overrides) != operation.overrides
     return isinstance(operation, UnsetOverrides) and bool(
-        _ROLLOUT.intersection(operation.names)
+        _ROLLOUT_FIELD_SET.intersection(operation.names)
     )
 
 
--- a/src/peppershore/version/scope_contents.py
+++ b/src/peppershore/version/scope_contents.py
@@ -1,4 +1,4 @@
-"""What belongs to a scope, and which scopes a service or secret belongs to."""
+"""The resources of each scope, and the scopes that hold a service or secret."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class ScopeContents(Value, frozen=True):
-    """The resources of a scope by name, and the services and secrets among them.
+    """The resources of a scope by name, and the names of its services and secrets.
 
-    ``services`` also names the hosted service when the tree does not have it.
+    ``services`` has the hosted service even if the tree does not have it.
     """
 
     entries: dict[str, Entry]
@@ -28,7 +28,7 @@
 
 
 class EncodedTables:
-    """What is encoded of the newest tree."""
+    """The tables of encoded resources of the newest tree."""
 
     def __init__(self) -> None:
         self.groups = GroupTable()
@@ -37,16 +37,17 @@
 
 
 def collect_contents(tree: Tree, scope: Scope, tables: EncodedTables) -> ScopeContents:
-    """Put the resources of a scope together from the shared entries.
+    """Collect the resources of a scope from the shared entries.
 
-    Everybody who holds anything holds all tenants: any node may take a call.
+    Every scope that has any resource has all tenants, because any node may receive a
+    call of any tenant.
     """
     groups = tables.groups
     hosted = groups.get(tree, scope.service, scope.zone)
-    if hosted is None and not _everybody_holds_all(tree):
+    if hosted is None and not _all_nodes_hold_all(tree):
         return ScopeContents({}, frozenset({scope.service}), frozenset())
-    names = _called(tree, scope.service, hosted)
-    called = [_existing(tree, groups, name, scope.zone) for name in names]
+    names = _called_services(tree, scope.service, hosted)
+    called = [_existing_group(tree, groups, name, scope.zone) for name in names]
     with_routes = called if hosted is None else [hosted, *called]
     entries: dict[str, Entry] = {}
     for group in with_routes:
@@ -55,7 +56,7 @@
     services = {scope.service, *names}
     targets = frozenset().union(*(group.targets for group in with_routes))
     for name in sorted(targets - services):
-        target = _existing(tree, groups, name, scope.zone)
+        target = _existing_group(tree, groups, name, scope.zone)
         entries[target.service.resource.name] = target.service
     secret_names = _secrets_of(hosted, with_routes)
     for name in sorted(secret_names):
@@ -66,19 +67,23 @@
     return ScopeContents(entries, frozenset(services | targets), secret_names)
 
 
-def _everybody_holds_all(tree: Tree) -> bool:
-    """Whether also the nodes of a service that is not in the tree hold all of it."""
+def _all_nodes_hold_all(tree: Tree) -> bool:
+    """Report whether nodes whose service is not in the tree hold every service too."""
     return tree.nodes[ROOT_PATH].overrides.holds_every_service is True
 
 
-def _called(tree: Tree, service: str, hosted: ServiceGroup | None) -> tuple[str, ...]:
-    """Name the other services whose routes a node of a service holds."""
+def _called_services(
+    tree: Tree, service: str, hosted: ServiceGroup | None
+) -> tuple[str, ...]:
+    """Return the other services whose routes a node of this service holds."""
     if hosted is None or hosted.holds_every_service:
         return tuple(sorted(index_of(tree).keys() - {service}))
     return hosted.calls
 
 
-def _existing(tree: Tree, groups: GroupTable, service: str, zone: str) -> ServiceGroup:
+def _existing_group(
+    tree: Tree, groups: GroupTable, service: str, zone: str
+) -> ServiceGroup:
     group = groups.get(tree, service, zone)
     if group is None:
         raise AssertionError(f"a valid tree names the service {service}, which is absent")
@@ -95,7 +100,7 @@
 
 
 class HolderIndex:
-    """Which scopes hold a service's resources in a zone, or a secret."""
+    """Index of the scopes that hold the resources of a service in a zone, or a secret."""
 
     def __init__(self) -> None:
         self._contents: dict[Scope, ScopeContents] = {}
@@ -103,7 +108,7 @@
         self._by_secret: dict[str, set[Scope]] = defaultdict(set)
 
     def set(self, scope: Scope, contents: ScopeContents) -> None:
-        """Note what a scope holds now, in place of what it held."""
+        """Replace the contents of a scope."""
         former = self._contents.get(scope)
         is_same = (
             former is not None
@@ -121,17 +126,17 @@
             self._by_secret[secret].add(scope)
 
     def remove(self, scope: Scope) -> None:
-        """Forget a scope."""
+        """Remove a scope from the index."""
         self._unlink(scope, self._contents.pop(scope))
 
     def services_of(self, scope: Scope) -> frozenset[str]:
-        """Give the services that a scope holds."""
+        """Return the services that a scope holds."""
         return self._contents[scope].services
 
     def holders_of(
         self, groups: Iterable[GroupKey], secrets: Iterable[str]
     ) -> frozenset[Scope]:
-        """Give the scopes that hold any of the services in their zones, or secrets."""
+        """Return the scopes that hold any of these groups or any of these secrets."""
         found: set[Scope] = set()
         for key in groups:
             found |= self._by_service.get(key, set())
--- a/src/peppershore/version/scope_state.py
+++ b/src/peppershore/version/scope_state.py
@@ -1,4 +1,4 @@
-"""What a catalog knows of one scope in use: its resources and its recent past."""
+"""State of one scope in use: its resources and its recent history."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from peppershore.version.model import Digest, Scope, Update, Version
 
 HISTORY_LIMIT = 512
-"""How many former digests of a scope an exact delta can start from."""
+"""Number of digests of a scope that are retained; a delta can start from each."""
 
 CACHED_UPDATES = 64
-"""How many ready updates are kept for holders that lag by the same amount."""
+"""Maximum number of cached updates of a scope, which holders of the same base share."""
 
 FULL_BASE: Version = -1
 
@@ -21,9 +21,10 @@
 
 
 class DigestHistory:
-    """The last digests of a scope, oldest first, each with its newest version.
+    """The last digests of a scope, oldest first, each with the newest version that had it.
 
-    Two arrays of machine words: thousands of scopes each keep hundreds.
+    They are in two arrays of machine words, because thousands of scopes each retain
+    hundreds of digests.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,7 @@
         self._versions = array(_UNSIGNED_64_BIT)
 
     def append(self, digest: Digest, version: Version) -> None:
-        """Add the newest digest; one that was there before moves to the end."""
+        """Append the newest digest; if it is in the history already, move it to the end."""
         if digest in self._digests:
             position = self._digests.index(digest)
             del self._digests[position]
@@ -43,24 +44,24 @@
             del self._versions[0]
 
     def version_of(self, digest: Digest) -> Version | None:
-        """Give the newest version that had a digest, None if it is not kept."""
+        """Return the newest version that had a digest; None if it is not in the history."""
         if digest not in self._digests:
             return None
         return self._versions[self._digests.index(digest)]
 
     @property
     def newest_version(self) -> Version:
-        """The version at which the newest digest came to be."""
+        """Version at which the scope got its newest digest."""
         return self._versions[-1]
 
     @property
     def oldest_version(self) -> Version:
-        """The version of the oldest digest kept."""
+        """Version of the oldest digest in the history."""
         return self._versions[0]
 
 
 class ScopeState:
-    """The resources of one scope, when each was last changed, and what is gone."""
+    """The resources of one scope, the version of the last change of each, and removals."""
 
     def __init__(self, scope: Scope, entries: dict[str, Entry], version: Version) -> None:
         self.scope = scope
@@ -74,11 +75,11 @@
 
     @property
     def changed_at(self) -> Version:
-        """The version at which the resources became what they are."""
+        """Version at which the scope got its present resources."""
         return self._history.newest_version
 
     def replace(self, entries: dict[str, Entry], version: Version) -> bool:
-        """Take the resources at a newer version; tell whether any differs."""
+        """Replace the resources by those of a newer version; report whether any differs."""
         former = self.entries
         changed = [name for name, entry in entries.items() if former.get(name) is not entry]
         removed = [name for name in former if name not in entries]
@@ -88,11 +89,15 @@
         self.digest = combine(self.scope, (entry.digest for entry in entries.values()))
         self._history.append(self.digest, version)
         self._updates.clear()
-        self._note_changes(changed, removed, version)
+        self._record_changes(changed, removed, version)
         return True
 
     def update_since(self, digest: Digest, version: Version) -> Update | None:
-        """Give what takes a holder of ``digest`` to the state at ``version``."""
+        """Return the update from ``digest`` to the state at ``version``.
+
+        Return None if ``digest`` is that of the present state. The update is full if
+        ``digest`` is not in the history.
+        """
         if digest == self.digest:
             return None
         base = self._history.version_of(digest)
@@ -100,7 +105,7 @@
         update = self._updates.get(key)
         if update is None or update.version != version:
             update = self._make_update(digest, base, version)
-            self._keep(key, update)
+            self._cache_update(key, update)
         return update
 
     def _make_update(
@@ -121,12 +126,12 @@
             removed=removed,
         )
 
-    def _keep(self, key: Version, update: Update) -> None:
+    def _cache_update(self, key: Version, update: Update) -> None:
         if len(self._updates) >= CACHED_UPDATES:
             self._updates.clear()
         self._updates[key] = update
 
-    def _note_changes(
+    def _record_changes(
         self, changed: list[str], removed: list[str], version: Version
     ) -> None:
         for name in changed:
--- a/src/peppershore/version/setting_rules.py
+++ b/src/peppershore/version/setting_rules.py
@@ -1,4 +1,4 @@
-"""What each setting may be and on which levels of the tree it makes sense."""
+"""The allowed values of each setting, and the levels of the tree that may set it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 
 
 class SettingRule(Value, frozen=True):
-    """The levels a setting may be set on and the check of its value."""
+    """The levels on which a setting may be set, and the check of its value.
+
+    ``allowed`` describes the allowed values to operators.
+    """
 
     levels: frozenset[Level]
     is_allowed: Callable[[Any], bool]
@@ -47,7 +50,7 @@
 
 
 def check_overrides(path: str, level: Level, overrides: Overrides) -> list[Problem]:
-    """Give what is wrong with the overrides of one node, taken alone."""
+    """Return the problems of the overrides of one node, regardless of other nodes."""
     problems = []
     for name, value in set_values(overrides).items():
         rule = SETTING_RULES[name]
@@ -60,14 +63,14 @@
     return problems
 
 
-def _whole_number(low: int, high: int, levels: frozenset[Level]) -> SettingRule:
+def _integer(low: int, high: int, levels: frozenset[Level]) -> SettingRule:
     def is_allowed(value: Any) -> bool:
         return type(value) is int and low <= value <= high
 
     return SettingRule(levels, is_allowed, f"{low} to {high}")
 
 
-def _truth(levels: frozenset[Level]) -> SettingRule:
+def _boolean(levels: frozenset[Level]) -> SettingRule:
     return SettingRule(levels, lambda value: type(value) is bool, "true or false")
 
 
@@ -132,59 +135,59 @@
         f"1 to {MAXIMUM_METHODS} different HTTP methods in capitals, or * for all",
     ),
     "target": _name(BELOW_ROOT),
-    "timeout_milliseconds": _whole_number(1, MAXIMUM_TIMEOUT_MILLISECONDS, ANYWHERE),
+    "timeout_milliseconds": _integer(1, MAXIMUM_TIMEOUT_MILLISECONDS, ANYWHERE),
     "call_class": _one_of(_CLASSES, ANYWHERE),
-    "repeatable": _truth(BELOW_ROOT),
+    "repeatable": _boolean(BELOW_ROOT),
     "audience": SettingRule(
         ANYWHERE, _is_audience, f"one or more of {', '.join(_AUDIENCES)}, each once"
     ),
     "hop": _one_of(_HOPS, ANYWHERE),
-    "retry_budget_percent": _whole_number(0, 100, ANYWHERE),
-    "retry_attempts": _whole_number(0, 10, ANYWHERE),
-    "require_ready": _truth(ANYWHERE),
-    "caller_rate_per_second": _whole_number(0, 1_000_000, ANYWHERE),
+    "retry_budget_percent": _integer(0, 100, ANYWHERE),
+    "retry_attempts": _integer(0, 10, ANYWHERE),
+    "require_ready": _boolean(ANYWHERE),
+    "caller_rate_per_second": _integer(0, 1_000_000, ANYWHERE),
     "verify_secret": _name_or_none(ANYWHERE),
-    "max_body_bytes": _whole_number(0, MAXIMUM_BODY_BYTES, ANYWHERE),
+    "max_body_bytes": _integer(0, MAXIMUM_BODY_BYTES, ANYWHERE),
     "calls": SettingRule(
         SERVICES_BELOW_ROOT,
         _are_calls,
         f"at most {MAXIMUM_CALLS} different names of services",
     ),
-    "slots": _whole_number(1, 10_000, SERVICES),
-    "connections": _whole_number(1, 100_000, SERVICES),
-    "queue_limit": _whole_number(0, 100_000, SERVICES),
-    "slow_start_milliseconds": _whole_number(0, 600_000, SERVICES),
-    "ejection_failures": _whole_number(1, 1_000, SERVICES),
-    "ejection_max_percent": _whole_number(0, 100, SERVICES),
+    "slots": _integer(1, 10_000, SERVICES),
+    "connections": _integer(1, 100_000, SERVICES),
+    "queue_limit": _integer(0, 100_000, SERVICES),
+    "slow_start_milliseconds": _integer(0, 600_000, SERVICES),
+    "ejection_failures": _integer(1, 1_000, SERVICES),
+    "ejection_max_percent": _integer(0, 100, SERVICES),
     "sign_secret": _name_or_none(SERVICES),
-    "spill_over": _truth(SERVICES),
+    "spill_over": _boolean(SERVICES),
     "host": SettingRule(
         ROUTES_ONLY, _is_host, "a host name in lower case without port, empty for all"
     ),
     "splits": SettingRule(ROUTES_ONLY, are_splits, SPLIT_RULE),
-    "priority": _whole_number(*PRIORITIES, ANYWHERE),
-    "target_latency_milliseconds": _whole_number(0, MAXIMUM_TIMEOUT_MILLISECONDS, ANYWHERE),
-    "retry_errors": _truth(ANYWHERE),
-    "streamed_bodies": _truth(ANYWHERE),
-    "large_answers": _truth(ANYWHERE),
-    "keyless": _truth(ANYWHERE),
-    "holds_every_service": _truth(SERVICES),
+    "priority": _integer(*PRIORITIES, ANYWHERE),
+    "target_latency_milliseconds": _integer(0, MAXIMUM_TIMEOUT_MILLISECONDS, ANYWHERE),
+    "retry_errors": _boolean(ANYWHERE),
+    "streamed_bodies": _boolean(ANYWHERE),
+    "large_answers": _boolean(ANYWHERE),
+    "keyless": _boolean(ANYWHERE),
+    "holds_every_service": _boolean(SERVICES),
     "health_path": SettingRule(
         SERVICES, lambda value: value == "" or _is_prefix(value), "a URL path, or empty"
     ),
     "backend_protocol": _one_of(_PROTOCOLS, SERVICES),
-    "backend_tls": _truth(SERVICES),
-    "max_header_bytes": _whole_number(256, 1 << 20, SERVICES),
-    "header_timeout_milliseconds": _whole_number(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
-    "idle_timeout_milliseconds": _whole_number(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
+    "backend_tls": _boolean(SERVICES),
+    "max_header_bytes": _integer(256, 1 << 20, SERVICES),
+    "header_timeout_milliseconds": _integer(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
+    "idle_timeout_milliseconds": _integer(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
     "tenant_rate_per_second": SettingRule(ROOT_ONLY, is_figure, FIGURE_RULE),
     "tenant_burst": SettingRule(ROOT_ONLY, is_figure, FIGURE_RULE),
-    "tenant_priority": _whole_number(*PRIORITIES, ROOT_ONLY),
+    "tenant_priority": _integer(*PRIORITIES, ROOT_ONLY),
     "rollout_version": SettingRule(
         SERVICE_ONLY, _is_software_version, SOFTWARE_VERSION_RULE
     ),
     "rollout_state": _one_of(_ROLLOUT_STATES, SERVICE_ONLY),
-    "rollout_share": _whole_number(0, 10_000, SERVICE_ONLY),
-    "rollout_began_milliseconds": _whole_number(0, 2**62, SERVICE_ONLY),
-    "rollout_milliseconds": _whole_number(0, 2**31, SERVICE_ONLY),
+    "rollout_share": _integer(0, 10_000, SERVICE_ONLY),
+    "rollout_began_milliseconds": _integer(0, 2**62, SERVICE_ONLY),
+    "rollout_milliseconds": _integer(0, 2**31, SERVICE_ONLY),
 }
--- a/src/peppershore/version/snapshot.py
+++ b/src/peppershore/version/snapshot.py
@@ -1,4 +1,4 @@
-"""The holder's side of distribution: an update is taken whole or not at all."""
+"""Application of updates by their receiver: an update is applied completely or rejected."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class UpdateProblem(Value, frozen=True):
-    """Why an update was refused; the holder keeps what it had.
+    """Why an update was rejected; the receiver keeps its snapshot.
 
-    "not-newer" is normal when updates cross each other; after any other kind
-    the holder needs full state.
+    "not-newer" is normal when updates arrive reordered. After any other kind the
+    receiver needs full state.
     """
 
     kind: UpdateProblemKind
@@ -53,14 +53,14 @@
 
 
 def empty_snapshot(scope: Scope) -> Snapshot:
-    """Give what a node holds before it has received anything."""
+    """Return the snapshot of a node that has received nothing yet."""
     return Snapshot(scope=scope, version=0, digest=NOTHING_HELD, resources={})
 
 
 def apply_update(current: Snapshot, update: Update) -> Result[Snapshot, UpdateProblem]:
-    """Give the snapshot that ``update`` makes of ``current``, or why it is refused.
+    """Return the snapshot after ``update``, or why the update is rejected.
 
-    The new snapshot is built aside; ``current`` is never touched.
+    ``current`` is never changed.
     """
     problem = _check_envelope(current, update)
     if problem is not None:
@@ -79,13 +79,13 @@
     if not contents.is_closed:
         gaps = find_gaps(update.scope, resources.values())
         return Failure(UpdateProblem("open-closure", "; ".join(gaps)))
-    made = Snapshot(update.scope, update.version, digest, resources)
-    made.__dict__[_CONTENTS_ATTRIBUTE] = contents
-    return Success(made)
+    after = Snapshot(update.scope, update.version, digest, resources)
+    after.__dict__[_CONTENTS_ATTRIBUTE] = contents
+    return Success(after)
 
 
 def open_snapshot(snapshot: Snapshot) -> ActiveConfiguration:
-    """Give a snapshot, whose resources are known to be good, as its holder uses it."""
+    """Return the decoded form of a snapshot whose resources were validated before."""
     contents = _known_contents(snapshot)
     if contents is None:
         contents = SnapshotContents(snapshot.scope, snapshot.resources.values())
@@ -103,9 +103,10 @@
 
 
 def _digest(current: Snapshot, update: Update, resources: dict[str, Resource]) -> Digest:
-    """Give the digest of what the update makes.
+    """Return the digest of the resources after the update.
 
-    From the change alone only where all of ``current`` was checked against its digest.
+    It is computed from the change alone only if all of ``current`` has been checked
+    against its digest, else from all resources.
     """
     if update.full or _known_contents(current) is None:
         return snapshot_digest(update.scope, resources.values())
@@ -117,16 +118,20 @@
 def _contents(
     current: Snapshot, update: Update, resources: dict[str, Resource]
 ) -> SnapshotContents:
-    """Give what the update makes, decoded; worked out from the change if it is small."""
+    """Return the decoded contents after the update.
+
+    They are derived from the contents of ``current`` if those are cached and the change
+    is small, else decoded from all resources.
+    """
     known = None if update.full else _known_contents(current)
     changes = len(update.removed) + len(update.changed)
-    if known is None or known.is_changed_at_large(changes):
+    if known is None or known.is_rebuild_cheaper(changes):
         return SnapshotContents(update.scope, resources.values())
     return known.changed(update.removed, update.changed)
 
 
 def _known_contents(snapshot: Snapshot) -> SnapshotContents | None:
-    """Give what was worked out when the snapshot was made by an update."""
+    """Return the contents cached by ``apply_update``; None for any other snapshot."""
     contents: SnapshotContents | None = snapshot.__dict__.get(_CONTENTS_ATTRIBUTE)
     return contents
 
--- a/src/peppershore/version/snapshot_contents.py
+++ b/src/peppershore/version/snapshot_contents.py
@@ -1,8 +1,9 @@
-"""What a snapshot holds, decoded and in order, made from the snapshot before it.
+"""The decoded contents of a snapshot, derived from those of the snapshot before it.
 
-A version costs by what changed: what is worked out of a snapshot (order of routes, index
-of prefixes, uses of names) is changed in as many places as resources changed, not made
-anew from all of them.  Former contents are never touched; a node may still use them.
+The cost of a new version depends on what changed: the derived data of a snapshot (order
+of routes, index of prefixes, number of uses of each name) is updated only for the
+resources that changed and not built again from all of them. Former contents are never
+changed, because a node may still use them.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
     TenantResource,
 )
 
-ANEW_SHARE = 0.25
-"""Where a larger share of all resources changes, all is made anew: sorting once is
+REBUILD_SHARE = 0.25
+"""If a larger share of the resources changes, the contents are rebuilt: sorting once is
 cheaper than that many insertions."""
 
 
 class SnapshotContents:
-    """The decoded contents of one snapshot, by name and as its holder uses them."""
+    """The decoded contents of one snapshot: by name, by type, and routes in match order."""
 
     __slots__ = (
         "_holding_all",
@@ -51,7 +52,7 @@
     )
 
     def __init__(self, scope: Scope, resources: Iterable[Resource]) -> None:
-        """Work everything out from the resources, which are known to be good."""
+        """Decode all resources, which must have been validated before."""
         self._scope = scope
         held = list(resources)
         contents = decode_contents(held)
@@ -75,13 +76,13 @@
         self._holding_all = 0
         self._uses: dict[str, int] = {}
         for content in contents:
-            self._count(content, 1)
+            self._update_content(content, 1)
         self.lacking = frozenset(name for name in self._uses if name not in self.by_name)
-        """Names that are used and not held."""
+        """Names of resources that are used but missing from the snapshot."""
 
     @property
     def is_closed(self) -> bool:
-        """Whether everything that is used is held; see ``closure.find_gaps``."""
+        """Whether no resource that is used is missing; see ``closure.find_gaps``."""
         if not self.by_name:
             return True
         hosts = self._scope.service in self.services or self._holding_all > 0
@@ -90,7 +91,7 @@
     def changed(
         self, removed: Iterable[str], changed: tuple[Resource, ...]
     ) -> SnapshotContents:
-        """Give the contents after these names went and these resources came."""
+        """Return the contents after names were removed and resources added or replaced."""
         came = decode_contents(changed)
         names = dict.fromkeys((*removed, *(resource.name for resource in changed)))
         gone = [self.by_name[name] for name in names if name in self.by_name]
@@ -100,9 +101,9 @@
         for resource, content in zip(changed, came, strict=True):
             copy.by_name[resource.name] = content
         for content in gone:
-            copy._take_out(content)
+            copy._remove_content(content)
         for content in came:
-            copy._put_in(content)
+            copy._add_content(content)
         copy.index = self.index.changed(
             [each for each in gone if isinstance(each, RouteResource)],
             [each for each in came if isinstance(each, RouteResource)],
@@ -116,9 +117,9 @@
         )
         return copy
 
-    def is_changed_at_large(self, changes: int) -> bool:
-        """Whether so many changes are better worked out anew."""
-        return changes > ANEW_SHARE * len(self.by_name)
+    def is_rebuild_cheaper(self, changes: int) -> bool:
+        """Report whether, with so many changes, a rebuild is cheaper."""
+        return changes > REBUILD_SHARE * len(self.by_name)
 
     def _copy(self) -> SnapshotContents:
         copy = SnapshotContents.__new__(SnapshotContents)
@@ -133,23 +134,26 @@
         copy._uses = dict(self._uses)
         return copy
 
-    def _take_out(self, content: ResourceContent) -> None:
-        self._count(content, -1)
+    def _remove_content(self, content: ResourceContent) -> None:
+        self._update_content(content, -1)
         if isinstance(content, RouteResource):
-            place = bisect_left(self._order, match_order(self._scope.service, content))
-            del self._order[place]
-            del self.routes[place]
+            position = bisect_left(self._order, match_order(self._scope.service, content))
+            del self._order[position]
+            del self.routes[position]
 
-    def _put_in(self, content: ResourceContent) -> None:
-        self._count(content, 1)
+    def _add_content(self, content: ResourceContent) -> None:
+        self._update_content(content, 1)
         if isinstance(content, RouteResource):
             order = match_order(self._scope.service, content)
-            place = bisect_left(self._order, order)
-            self._order.insert(place, order)
-            self.routes.insert(place, content)
+            position = bisect_left(self._order, order)
+            self._order.insert(position, order)
+            self.routes.insert(position, content)
 
-    def _count(self, content: ResourceContent, change: int) -> None:
-        """Count what a content uses, and hold or drop it by its name."""
+    def _update_content(self, content: ResourceContent, change: int) -> None:
+        """Update the counts of used names, and add or remove a content.
+
+        ``change`` is 1 to add it and -1 to remove it. Routes are only counted here.
+        """
         for name in used_names(self._scope, content):
             self._uses[name] = self._uses.get(name, 0) + change
         if isinstance(content, ServiceResource):
--- a/src/peppershore/version/splits.py
+++ b/src/peppershore/version/splits.py
@@ -27,12 +27,12 @@
 
 
 def format_split(target: WeightedTarget) -> str:
-    """Give the text of a weighted target."""
+    """Return the text "service=weight" of a weighted target."""
     return f"{target.service}={target.weight}"
 
 
 def parse_splits(texts: Iterable[str]) -> tuple[WeightedTarget, ...]:
-    """Give the targets of texts that ``are_splits`` accepted."""
+    """Parse texts that ``are_splits`` accepted."""
     targets: list[WeightedTarget] = []
     for text in texts:
         service, _, weight = text.partition("=")
@@ -41,7 +41,7 @@
 
 
 def are_splits(value: object) -> TypeGuard[tuple[str, ...]]:
-    """Tell whether a value may be a route's ``splits``."""
+    """Report whether a value is a valid ``splits`` setting of a route."""
     if not isinstance(value, tuple) or not 1 <= len(value) <= MAXIMUM_SPLITS:
         return False
     if not all(isinstance(text, str) and _SPLIT.fullmatch(text) for text in value):
@@ -51,5 +51,5 @@
 
 
 def split_services(texts: Iterable[str]) -> frozenset[str]:
-    """Give the services that a route's splits name."""
+    """Return the services that the splits of a route name."""
     return frozenset(target.service for target in parse_splits(texts))
--- a/src/peppershore/version/tenant_definitions.py
+++ b/src/peppershore/version/tenant_definitions.py
@@ -1,4 +1,4 @@
-"""Tenants as a whole configuration defines them, and the way to the tree and back."""
+"""Tenants in a complete configuration, and their conversion to and from the tree."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class TenantDefinition(Value, frozen=True):
-    """Callers who share keys, and a limit over all nodes together.
+    """Callers who share keys, and a rate limit that holds over all nodes together.
 
-    ``rate_per_second`` calls a second and ``burst`` on top, 0 or none for no limit;
-    ``priority`` goes before that of the route.
+    The limit is ``rate_per_second`` calls per second plus a burst of ``burst`` calls; a
+    rate of 0 or an unset one means no limit. ``priority`` overrides the priority of
+    the route.
     """
 
     keys: tuple[str, ...]
@@ -23,7 +24,7 @@
     priority: int | UnsetType = UNSET
 
     def __repr__(self) -> str:
-        """Keep key material out of logs and tracebacks."""
+        """Return a text without key material, for logs and tracebacks."""
         return f"TenantDefinition(keys=<{len(self.keys)} hidden>)"
 
 
@@ -31,7 +32,7 @@
 
 
 def problems_of_tenants(definitions: TenantDefinitions) -> list[Problem]:
-    """Give what is wrong with tenants, each alone and all together."""
+    """Return the problems of each tenant, and the keys that tenants share."""
     problems: list[Problem] = []
     for name, tenant in definitions.items():
         problems += check_tenant(name, tenant)
@@ -39,14 +40,14 @@
 
 
 def as_tenants(definitions: TenantDefinitions) -> dict[str, Tenant]:
-    """Give the tenants of the tree that definitions ask for."""
+    """Convert definitions to tenants of the tree."""
     return {
         name: Tenant(each.keys, **given_limits(each)) for name, each in definitions.items()
     }
 
 
 def definitions_of(tree: Tree) -> dict[str, TenantDefinition]:
-    """Give the tenants of a tree as they were defined, with their keys."""
+    """Return the definitions of the tenants of a tree, with their keys."""
     return {
         name: TenantDefinition(tenant.keys, **given_limits(tenant))
         for name, tenant in tree.tenants.items()
--- a/src/peppershore/version/tenant_keys.py
+++ b/src/peppershore/version/tenant_keys.py
@@ -1,4 +1,4 @@
-"""Changing a tenant's keys by those who see only fingerprints of them."""
+"""Changes of a tenant's keys by operators who see only fingerprints of the keys."""
 
 from __future__ import annotations
 
@@ -7,21 +7,24 @@
 from peppershore.version.tenants import is_fingerprint, key_fingerprint
 
 Reasons = tuple[str, ...]
-"""Why keys can't be changed so; no reason holds a key."""
+"""Why a change of keys is refused; no text contains a key."""
 
 
 def change_keys(
     keys: tuple[str, ...], add: tuple[str, ...], drop: tuple[str, ...]
 ) -> Result[tuple[str, ...], Reasons]:
-    """Give the keys without those of the fingerprints in ``drop``, then ``add``."""
-    reasons = [*_not_to_be_dropped(keys, drop), *_not_to_be_added(keys, add)]
+    """Return the keys without those whose fingerprints are in ``drop``, then ``add``.
+
+    Return the reasons instead if any part of the change is refused.
+    """
+    reasons = [*_reasons_against_drop(keys, drop), *_reasons_against_add(keys, add)]
     if reasons:
         return Failure(tuple(reasons))
     kept = tuple(key for key in keys if key_fingerprint(key) not in drop)
     return Success(kept + add)
 
 
-def _not_to_be_dropped(keys: tuple[str, ...], drop: tuple[str, ...]) -> list[str]:
+def _reasons_against_drop(keys: tuple[str, ...], drop: tuple[str, ...]) -> list[str]:
     held = [key_fingerprint(key) for key in keys]
     reasons: list[str] = []
     for fingerprint in dict.fromkeys(drop):
@@ -35,7 +38,7 @@
     return reasons
 
 
-def _not_to_be_added(keys: tuple[str, ...], add: tuple[str, ...]) -> list[str]:
+def _reasons_against_add(keys: tuple[str, ...], add: tuple[str, ...]) -> list[str]:
     known = set(keys)
     reasons: list[str] = []
     for key in add:
--- a/src/peppershore/version/tenants.py
+++ b/src/peppershore/version/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants: callers who share keys and a limit; what may stand in one, what it means.
+"""Tenants, callers who share keys and a rate limit: their rules and effective limits.
 
-Keys are key material.  Nodes hold the digest of each, people are shown a short
-fingerprint, and no text that is made here holds a key.
+Keys are key material. Nodes hold only the digest of each key, operators are shown a
+short fingerprint, and no text that this module produces contains a key.
 """
 
 from __future__ import annotations
@@ -28,52 +28,60 @@
 MAXIMUM_KEYS_OF_TENANT = 1_024
 MAXIMUM_KEY_BYTES = 4_096
 MAXIMUM_FIGURE = 1e9
-"""Calls, or calls a second: above all that a fleet serves, and exact as a float."""
+"""Largest burst (calls) or rate (calls per second).
+
+It is above what all nodes together serve, and exact as a float.
+"""
 
 MAXIMUM_SHOWN = 1e18
-"""Numbers beyond it are not shown digit by digit."""
+"""Largest absolute value of a number that problems show in digits."""
 
 FIGURE_RULE = f"a number from 0 to {MAXIMUM_FIGURE:.0f}"
 PRIORITIES = (0, 100)
-"""The lowest and the highest priority, 0 the most urgent."""
+"""Lowest and highest number of a priority; 0 is the most urgent."""
 
-FINGERPRINT_SIGNS = 8
-"""Hexadecimal signs of a key's digest that people are shown to tell keys apart."""
+FINGERPRINT_DIGITS = 8
+"""Number of hexadecimal digits of a key's digest that its fingerprint shows."""
 
-FINGERPRINT_FORM = re.compile(rf"sha256:[0-9a-f]{{{FINGERPRINT_SIGNS}}}", re.ASCII)
+FINGERPRINT_PATTERN = re.compile(rf"sha256:[0-9a-f]{{{FINGERPRINT_DIGITS}}}", re.ASCII)
 
 HIDDEN_MARK = "\0"
-"""Begins what stands in a key's place where operators see a tree.  No key holds such a
-sign, so that it can't be taken for a key, nor be set as one."""
+"""First character of the text that replaces a key in trees shown to operators.
+
+Keys must not contain this character, so the text is never taken for a key and can't be
+set as one.
+"""
 
 
 class GivenLimits(Protocol):
-    """What limits a tenant as it is given: in a tree, an edit, a whole configuration."""
+    """Limits that a tenant sets in a tree, an edit or a complete configuration."""
 
     @property
     def rate_per_second(self) -> Figure | UnsetType:
-        """Calls a second."""
+        """Admitted calls per second, over all nodes; 0 for no limit."""
 
     @property
     def burst(self) -> Figure | UnsetType:
-        """Calls on top."""
+        """Calls admitted in a burst above the rate."""
 
     @property
     def priority(self) -> int | UnsetType:
-        """What goes before the priority of a route."""
+        """Priority of the tenant's calls; it overrides that of the route."""
 
 
 class GivenTenant(GivenLimits, Protocol):
-    """What is given of a tenant, in a tree or in a whole configuration."""
+    """Limits and keys of a tenant, in a tree or in a complete configuration."""
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The keys its callers show."""
+        """Keys that the tenant's callers send."""
 
 
 class TenantLimits(Value, frozen=True):
-    """What holds for a tenant; ``rate_per_second`` 0: no limit, ``priority`` None: the
-    route's."""
+    """Effective limits of a tenant, after inheritance.
+
+    ``rate_per_second`` 0 means no limit, ``priority`` None the priority of the route.
+    """
 
     rate_per_second: Figure = 0
     burst: Figure = 0
@@ -85,64 +93,73 @@
     "burst": "tenant_burst",
     "priority": "tenant_priority",
 }
-"""Settings of the root that tenants inherit, by the name of what they give."""
+"""Settings of the root that tenants inherit, by the name of the tenant's limit."""
 
 LIMIT_NAMES = tuple(_ROOT_NAMES)
-"""What a tenant may set, or else inherits."""
+"""Limits that a tenant sets or else inherits."""
 
 
 def key_digest(key: bytes) -> bytes:
-    """Give the digest (SHA-256, 32 bytes) by which nodes know a key."""
+    """Return the digest (SHA-256, 32 bytes) by which nodes recognize a key."""
     return hashlib.sha256(key).digest()
 
 
 def key_digests(keys: Iterable[str]) -> tuple[bytes, ...]:
-    """Give the digest of each key once, in an order that tells nothing."""
+    """Return the distinct digests of keys, sorted so as to hide the order of the keys."""
     return tuple(sorted({key_digest(key.encode()) for key in keys}))
 
 
 def key_fingerprint(key: str) -> str:
-    """Give the text by which people tell a key; also of one that is hidden already."""
+    """Return the text that identifies a key to operators.
+
+    For the replacement of a hidden key it is the fingerprint of that key.
+    """
     if is_hidden(key):
         return key.removeprefix(HIDDEN_MARK)
-    return f"sha256:{key_digest(key.encode()).hex()[:FINGERPRINT_SIGNS]}"
+    return f"sha256:{key_digest(key.encode()).hex()[:FINGERPRINT_DIGITS]}"
 
 
 def is_fingerprint(text: str) -> bool:
-    """Whether this has the form of a key's fingerprint, so that no key is taken for one."""
-    return FINGERPRINT_FORM.fullmatch(text) is not None
+    """Report whether a text has the form of a key's fingerprint.
+
+    A key that was sent in place of a fingerprint is recognized by this check.
+    """
+    return FINGERPRINT_PATTERN.fullmatch(text) is not None
 
 
 def is_hidden(key: str) -> bool:
-    """Whether this stands in the place of a key that was hidden."""
+    """Report whether a text is the replacement of a hidden key."""
     return key.startswith(HIDDEN_MARK)
 
 
 def hidden_keys(keys: Iterable[str]) -> tuple[str, ...]:
-    """Give what stands in place of keys where operators see them."""
+    """Return the texts that replace keys in trees shown to operators."""
     return tuple(HIDDEN_MARK + key_fingerprint(key) for key in keys)
 
 
 def limits_of(tree: Tree, name: str) -> TenantLimits:
-    """Give what holds for a tenant of the tree, after inheritance from the root."""
+    """Return the effective limits of a tenant of the tree."""
     return inherited_limits(tree.tenants[name], tree.nodes[ROOT_PATH].overrides)
 
 
 def given_limits(tenant: GivenLimits) -> dict[str, Any]:
-    """Give what a tenant sets itself, by name."""
+    """Return the limits that the tenant itself sets, by name."""
     values = {name: getattr(tenant, name) for name in _ROOT_NAMES}
     return {name: value for name, value in values.items() if value is not UNSET}
 
 
 def inherited_limits(tenant: GivenLimits, root: Overrides) -> TenantLimits:
-    """Give what a tenant sets, else what the root sets, else the built-in limits."""
+    """Return a tenant's limits; the root's, then the built-in ones apply where unset."""
     inherited = {name: getattr(root, setting) for name, setting in _ROOT_NAMES.items()}
     found = {name: value for name, value in inherited.items() if value is not UNSET}
     return TenantLimits(**{**found, **given_limits(tenant)})
 
 
 def limit_origins(tree: Tree, name: str) -> tuple[Origin, ...]:
-    """Give what holds for a tenant, and whether the tenant, the root or none sets it."""
+    """Return a tenant's effective limits, and for each where it is set.
+
+    That is the tenant, the root, or BUILT_IN.
+    """
     limits = limits_of(tree, name)
     own = given_limits(tree.tenants[name])
     root = tree.nodes[ROOT_PATH].overrides
@@ -158,14 +175,14 @@
 
 
 def is_figure(value: Any) -> bool:
-    """Whether a value is a rate or a burst that can be counted with."""
+    """Report whether a value is a valid rate or burst: finite, from 0 to MAXIMUM_FIGURE."""
     if type(value) not in (int, float):
         return False
     return 0 <= value <= MAXIMUM_FIGURE and math.isfinite(value)
 
 
 def check_tenant(name: str, tenant: GivenTenant) -> list[Problem]:
-    """Give what is wrong with a tenant, taken alone."""
+    """Return the problems of one tenant, regardless of the others."""
     subject = f"tenant:{name}"
     problems: list[Problem] = []
     if not is_name(name):
@@ -180,7 +197,10 @@
 
 
 def shared_keys(keys_of: Mapping[str, tuple[str, ...]]) -> list[Problem]:
-    """Give one problem for each two tenants that share a key; no key is named."""
+    """Return one problem for each pair of tenants that share a key.
+
+    The texts do not contain the key.
+    """
     holders: dict[str, str] = {}
     pairs: set[tuple[str, str]] = set()
     for name in sorted(keys_of):
@@ -203,32 +223,34 @@
     for name in ("rate_per_second", "burst"):
         value = getattr(tenant, name)
         if value is not UNSET and not is_figure(value):
-            problems.append(Problem(subject, f"{name} is {_shown(value)}", FIGURE_RULE))
+            problems.append(
+                Problem(subject, f"{name} is {_number_text(value)}", FIGURE_RULE)
+            )
     priority = tenant.priority
     if priority is not UNSET and not PRIORITIES[0] <= priority <= PRIORITIES[1]:
         allowed = f"{PRIORITIES[0]} to {PRIORITIES[1]}"
-        problems.append(Problem(subject, f"priority is {_shown(priority)}", allowed))
+        problems.append(Problem(subject, f"priority is {_number_text(priority)}", allowed))
     return problems
 
 
-def _shown(value: Figure) -> str:
-    """Give a number as text; one of thousands of digits has none."""
+def _number_text(value: Figure) -> str:
+    """Return a number as text, without its digits if it is above MAXIMUM_SHOWN."""
     return repr(value) if abs(value) <= MAXIMUM_SHOWN else "out of all bounds"
 
 
 def _check_key(subject: str, number: int, key: str) -> list[Problem]:
-    """Check one key; callers send it in a header field."""
+    """Return the problems of one key; it must fit in a header field."""
     if not key:
         return [Problem(subject, f"key {number} is empty", "at least one character")]
     size = len(key.encode(errors="surrogatepass"))
     if size > MAXIMUM_KEY_BYTES:
         reason = f"key {number} has {size} bytes"
         return [Problem(subject, reason, f"at most {MAXIMUM_KEY_BYTES}")]
-    if any(_is_unsendable(sign) for sign in key):
+    if any(_is_unsendable(character) for character in key):
         reason = f"key {number} holds a control character"
         return [Problem(subject, reason, "what a header field can carry")]
     return []
 
 
-def _is_unsendable(sign: str) -> bool:
-    return sign < " " or sign == "\x7f" or "\ud800" <= sign <= "\udfff"
+def _is_unsendable(character: str) -> bool:
+    return character < " " or character == "\x7f" or "\ud800" <= character <= "\udfff"
--- a/src/peppershore/version/tree.py
+++ b/src/peppershore/version/tree.py
@@ -1,4 +1,4 @@
-"""Edits of the tree: all operations of an edit together, or none of them."""
+"""Edits of the tree: either all operations of an edit are applied, or none."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 MAXIMUM_OPERATIONS = 50_000
 MAXIMUM_TEXT_CHARACTERS = 4_096
 RELEASE_SUBJECT = "release"
-"""Stands in a conflict for the whole configuration that is in place."""
+"""Subject of a conflict about the release number of a complete configuration."""
 
 __all__ = [
     "AppliedEdit",
@@ -45,7 +45,7 @@
 
 
 def empty_tree(cluster: str) -> Tree:
-    """Give the tree of a new cluster: a root without overrides, at version 0."""
+    """Return the tree of a new cluster: a root without overrides, at version 0."""
     root = TreeNode(Overrides())
     return Tree(cluster=cluster, version=0, zones={}, nodes={ROOT_PATH: root}, secrets={})
 
@@ -53,10 +53,12 @@
 def apply_edit(
     tree: Tree, edit: Edit, version: Version
 ) -> Result[AppliedEdit, EditInvalid | EditConflict]:
-    """Give the valid tree that an edit makes at ``version``, or why there is none.
+    """Return the valid tree after an edit at ``version``, or why the edit is refused.
 
-    Revisions are compared before anything else, so that a racing operator
-    learns who won instead of what the winner's tree says about the edit.
+    Expected revisions are compared before the operations are applied, so that an
+    operator whose edit lost a race is told of the conflicting edit, and not of problems
+    that the other edit caused. Raise AssertionError if ``version`` is not higher than
+    the tree's.
     """
     if version <= tree.version:
         raise AssertionError(f"version {version} does not follow {tree.version}")
@@ -66,7 +68,7 @@
     conflict = _find_release_conflict(tree, edit) or _find_conflict(tree, edit)
     if conflict is not None:
         return Failure(conflict)
-    applied, problems = _carry_out(tree, edit, version)
+    applied, problems = _apply_operations(tree, edit, version)
     if not problems:
         problems += validate_changes(applied.tree, _changes(applied))
     if problems:
@@ -75,15 +77,20 @@
 
 
 def replay_edit(tree: Tree, edit: Edit, version: Version) -> AppliedEdit:
-    """Apply an edit that a quorum accepted; only a broken log makes it fail."""
-    applied, problems = _carry_out(tree, edit, version)
+    """Apply an edit that was accepted and committed to the log.
+
+    Raise AssertionError if it can't be applied, which only a corrupt log can cause.
+    """
+    applied, problems = _apply_operations(tree, edit, version)
     if problems:
-        raise AssertionError(f"accepted edit {edit.change_id} fails: {problems[0]}")
+        raise AssertionError(
+            f"accepted edit {edit.change_id} cannot be applied: {problems[0]}"
+        )
     return applied
 
 
 def revision_of(tree: Tree, subject: str) -> Version:
-    """Give the revision of a path or of a secret, zone or tenant; 0 if absent."""
+    """Return the revision of a path, secret, zone or tenant; 0 if it is absent."""
     found = _find_subject(tree, subject)
     return ABSENT_REVISION if found is None else found.revision
 
@@ -100,10 +107,10 @@
 
 def _check_edit(edit: Edit) -> list[Problem]:
     problems = []
-    least = 0 if edit.release else 1
-    if not least <= len(edit.operations) <= MAXIMUM_OPERATIONS:
+    minimum = 0 if edit.release else 1
+    if not minimum <= len(edit.operations) <= MAXIMUM_OPERATIONS:
         reason = f"the edit has {len(edit.operations)} operations"
-        problems.append(Problem("edit", reason, f"{least} to {MAXIMUM_OPERATIONS}"))
+        problems.append(Problem("edit", reason, f"{minimum} to {MAXIMUM_OPERATIONS}"))
     for name, text in (
         ("change id", edit.change_id),
         ("author", edit.author),
@@ -130,7 +137,10 @@
 
 
 def _find_release_conflict(tree: Tree, edit: Edit) -> EditConflict | None:
-    """A whole configuration is taken on its base only, and its number must rise."""
+    """Return the conflict of a complete configuration; None if it is acceptable.
+
+    Its base must be the release in force, and its number must be higher.
+    """
     if not edit.release:
         return None
     if edit.base_release == tree.release and edit.release > tree.release:
@@ -169,7 +179,7 @@
     )
 
 
-def _carry_out(
+def _apply_operations(
     tree: Tree, edit: Edit, version: Version
 ) -> tuple[AppliedEdit, list[Problem]]:
     editor = Editor(tree, edit.change_id, version, edit.release)
--- a/src/peppershore/version/tree_file.py
+++ b/src/peppershore/version/tree_file.py
@@ -1,4 +1,4 @@
-"""Trees as TOML text: an operator's file, a backup, a review.
+"""Trees as TOML text, for operators' files, backups and reviews.
 
 ::
 
@@ -15,9 +15,9 @@
     signing_generation = 1
     generations = [{ generation = 1, material_base64 = "..." }]
 
-Key material is written on demand only.  A file without a ``secrets`` table
-means: the secrets that are there already.  Tenants stand in no file: those
-that are there already stay.
+Key material is written only if requested. A file without a ``secrets`` table leaves
+the present secrets as they are. A file never has tenants; the present ones are
+retained.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 def tree_to_toml(tree: Tree, with_material: bool = False) -> str:
-    """Give the text of a tree; secrets are left out unless asked for."""
+    """Return a tree as TOML; secrets are left out unless ``with_material``."""
     table: dict[str, Any] = {
         "cluster": tree.cluster,
         "zones": {
@@ -99,11 +99,11 @@
     secrets: dict[str, Secret] | None = None,
     tenants: dict[str, Tenant] | None = None,
 ) -> Result[Tree, tuple[Problem, ...]]:
-    """Give the valid tree of a text at version 0, or everything wrong with it.
+    """Return the valid tree of a text at version 0, or all problems of the text.
 
-    ``secrets`` stand in for a missing ``secrets`` table.  Without either, the
-    names of secrets can't be checked and the tree comes without secrets.  The tree
-    has the ``tenants``, whatever the text says.
+    ``secrets`` replace a missing ``secrets`` table. Without either, the names of
+    secrets are not checked and the tree has no secrets. The tree's tenants are
+    ``tenants``, since a text has none.
     """
     try:
         table = tomllib.loads(text)
@@ -120,7 +120,7 @@
 
 
 def _with_named_secrets(tree: Tree) -> Tree:
-    """Give the tree with a placeholder for each secret it names."""
+    """Return the tree with a placeholder for each secret that its nodes name."""
     placeholder = Secret((SecretGeneration(1, b"placeholder"),), signing_generation=1)
     names = frozenset().union(
         *(referenced_secrets(node.overrides) for node in tree.nodes.values())
@@ -138,14 +138,14 @@
 
 
 class _Reader:
-    """Reads a parsed TOML table, collecting every problem on the way."""
+    """Reads a parsed TOML table and collects all problems."""
 
     def __init__(self, table: dict[str, Any]) -> None:
         self.problems: list[Problem] = []
         self._table = table
 
     def read_tree(self, known_secrets: dict[str, Secret]) -> Tree:
-        """Give the tree of the table; to be used only if there is no problem."""
+        """Return the tree of the table; it is usable only if ``problems`` is empty."""
         for name in self._table.keys() - set(_TABLES):
             self._refuse(FILE_SUBJECT, f"unknown key {name!r}", ", ".join(_TABLES))
         nodes = self._read_nodes()
--- a/src/peppershore/version/tree_index.py
+++ b/src/peppershore/version/tree_index.py
@@ -1,9 +1,9 @@
-"""An index of a tree by service, derived once and kept with the tree.
+"""Index of a tree by service, computed once and cached on the tree.
 
-A tree maps paths to nodes.  Validation and resolution ask by service: which
-routes has it in a zone, which services and secrets do its nodes name.  The
-index answers without a walk over the whole tree, and the index of an edited
-tree shares the branches of all services the edit did not touch.
+A tree maps paths to nodes. Validation and resolution need data by service: its routes
+in a zone, and the services and secrets that its nodes name. The index provides them
+without a scan of the tree. The index of an edited tree shares the branches of all
+services that the edit did not touch.
 """
 
 from __future__ import annotations
@@ -21,12 +21,13 @@
 
 
 class ServiceBranch(Value, frozen=True):
-    """What the nodes of one service say, over all zones.
+    """Summary of all nodes of one service, over all zones.
 
-    ``routes`` maps a zone (also "*") to the routes its nodes name;
-    ``references`` are the other services named by ``calls`` and ``target``;
-    ``diversions`` those that splits name: a call that is sent to another service
-    instead makes no chain of calls, so they may form cycles.
+    ``routes`` maps a zone (also "*") to the routes that have a node there.
+    ``references`` are the services that ``calls`` name, and the other services that
+    ``target`` names. ``diversions`` are the services that ``splits`` name; these may
+    form cycles, because a call that is sent to another service instead creates no
+    chain of calls.
     """
 
     paths: frozenset[str]
@@ -41,12 +42,12 @@
 
 
 def split_path(path: str) -> TreePath:
-    """Split the path of a node without a check; ``parse_path`` checks it."""
+    """Parse the path of a node without a check; ``parse_path`` checks it."""
     return TreePath(*path.strip("/").split("/")[:MAXIMUM_SEGMENTS])
 
 
 def index_of(tree: Tree) -> ServiceIndex:
-    """Give the index of a tree, building it the first time."""
+    """Return the index of a tree; build it at the first request."""
     index: ServiceIndex | None = tree.__dict__.get(_INDEX_ATTRIBUTE)
     if index is None:
         index = _build_index(tree)
@@ -55,7 +56,7 @@
 
 
 def derive_index(before: Tree, after: Tree, changed_paths: Iterable[str]) -> ServiceIndex:
-    """Index an edited tree from the index of the tree before the edit."""
+    """Derive the index of an edited tree from that of the tree before, and cache it."""
     index = dict(index_of(before))
     by_service: dict[str, set[str]] = defaultdict(set)
     for path in changed_paths:
@@ -78,9 +79,10 @@
 
 
 def referenced_services(service: str, overrides: Overrides) -> frozenset[str]:
-    """Give the services, other than its own, that one node names.
+    """Return the services that ``calls`` and ``target`` of one node name.
 
-    A call of a service to itself counts, a route to its own service does not.
+    If ``calls`` names the node's own service, that is included; if ``target`` does, it is
+    not.
     """
     names: set[str] = set()
     if overrides.calls is not UNSET:
@@ -91,13 +93,13 @@
 
 
 def diverted_services(overrides: Overrides) -> frozenset[str]:
-    """Give the services that one node's splits name."""
+    """Return the services that the ``splits`` of one node name."""
     splits = overrides.splits
     return split_services(splits) if are_splits(splits) else frozenset()
 
 
 def referenced_secrets(overrides: Overrides) -> frozenset[str]:
-    """Give the secrets that one node names."""
+    """Return the secrets that one node names."""
     named = (overrides.verify_secret, overrides.sign_secret)
     return frozenset(name for name in named if name is not UNSET and name != "")
 
@@ -119,31 +121,31 @@
     was: dict[str, TreeNode],
     now: dict[str, TreeNode],
 ) -> ServiceBranch | None:
-    """Give a branch after some of its nodes changed, at the cost of those alone.
+    """Return a branch after some of its nodes changed, from the changed nodes alone.
 
-    None where a name or zone that the changed nodes no longer use may be used by none:
-    only a walk over all nodes tells.
+    Return None if the changed nodes no longer use some name or zone: only a scan of all
+    nodes of the service shows whether another node uses it.
     """
-    then = _build_branch(service, frozenset(was), was)
-    here = _build_branch(service, frozenset(now), now)
+    before_change = _build_branch(service, frozenset(was), was)
+    after_change = _build_branch(service, frozenset(now), now)
     if not (
-        then.references <= here.references
-        and then.diversions <= here.diversions
-        and then.secrets <= here.secrets
-        and then.zones <= here.zones
+        before_change.references <= after_change.references
+        and before_change.diversions <= after_change.diversions
+        and before_change.secrets <= after_change.secrets
+        and before_change.zones <= after_change.zones
     ):
         return None
     routes = dict(former.routes)
-    for zone in then.routes.keys() | here.routes.keys():
-        names = routes.get(zone, frozenset()) - then.routes.get(zone, frozenset())
-        routes[zone] = names | here.routes.get(zone, frozenset())
+    for zone in before_change.routes.keys() | after_change.routes.keys():
+        names = routes.get(zone, frozenset()) - before_change.routes.get(zone, frozenset())
+        routes[zone] = names | after_change.routes.get(zone, frozenset())
     return ServiceBranch(
-        paths=(former.paths - then.paths) | here.paths,
+        paths=(former.paths - before_change.paths) | after_change.paths,
         routes={zone: names for zone, names in routes.items() if names},
-        zones=former.zones | here.zones,
-        references=former.references | here.references,
-        diversions=former.diversions | here.diversions,
-        secrets=former.secrets | here.secrets,
+        zones=former.zones | after_change.zones,
+        references=former.references | after_change.references,
+        diversions=former.diversions | after_change.diversions,
+        secrets=former.secrets | after_change.secrets,
     )
 
 
--- a/src/peppershore/version/validation.py
+++ b/src/peppershore/version/validation.py
@@ -1,14 +1,15 @@
-"""Rules that a whole tree must keep, checked as far as a change can break them.
-
-Every rule but four speaks of one node, so it is checked on the nodes that
-changed.  The four others are bounded too: a removed service, secret or zone
-is looked up in the index of references, the routes of a service are compared
-with each other when one of them changed, cycles are looked for in the
-graph of services when a reference changed, and the keys of all tenants are
-compared when a tenant changed.
-
-References are checked where they are written, also where a deeper node hides
-them: a hidden dangling name would come to light with an unrelated edit.
+"""Validation of a tree, limited to the rules that a change can break.
+
+All rules but four concern a single node, so they are checked on the nodes that
+changed. The cost of the other four is bounded too: a removed service, secret or zone
+is looked up in the index of references; the routes of a service are compared with each
+other if any node of the service changed; the graph of services is searched for cycles
+if any node other than the root changed; and the keys of all tenants are compared if a
+tenant changed.
+
+References are checked on the node that has them, even where a deeper node overrides
+them: otherwise an unrelated edit could expose a reference to something that does not
+exist.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 
 class Changes(Value, frozen=True):
-    """What an edit touched: paths of nodes, names of secrets, zones and tenants."""
+    """Paths of nodes and names of secrets, zones and tenants that an edit touched."""
 
     paths: frozenset[str]
     secrets: frozenset[str]
@@ -68,7 +69,7 @@
 
 
 def validate_tree(tree: Tree) -> tuple[Problem, ...]:
-    """Give every problem of a tree, at most MAXIMUM_PROBLEMS, sorted."""
+    """Return the sorted problems of a tree, at most MAXIMUM_PROBLEMS."""
     everything = Changes(
         paths=frozenset(tree.nodes),
         secrets=frozenset(tree.secrets),
@@ -79,7 +80,10 @@
 
 
 def validate_changes(tree: Tree, changes: Changes) -> tuple[Problem, ...]:
-    """Give the problems that ``changes`` to a valid tree brought about."""
+    """Return the sorted problems that ``changes`` to a valid tree caused.
+
+    At most MAXIMUM_PROBLEMS are returned.
+    """
     index = index_of(tree)
     problems: list[Problem] = []
     problems += _check_sizes(tree, index)
@@ -90,7 +94,7 @@
         node = tree.nodes.get(path)
         if node is not None:
             problems += _check_node(tree, path, node)
-    for service in _services(changes.paths):
+    for service in _services_of(changes.paths):
         branch = index.get(service)
         if branch is not None:
             problems += _check_routes(tree, service, branch)
@@ -102,7 +106,7 @@
     return (problem.subject, problem.reason, problem.allowed)
 
 
-def _services(paths: Iterable[str]) -> frozenset[str]:
+def _services_of(paths: Iterable[str]) -> frozenset[str]:
     return frozenset(split_path(path).service for path in paths if path != ROOT_PATH)
 
 
@@ -167,7 +171,7 @@
 
 
 def _check_tenants(tree: Tree, names: Iterable[str]) -> list[Problem]:
-    """Check the tenants that changed, and that no two of all share a key."""
+    """Return the problems of changed tenants, and keys that any two tenants share."""
     changed = [name for name in names if name in tree.tenants]
     problems: list[Problem] = []
     for name in changed:
@@ -178,9 +182,9 @@
 
 
 def _exposed_paths(tree: Tree, index: ServiceIndex, changes: Changes) -> set[str]:
-    """Give the nodes that may name something the changes removed."""
+    """Return the paths of nodes that may name something that the changes removed."""
     services = frozenset(
-        name for name in _services(changes.paths) if service_path(name) not in tree.nodes
+        name for name in _services_of(changes.paths) if service_path(name) not in tree.nodes
     )
     secrets = frozenset(name for name in changes.secrets if name not in tree.secrets)
     zones = frozenset(name for name in changes.zones if name not in tree.zones)
@@ -209,7 +213,7 @@
         problems.append(Problem(path, reason, f"set {service_path(parsed.service)}"))
     if parsed.zone not in ("", ANY_ZONE) and parsed.zone not in tree.zones:
         reason = f"the zone {parsed.zone} is not declared"
-        problems.append(Problem(path, reason, _some_of(tree.zones)))
+        problems.append(Problem(path, reason, _list_some(tree.zones)))
     named = referenced_services(parsed.service, node.overrides)
     for service in named | diverted_services(node.overrides):
         if service_path(service) not in tree.nodes:
@@ -218,11 +222,11 @@
     for secret in referenced_secrets(node.overrides):
         if secret not in tree.secrets:
             reason = f"the secret {secret} does not exist"
-            problems.append(Problem(path, reason, _some_of(tree.secrets)))
+            problems.append(Problem(path, reason, _list_some(tree.secrets)))
     return problems
 
 
-def _some_of(names: Iterable[str]) -> str:
+def _list_some(names: Iterable[str]) -> str:
     shown = sorted(names)
     if len(shown) > 20:
         return f"one of {', '.join(shown[:20])} and {len(shown) - 20} more"
@@ -230,7 +234,7 @@
 
 
 def _check_routes(tree: Tree, service: str, branch: ServiceBranch) -> list[Problem]:
-    """Check that the routes of a service can be told apart in every zone."""
+    """Check that in each zone no two routes of a service match the same calls."""
     names = frozenset().union(*branch.routes.values())
     problems: list[Problem] = []
     if len(names) > MAXIMUM_ROUTES_OF_SERVICE:
@@ -249,7 +253,7 @@
     holders: dict[tuple[str, str, str], str] = {}
     names = branch.routes[zone] | branch.routes.get(ANY_ZONE, frozenset())
     for route in sorted(names):
-        host, prefix, methods = _what_it_matches(tree, service, zone, route)
+        host, prefix, methods = _match_criteria(tree, service, zone, route)
         here = route_path(service, zone, route)
         if not prefix:
             problems.append(Problem(here, "the route has no path_prefix", "set one"))
@@ -263,10 +267,13 @@
     return problems
 
 
-def _what_it_matches(
+def _match_criteria(
     tree: Tree, service: str, zone: str, route: str
 ) -> tuple[str, str, tuple[str, ...]]:
-    """Resolve the settings that only routes have, which no parent gives."""
+    """Return host, path prefix and methods of a route.
+
+    Only nodes of routes have these settings, so nothing is inherited from others.
+    """
     host = ""
     prefix = ""
     methods: tuple[str, ...] = RouteSettings().methods
--- a/src/peppershore/version/warnings.py
+++ b/src/peppershore/version/warnings.py
@@ -1,4 +1,4 @@
-"""What a valid tree says that its operator can hardly mean."""
+"""Warnings about settings of a valid tree that are probably a mistake."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def warn_of(tree: Tree) -> tuple[Problem, ...]:
-    """Give the warnings of a valid tree, at most MAXIMUM_WARNINGS, sorted.
+    """Return the warnings about a valid tree, sorted, at most MAXIMUM_WARNINGS.
 
-    A route is named in all zones ("*") if it is so in each of them.
+    A warning that applies to a route in each of its zones is reported once, for the
+    zone "*".
     """
     zones = sorted(tree.zones) or [ANY_ZONE]
     found: list[Problem] = []
@@ -21,21 +22,21 @@
         names = sorted({name for zone in zones for name in routes_of(tree, service, zone)})
         for name in names:
             held = [zone for zone in zones if name in routes_of(tree, service, zone)]
-            unserved = [
+            rejecting = [
                 zone
                 for zone in held
-                if _serves_nobody(resolve_route(tree, service, zone, name).settings)
+                if _rejects_all_callers(resolve_route(tree, service, zone, name).settings)
             ]
-            shown = [ANY_ZONE] if unserved == held else unserved
-            found += [_serves_nobody_warning(service, zone, name) for zone in shown]
+            shown = [ANY_ZONE] if rejecting == held else rejecting
+            found += [_rejects_all_callers_warning(service, zone, name) for zone in shown]
     return tuple(found[:MAXIMUM_WARNINGS])
 
 
-def _serves_nobody(settings: RouteSettings) -> bool:
+def _rejects_all_callers(settings: RouteSettings) -> bool:
     return PUBLIC not in settings.audience and not settings.verify_secret
 
 
-def _serves_nobody_warning(service: str, zone: str, route: str) -> Problem:
+def _rejects_all_callers_warning(service: str, zone: str, route: str) -> Problem:
     return Problem(
         route_path(service, zone, route),
         "serves nobody: its audience shows tokens, and no secret verifies them",
--- a/src/peppershore/version/whole_configuration.py
+++ b/src/peppershore/version/whole_configuration.py
@@ -1,9 +1,10 @@
-"""A whole configuration as operators send it: routes, services, tenants, a number.
+"""A complete configuration as operators send it: routes, services, tenants, a number.
 
-It becomes the tree in one atomic edit: what most routes of a service share is set
-on the service and inherited, a route overrides what differs.  The way back gives
-the same configuration again, so that operators read what they sent.  That holds the keys of
-tenants, which are the operators' own: nothing but that answer shows them.
+One atomic edit puts it in the tree: a setting that most routes of a service share is
+set on the service and inherited, and a route overrides what differs. The conversion
+back from the tree returns an equal configuration, so that operators read what they
+sent. It includes the keys of tenants, which operators chose themselves; no other reply
+shows them.
 """
 
 from __future__ import annotations
@@ -52,12 +53,12 @@
 Runs = Literal["repeatable", "repeatable-large", "once", "once-streamed"]
 """How often a call of a route may run: any number of times, or at most once.
 
-"repeatable-large" also says that answers are large, "once-streamed" that bodies are, and
-are passed on as they come.
+"repeatable-large" also means that answers are large, "once-streamed" that bodies of
+requests are large and are forwarded as they arrive.
 """
 
 ID_BYTES = 16
-"""Bytes of the digest that names a configuration."""
+"""Bytes of the digest in the change id of a configuration with tenants."""
 
 LARGE_ANSWERS: Runs = "repeatable-large"
 REPEATABLE: tuple[Runs, ...] = ("repeatable", LARGE_ANSWERS)
@@ -73,22 +74,22 @@
     "large_answers",
     "keyless",
 )
-"""Settings of routes that stand on their service where most routes share them."""
+"""Settings whose most frequent value among a service's routes is set on the service."""
 
 
 class SplitDefinition(Value, frozen=True):
-    """A service that takes a share of a route's calls, by weight."""
+    """A service that gets a share of a route's calls, by weight."""
 
     service: str
     weight: int
 
 
 class RouteDefinition(Value, frozen=True, omit_defaults=True):
-    """A route: what it matches, where its calls go, and how they are treated.
+    """A route: the calls that it matches, where they go, and how they are treated.
 
-    One of ``service`` and ``split`` is given.  ``attempts`` is the largest number
-    of back ends that one call may be sent to.  Where there are tenants, calls carry a
-    key of one, unless the route is ``public``.
+    Exactly one of ``service`` and ``split`` must be set. ``attempts`` is the maximum
+    number of back ends to which one call may be sent. If the configuration has tenants,
+    a call must carry a tenant's key unless the route is ``public``.
     """
 
     host: str
@@ -104,7 +105,7 @@
 
 
 class ServiceDefinition(Value, frozen=True):
-    """A service's back ends: their health path, connections and protocol."""
+    """Settings of a service's back ends: health path, connections and protocol."""
 
     health_path: str = ""
     connections: int = 130
@@ -113,7 +114,7 @@
 
 
 class LimitsDefinition(Value, frozen=True):
-    """What a caller may send, and for how long it may take or rest."""
+    """Bounds on what a caller may send, how long that may take, and idle connections."""
 
     max_header_bytes: int = 32_768
     max_body_bytes: int = 1_048_576
@@ -122,10 +123,10 @@
 
 
 class WholeConfiguration(Value, frozen=True):
-    """Everything, under the operators' own rising number.
+    """A complete configuration; operators number them in rising order.
 
-    ``base`` is the number it was built on, 0 for the first.  Without ``tenants``, or with
-    none among them, nobody shows a key.
+    ``base`` is the number of the configuration that this one replaces, 0 for the first.
+    If ``tenants`` is unset or empty, callers need no key.
     """
 
     version: Version
@@ -141,7 +142,7 @@
 
 
 def decode_configuration(body: bytes) -> Result[WholeConfiguration, Problem]:
-    """Read a configuration from JSON, or say why it is none."""
+    """Decode a configuration from JSON, or return why it can't be decoded."""
     try:
         return Success(_DECODER.decode(body))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as problem:
@@ -149,14 +150,15 @@
 
 
 def encode_configuration(configuration: WholeConfiguration) -> bytes:
-    """Give a configuration as JSON, keys sorted."""
+    """Encode a configuration as JSON with sorted keys."""
     return _ENCODER.encode(configuration)
 
 
 def change_id_of(configuration: WholeConfiguration) -> str:
-    """Name a configuration by its number, its base and all of its content.
+    """Return the change id of a configuration: its number and a digest of all content.
 
-    One that holds keys is named by a digest that nobody can work back from.
+    If the configuration has tenants, the digest is a cryptographic one, from which
+    their keys can't be derived.
     """
     encoded = encode_configuration(configuration)
     if configuration.tenants:
@@ -167,7 +169,10 @@
 
 
 def find_problems(configuration: WholeConfiguration) -> tuple[Problem, ...]:
-    """Give what is wrong with a configuration taken alone; the tree's rules come later."""
+    """Return the problems of a configuration that can be found without the tree.
+
+    The rules of the tree are checked when the edit is applied.
+    """
     problems: list[Problem] = []
     if configuration.version <= configuration.base or configuration.base < 0:
         allowed = f"above the base {configuration.base}"
@@ -184,7 +189,7 @@
 
 
 def edit_of(tree: Tree, configuration: WholeConfiguration) -> Edit:
-    """Give the edit that makes a tree say what a configuration says."""
+    """Return the edit that changes a tree to match a configuration."""
     wanted = _tree_of(tree, configuration)
     return Edit(
         change_id=change_id_of(configuration),
@@ -195,7 +200,7 @@
 
 
 def configuration_of(tree: Tree) -> WholeConfiguration:
-    """Give the configuration that a tree says, for any zone."""
+    """Return the configuration of a tree, from the settings that hold in any zone."""
     routes: dict[str, RouteDefinition] = {}
     services: dict[str, ServiceDefinition] = {}
     for service in services_of(tree):
@@ -248,7 +253,7 @@
 
 
 def _tree_of(tree: Tree, configuration: WholeConfiguration) -> Tree:
-    """Give a tree of the configuration, with the secrets and zones of the present one."""
+    """Return the tree of a configuration, with the secrets and zones of ``tree``."""
     nodes: dict[str, TreeNode] = {}
     nodes[ROOT_PATH] = TreeNode(_root_overrides(configuration.limits))
     routes = _routes_by_service(configuration.routes)
@@ -258,7 +263,7 @@
         path = service_path(service)
         nodes[path] = TreeNode(_service_overrides(definition, shared))
         for name, overrides in own.items():
-            different = _without(overrides, shared)
+            different = _overrides_except(overrides, shared)
             nodes[route_path(service, ANY_ZONE, name)] = TreeNode(different)
     tenants = as_tenants(_tenants_of(configuration))
     return msgspec.structs.replace(tree, nodes=nodes, tenants=tenants)
@@ -267,7 +272,10 @@
 def _routes_by_service(
     routes: Mapping[str, RouteDefinition],
 ) -> dict[str, dict[str, dict[str, Any]]]:
-    """Give the overrides of routes by service: a route belongs to its first target."""
+    """Return the settings of routes, by service and name of the route.
+
+    A route belongs to its first target.
+    """
     found: dict[str, dict[str, dict[str, Any]]] = {}
     for name, route in routes.items():
         service = _targets_of(route)[0].service
@@ -297,7 +305,7 @@
 
 
 def _shared_settings(routes: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
-    """Give the most frequent value of each setting that all routes give."""
+    """Return the most frequent value of each shared setting that all routes set."""
     listed = list(routes)
     shared: dict[str, Any] = {}
     for name in SHARED_SETTINGS:
@@ -307,7 +315,7 @@
     return shared
 
 
-def _without(values: Mapping[str, Any], shared: Mapping[str, Any]) -> Overrides:
+def _overrides_except(values: Mapping[str, Any], shared: Mapping[str, Any]) -> Overrides:
     different = {
         name: value
         for name, value in values.items()
@@ -327,7 +335,10 @@
 
 
 def _root_overrides(limits: LimitsDefinition) -> Overrides:
-    """What holds for every service: all nodes hold all of it, and callers are public."""
+    """Return the overrides of the root, which all services inherit.
+
+    Every node holds every service, and callers need no token.
+    """
     return Overrides(
         audience=("public",),
         hop="owner",
@@ -358,11 +369,11 @@
         priority=settings.priority,
         service=UNSET if splits else (settings.target or resolved.service),
         split=splits or UNSET,
-        public=settings.keyless if _is_given(resolved, "keyless") else UNSET,
+        public=settings.keyless if _is_overridden(resolved, "keyless") else UNSET,
     )
 
 
-def _is_given(resolved: ResolvedRoute, setting: str) -> bool:
+def _is_overridden(resolved: ResolvedRoute, setting: str) -> bool:
     return any(
         origin.name == setting and origin.path != BUILT_IN for origin in resolved.origins
     )
