--- a/tests/version/test_catalog.py
+++ b/tests/version/test_catalog.py
@@ -1,4 +1,4 @@
-"""The catalog's answers: deltas, their bounds, shared bytes, who is affected."""
+"""The catalog: deltas and how far back they reach, shared entries, affected scopes."""
 
 from tests.version.trees import applied, refund_tree
 
@@ -55,7 +55,7 @@
     assert advance(catalog, SetOverrides("/kuitti", Overrides(slots=3))) == {TILL, KUITTI}
 
 
-def test_an_edit_without_effect_affects_nobody() -> None:
+def test_an_edit_without_effect_affects_no_scope() -> None:
     catalog = loaded()
     advance(catalog, set_attempts("/kassa/pasila/pay", 3))
     assert advance(catalog, set_attempts("/kassa/pasila/pay", 3)) == set()
@@ -63,7 +63,7 @@
     assert advance(catalog, RemoveNode("/kassa/pasila")) != set()
 
 
-def test_a_secret_reaches_those_that_use_it() -> None:
+def test_a_changed_secret_reaches_the_scopes_that_use_it() -> None:
     catalog = loaded()
     held = catalog.snapshot(TILL)
     holders = {TILL, KASSA, KASSA_ELSEWHERE}
@@ -79,7 +79,7 @@
 
 
 def receive(catalog: ScopeCatalog, held: Snapshot) -> Snapshot:
-    """Bring a holder that the catalog knows the base of up to date by a delta."""
+    """Return the snapshot after a delta; the catalog must know the base ``held``."""
     update = catalog.update_since(held.scope, held.version, held.digest)
     assert update is not None
     assert not update.full
@@ -109,7 +109,7 @@
     assert apply_update(held, update).unwrap() == catalog.snapshot(TILL)
 
 
-def test_removed_names_come_along_until_the_base_has_none() -> None:
+def test_a_delta_lists_removed_names_only_if_its_base_has_them() -> None:
     catalog = loaded()
     held = catalog.snapshot(TILL)
     advance(catalog, RemoveNode("/kuitti/*/read"))
@@ -131,7 +131,7 @@
     assert catalog.update_since(TILL, 0, 12345) is not None
 
 
-def test_updates_and_bytes_are_shared() -> None:
+def test_updates_and_encoded_resources_are_shared() -> None:
     catalog = loaded()
     assert catalog.update_since(TILL, 0, 0) is catalog.update_since(TILL, 0, 0)
     for_till = catalog.snapshot(TILL).resources
@@ -151,7 +151,7 @@
     assert advance(catalog, SetOverrides("/kuitti", Overrides(slots=3))) == set(SCOPES)
 
 
-def test_a_scope_without_a_service_holds_an_empty_snapshot_until_it_comes() -> None:
+def test_a_scope_of_an_absent_service_is_empty_until_the_service_is_added() -> None:
     catalog = loaded()
     scope = Scope("desk", "pasila")
     empty = catalog.snapshot(scope)
@@ -161,7 +161,7 @@
     assert receive(catalog, empty).resources.keys() == {"service:desk"}
 
 
-def test_a_forgotten_scope_starts_anew() -> None:
+def test_a_forgotten_scope_starts_without_history() -> None:
     catalog = loaded()
     held = catalog.snapshot(TILL)
     catalog.forget(TILL)
--- a/tests/version/test_catalog_machine.py
+++ b/tests/version/test_catalog_machine.py
@@ -1,8 +1,9 @@
 """Two catalogs and their holders under random edits, loss, duplication, reordering.
 
-One catalog follows every edit at once; the other lags and is now and then
-loaded anew.  Holders ask either of them, updates are lost, come twice and
-cross each other, and holders restart without memory.
+One catalog applies every edit at once; the other lags and is sometimes loaded again.
+Holders request updates from either of them. Updates are lost, duplicated and reordered,
+and holders restart without state. In each state, a holder must have the complete
+snapshot of one version.
 """
 
 from hypothesis import settings
--- a/tests/version/test_costs_by_change.py
+++ b/tests/version/test_costs_by_change.py
@@ -1,4 +1,7 @@
-"""What an edit costs a control replica and a relay grows with the edit, not the tree."""
+"""The cost of an edit, at a control replica or relay, depends on the size of the edit.
+
+It must not grow with the size of the tree.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,7 @@
 
 
 def configuration(version: int, timeout: int) -> WholeConfiguration:
-    """Give many routes, one of which has a timeout of its own."""
+    """Return a configuration of many routes, one of which has its own time-out."""
     many = {f"r{number}": route(path_prefix=f"/r{number}/") for number in range(ROUTES)}
     many["r7"] = route(path_prefix="/r7/", timeout_milliseconds=timeout)
     return read(version=version, base=version - 1, routes=many)
--- a/tests/version/test_decoded_once.py
+++ b/tests/version/test_decoded_once.py
@@ -1,4 +1,4 @@
-"""A version costs by what changed: a node decodes each resource once."""
+"""A node decodes each resource once, so a new version costs only what changed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _count_decoding(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Give the list to which the name of each resource is added as it is decoded."""
+    """Return a list to which the name of each resource is appended when it is decoded."""
     decoded: list[str] = []
     content_of = resource_codec._content  # noqa: SLF001
 
@@ -52,8 +52,10 @@
     assert len(opened.routes) == ROUTES
 
 
-def test_what_an_update_brings_is_decoded_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Checked, searched for gaps and opened, all by one decoding."""
+def test_each_resource_of_an_update_is_decoded_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Check, closure check and opening of a snapshot share one decoding."""
     catalog = ScopeCatalog()
     catalog.load(put(empty_tree("mesh"), read()))
     scope = Scope("kassa", "pasila")
--- a/tests/version/test_incremental_validation.py
+++ b/tests/version/test_incremental_validation.py
@@ -1,4 +1,4 @@
-"""Validation of what changed gives the verdict of validation of the whole tree."""
+"""Validation of the changes alone finds the same problems as that of the whole tree."""
 
 import msgspec
 from hypothesis import given, settings
--- a/tests/version/test_resolution.py
+++ b/tests/version/test_resolution.py
@@ -1,4 +1,4 @@
-"""Inheritance: which layer wins, and that each value tells where it comes from."""
+"""Inheritance: the precedence of layers, and the origin of each value."""
 
 import msgspec
 from hypothesis import given
--- a/tests/version/test_snapshot_contents.py
+++ b/tests/version/test_snapshot_contents.py
@@ -1,4 +1,7 @@
-"""What is worked out of a snapshot by changes is what all of it gives, at less cost."""
+"""Snapshot contents derived from a change equal those built from all resources.
+
+The derivation processes only the resources that changed.
+"""
 
 from __future__ import annotations
 
@@ -72,7 +75,7 @@
 
 
 def seen(contents: SnapshotContents) -> tuple[object, ...]:
-    """Give everything that a holder goes by."""
+    """Return all contents that a holder uses."""
     index = contents.index._by_host  # noqa: SLF001
     return (
         contents.by_name,
@@ -137,7 +140,7 @@
     return count
 
 
-def test_a_change_of_one_route_among_many_looks_at_few(
+def test_a_change_of_one_route_among_many_processes_few_resources(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = many_routes()
--- a/tests/version/test_snapshot_updates.py
+++ b/tests/version/test_snapshot_updates.py
@@ -1,4 +1,4 @@
-"""A holder takes an update whole or refuses it and keeps what it had."""
+"""A holder applies an update completely, or rejects it and keeps its snapshot."""
 
 import msgspec
 import pytest
@@ -39,7 +39,7 @@
 
 
 def with_resources(update: Update, held: Snapshot, *changed: Resource) -> Update:
-    """Give an update of other resources whose digest is right."""
+    """Return ``update`` with other changed resources and the matching digest."""
     resources = {**held.resources, **{each.name: each for each in changed}}
     digest = snapshot_digest(SCOPE, resources.values())
     return msgspec.structs.replace(update, changed=changed, digest=digest)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     "resource", [route_to("nobody"), route_to("kuitti", verify_secret="lost")]
 )
-def test_a_route_to_what_is_not_held_is_refused(resource: Resource) -> None:
+def test_a_route_that_needs_a_missing_resource_is_refused(resource: Resource) -> None:
     held, delta = held_and_delta()
     problem = apply_update(held, with_resources(delta, held, resource)).failure()
     assert problem.kind == "open-closure"
@@ -147,20 +147,20 @@
         "/pay\\..\\status",
     ],
 )
-def test_a_path_that_leads_elsewhere_matches_nothing(path: str) -> None:
+def test_a_path_with_dot_segments_matches_nothing(path: str) -> None:
     active = open_snapshot(held_and_delta()[0])
     assert active.match_route("/pay/x", "POST") is not None
     assert active.match_route(path, "POST") is None
     assert active.allowed_methods(path) == ()
 
 
-def test_dots_that_are_no_segment_do_no_harm() -> None:
+def test_dots_that_are_no_segment_are_allowed() -> None:
     active = open_snapshot(held_and_delta()[0])
     for path in ("/pay/a..b", "/pay/.hidden", "/pay/x%20y", "/pay?next=/../x"):
         assert active.match_route(path, "POST") is not None, path
 
 
-def test_key_material_stays_out_of_texts() -> None:
+def test_key_material_is_not_in_texts() -> None:
     held, _ = held_and_delta()
     active = open_snapshot(held)
     assert active.secrets["member-key"].generations[0].material == b"first material"
--- a/tests/version/test_tenants.py
+++ b/tests/version/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the tree: edits, rules, inheritance, differences, and what nodes get."""
+"""Tenants in the tree: edits, rules, inheritance, differences, resources of nodes."""
 
 from __future__ import annotations
 
@@ -112,7 +112,7 @@
 FIRST, SECOND = (key_fingerprint(key) for key in STUDIO.keys or ())
 
 
-def test_keys_rotate_by_those_who_see_fingerprints_only() -> None:
+def test_keys_are_added_and_dropped_by_fingerprint() -> None:
     tree = tree_of(STUDIO, FARM)
     both = applied(tree, ChangeTenantKeys("studio", keys=("studio-key-three",))).tree
     assert both.tenants["studio"].keys == (*STUDIO.keys, "studio-key-three")
@@ -124,7 +124,7 @@
     assert none.tree.tenants["farm"].keys == ()
 
 
-UNFIT: dict[str, tuple[ChangeTenantKeys, str]] = {
+INVALID_KEY_CHANGES: dict[str, tuple[ChangeTenantKeys, str]] = {
     "no tenant": (ChangeTenantKeys("nobody", ("k",)), "there is no such tenant"),
     "held": (ChangeTenantKeys("studio", ("studio-key-one",)), f"has the key .* {FIRST}"),
     "given twice": (ChangeTenantKeys("studio", ("k", "k")), "has the key"),
@@ -136,9 +136,9 @@
 }
 
 
-@pytest.mark.parametrize("case", UNFIT)
-def test_keys_that_do_not_fit_change_nothing_and_are_not_shown(case: str) -> None:
-    operation, expected = UNFIT[case]
+@pytest.mark.parametrize("case", INVALID_KEY_CHANGES)
+def test_an_invalid_change_of_keys_is_refused_without_showing_a_key(case: str) -> None:
+    operation, expected = INVALID_KEY_CHANGES[case]
     subject, reason = refused(tree_of(STUDIO, FARM), operation)
     assert subject == f"tenant:{operation.name}"
     assert re.search(expected, reason)
@@ -146,14 +146,14 @@
         assert key not in reason
 
 
-def test_two_keys_of_one_fingerprint_are_not_told_apart() -> None:
+def test_dropping_a_fingerprint_of_two_keys_is_refused() -> None:
     held = ("key", *hidden_keys(["key"]))
     drop = (key_fingerprint("key"),)
     (reason,) = change_keys(held, (), drop).failure()
     assert "has 2 keys" in reason
 
 
-def test_each_limit_tells_who_sets_it() -> None:
+def test_each_limit_has_its_origin() -> None:
     root = SetOverrides("/", Overrides(tenant_rate_per_second=7, tenant_priority=3))
     tree = tree_of(root, SetTenant("studio", rate_per_second=0), FARM)
     assert [(each.value, each.path) for each in limit_origins(tree, "studio")] == [
@@ -168,7 +168,7 @@
 
 # --- rules -------------------------------------------------------------------
 
-WRONG: dict[str, tuple[SetTenant, str]] = {
+INVALID_TENANTS: dict[str, tuple[SetTenant, str]] = {
     "shared key": (SetTenant("other", keys=("x", "farm-key")), "shares a key"),
     "empty key": (SetTenant("other", keys=("x", "")), "key 2 is empty"),
     "negative rate": (SetTenant("other", rate_per_second=-1), "rate_per_second is -1"),
@@ -190,9 +190,9 @@
 }
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_what_no_tenant_may_be_is_refused_without_showing_a_key(name: str) -> None:
-    operation, reason = WRONG[name]
+@pytest.mark.parametrize("name", INVALID_TENANTS)
+def test_an_invalid_tenant_is_refused_without_showing_a_key(name: str) -> None:
+    operation, reason = INVALID_TENANTS[name]
     subject, found = refused(tree_of(FARM), operation)
     assert subject == (f"tenant:{operation.name}")
     assert reason in found
@@ -200,7 +200,7 @@
     assert "secret" not in found
 
 
-def test_a_shared_key_is_found_also_where_only_one_of_two_changed() -> None:
+def test_a_shared_key_is_found_even_if_only_one_tenant_changed() -> None:
     tree = tree_of(STUDIO, FARM)
     assert refused(tree, SetTenant("studio", keys=("farm-key",))) == (
         "tenant:studio",
@@ -208,7 +208,7 @@
     )
 
 
-def test_the_same_key_twice_in_one_tenant_and_no_key_are_harmless() -> None:
+def test_a_tenant_may_have_the_same_key_twice_or_no_key() -> None:
     tree = tree_of(SetTenant("twice", keys=("k", "k")), SetTenant("none", keys=()))
     assert tree.tenants["twice"].keys == ("k", "k")
     assert len(held(tree, TILL)["twice"].key_digests) == 1
@@ -243,7 +243,7 @@
 # --- inheritance -------------------------------------------------------------
 
 
-def test_what_a_tenant_leaves_unset_comes_from_the_root() -> None:
+def test_unset_limits_of_a_tenant_are_inherited_from_the_root() -> None:
     shared = Overrides(tenant_rate_per_second=7.5, tenant_burst=3, tenant_priority=2)
     tree = tree_of(SetOverrides("/", shared), STUDIO, FARM)
     farm = limits_of(tree, "farm")
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize("path", ["/kassa", "/kassa/pasila", "/kassa/*/pay"])
-def test_limits_of_tenants_make_sense_on_the_root_only(path: str) -> None:
+def test_limits_of_tenants_are_allowed_on_the_root_only(path: str) -> None:
     _, reason = refused(refund_tree(), SetOverrides(path, Overrides(tenant_burst=1)))
     assert "makes no sense" in reason
 
@@ -282,14 +282,14 @@
     assert not any("-key" in each.before + each.after for each in found)
 
 
-def test_a_hidden_key_shows_the_fingerprint_of_the_key_and_differs_from_none() -> None:
+def test_a_hidden_key_has_the_fingerprint_of_the_key() -> None:
     hidden = hidden_keys(("farm-key",))
     assert hidden[0].startswith(HIDDEN_MARK)
     assert key_fingerprint(hidden[0]) == key_fingerprint("farm-key")
     assert hidden_keys(hidden) == hidden
 
 
-def test_a_revert_brings_limits_back_and_no_key_that_was_taken_away() -> None:
+def test_a_revert_restores_limits_but_no_removed_key() -> None:
     older = tree_of(STUDIO, FARM)
     now = applied(
         older, SetTenant("studio", 1, keys=("studio-key-two",)), SetTenant("late")
@@ -317,7 +317,7 @@
     assert revert_operations(tree, read) == ()
 
 
-# --- what nodes get ----------------------------------------------------------
+# --- resources of nodes ------------------------------------------------------
 
 
 def held(tree: Tree, scope: Scope) -> dict[str, TenantResource]:
@@ -364,12 +364,12 @@
         assert len(open_snapshot(taken).tenants["t7"].key_digests) == 2
 
 
-def test_a_removed_tenant_is_gone_and_keys_in_another_order_change_nothing() -> None:
+def test_a_removed_tenant_is_removed_and_the_order_of_keys_is_irrelevant() -> None:
     catalog = ScopeCatalog()
     catalog.load(tree_of(STUDIO, FARM))
     known = catalog.snapshot(TILL)
-    turned = SetTenant("studio", 350, 100.5, 1, ("studio-key-two", "studio-key-one"))
-    assert catalog.advance(applied(catalog.tree, turned)) == ()
+    reordered = SetTenant("studio", 350, 100.5, 1, ("studio-key-two", "studio-key-one"))
+    assert catalog.advance(applied(catalog.tree, reordered)) == ()
     catalog.advance(applied(catalog.tree, RemoveTenant("farm")))
     update = catalog.update_since(TILL, known.version, known.digest)
     assert update is not None
@@ -377,7 +377,7 @@
     assert open_snapshot(apply_update(known, update).unwrap()).tenants.keys() == {"studio"}
 
 
-def test_a_limit_of_the_root_reaches_those_that_inherit_it() -> None:
+def test_a_limit_of_the_root_reaches_the_tenants_that_inherit_it() -> None:
     catalog = ScopeCatalog()
     catalog.load(tree_of(STUDIO, FARM))
     known = catalog.snapshot(TILL)
--- a/tests/version/test_tree_edits.py
+++ b/tests/version/test_tree_edits.py
@@ -43,14 +43,14 @@
     assert tree.nodes["/kassa"].overrides.slots == 20
 
 
-def test_a_new_path_brings_its_service() -> None:
+def test_a_new_path_creates_its_service() -> None:
     change = applied(
         refund_tree(), SetOverrides("/desk/*/read", Overrides(path_prefix="/desk"))
     )
     assert change.changed_paths == {"/desk", "/desk/*/read"}
 
 
-def test_removing_a_service_removes_all_below() -> None:
+def test_removing_a_service_removes_all_nodes_below() -> None:
     change = applied(refund_tree(), RemoveNode("/till"))
     assert change.changed_paths == {"/till", "/till/*/status"}
     assert not any(path.startswith("/till") for path in change.tree.nodes)
@@ -98,7 +98,7 @@
         (UnsetOverrides("/kassa", ("colour",)), "/kassa", "no setting 'colour'"),
     ],
 )
-def test_what_would_break_the_tree_is_refused(
+def test_an_edit_that_makes_the_tree_invalid_is_refused(
     operation: model.Operation, subject: str, words: str
 ) -> None:
     problems = refused(operation).problems
@@ -107,7 +107,7 @@
     )
 
 
-def test_a_secret_that_only_the_root_names_cannot_go() -> None:
+def test_a_secret_that_only_the_root_names_cannot_be_removed() -> None:
     tree = applied(
         refund_tree(),
         PutSecret("root-key", b"x"),
@@ -124,7 +124,7 @@
     assert [each.subject for each in problems] == ["/nobody"]
 
 
-def test_an_edit_is_judged_by_its_result_and_not_by_its_steps() -> None:
+def test_only_the_result_of_an_edit_is_validated_and_not_its_steps() -> None:
     change = applied(
         refund_tree(),
         RemoveNode("/kassa"),
@@ -143,7 +143,7 @@
         ("zone:pasila", 7, 1, "seed"),
     ],
 )
-def test_a_racing_edit_learns_who_won(
+def test_a_conflict_names_the_edit_that_won(
     subject: str, revision: int, actual: int, winner: str
 ) -> None:
     operation = SetOverrides("/kassa", Overrides(slots=7))
--- a/tests/version/test_tree_file.py
+++ b/tests/version/test_tree_file.py
@@ -1,4 +1,4 @@
-"""Trees as TOML: round trip, typed problems for whatever is not a tree."""
+"""Trees as TOML: round trip, and typed problems for text that is not a tree."""
 
 import pytest
 from hypothesis import given
@@ -26,7 +26,7 @@
 
 
 def grown(sequence: list[tuple[Operation, ...]]) -> list[Tree]:
-    """Give every tree along a sequence of edits, passing over refused ones."""
+    """Return the trees after each accepted edit of a sequence, the first tree included."""
     trees = [applied(empty_tree("test"), *STARTING_OPERATIONS).tree]
     for operations in sequence:
         outcome = apply_edit(trees[-1], edit_of(*operations), trees[-1].version + 1)
@@ -65,7 +65,7 @@
     assert reverted.secrets.keys() == trees[0].secrets.keys()
 
 
-def test_a_lost_secret_comes_back_with_its_signing_key() -> None:
+def test_a_revert_restores_a_missing_secret_with_its_signing_key() -> None:
     rotated = applied(
         refund_tree(),
         *(PutSecret("member-key", material) for material in (b"second", b"third")),
@@ -101,7 +101,7 @@
     )
 
 
-def test_names_of_secrets_count_once_the_secrets_are_known() -> None:
+def test_names_of_secrets_are_checked_if_the_secrets_are_known() -> None:
     text = tree_to_toml(refund_tree())
     assert tree_from_toml(text).unwrap().secrets == {}
     problems = tree_from_toml(text, secrets={}).failure()
@@ -110,7 +110,7 @@
     assert [each.subject for each in tree_from_toml(broken).failure()] == ["/till/*/status"]
 
 
-def test_material_is_written_on_demand_only() -> None:
+def test_key_material_is_written_only_if_requested() -> None:
     assert "secrets" not in tree_to_toml(refund_tree())
     assert "material_base64" in tree_to_toml(refund_tree(), with_material=True)
 
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("text", ["=", "cluster = ", "cluster = 'c'\nnodes = 3"])
-def test_what_is_no_tree_is_a_typed_problem(text: str) -> None:
+def test_a_text_that_is_no_tree_is_a_typed_problem(text: str) -> None:
     assert tree_from_toml(text).failure()
 
 
--- a/tests/version/test_whole_configuration.py
+++ b/tests/version/test_whole_configuration.py
@@ -1,4 +1,4 @@
-"""Whole configurations: read, judged, made the tree, and read back as they were sent."""
+"""Complete configurations: decoded, validated, put in the tree, read back unchanged."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
 
 
 def with_keys(listed: dict[str, dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Give tenants that many keys of their own, the first one twice."""
+    """Replace each tenant's number of keys by so many keys, the first one twice."""
     return {
         name: values
         | {"keys": [f"{name}-{each or 1}" for each in range(values.get("keys", 0))]}
@@ -146,7 +146,7 @@
 
 
 def in_order(listed: dict[str, Any] | None) -> dict[str, Any] | None:
-    """Give tenants sorted as they are given back."""
+    """Return tenants in the order in which they are encoded."""
     if listed is None:
         return None
     return {name: dict(sorted(each.items())) for name, each in sorted(listed.items())}
@@ -250,7 +250,7 @@
     assert "secret" not in repr(decoded.failure())
 
 
-def test_a_configuration_without_tenants_is_given_back_without() -> None:
+def test_a_configuration_without_tenants_is_read_back_without_any() -> None:
     for given_body in (body(), body(tenants={})):
         wanted = decode_configuration(json.dumps(given_body).encode()).unwrap()
         tree = put(empty_tree("mesh"), wanted)
@@ -269,7 +269,7 @@
     assert {type(operation) for operation in without.operations} == {RemoveTenant}
 
 
-def test_a_key_that_comes_and_goes_and_comes_again_is_held_as_the_newest_says() -> None:
+def test_a_key_may_be_removed_and_added_again() -> None:
     tree = empty_tree("mesh")
     for number, keys in enumerate((["a", "b"], ["b"], ["a", "b"], []), 1):
         wanted = read(version=number, base=number - 1, tenants={"t": {"keys": keys}})
@@ -290,7 +290,7 @@
     assert first != change_id_of(read(routes={"pay": route(priority=2)}))
 
 
-def test_the_change_id_names_the_keys_and_shows_none() -> None:
+def test_the_change_id_depends_on_the_keys_and_shows_none() -> None:
     keyed = [read(tenants={"t": {"keys": [key]}}) for key in ("sesame-1", "sesame-2")]
     first, second = (change_id_of(each) for each in keyed)
     assert first != second
--- a/tests/version/tree_strategies.py
+++ b/tests/version/tree_strategies.py
@@ -1,4 +1,4 @@
-"""Random operations over a few names, so that they meet each other often."""
+"""Random operations over a few names, so that they often concern the same subject."""
 
 from hypothesis import strategies
 
@@ -81,7 +81,7 @@
         )
     ),
 )
-"""Operations that mostly are valid and change what some scope holds."""
+"""Operations that are mostly valid and change the resources of some scope."""
 
 operations: strategies.SearchStrategy[Operation] = strategies.one_of(
     visible_changes,
--- a/tests/version/trees.py
+++ b/tests/version/trees.py
@@ -1,4 +1,4 @@
-"""Small trees and edits that the tests of a version share."""
+"""Small trees and edits that several tests use."""
 
 from returns.result import Success
 
@@ -36,12 +36,12 @@
 
 
 def applied(tree: Tree, *operations: Operation, change_id: str = "change") -> AppliedEdit:
-    """Apply an edit that must be valid, at the next version."""
+    """Apply an edit at the next version; fail the test if it is refused."""
     outcome = apply_edit(tree, edit_of(*operations, change_id=change_id), tree.version + 1)
     assert isinstance(outcome, Success), outcome
     return outcome.unwrap()
 
 
 def refund_tree() -> Tree:
-    """Give a valid tree of the Refund Network's kind at version 1."""
+    """Return a valid tree at version 1, of the kind that the Refund Network has."""
     return applied(empty_tree("refund"), *REFUND_OPERATIONS, change_id="seed").tree
