--- a/src/peppershore/version/active.py
+++ b/src/peppershore/version/active.py
@@ -39,38 +39,38 @@
         """Index ``routes``, which must be sorted by ``match_order``."""
         self._by_host: dict[str, dict[str, list[RouteResource]]] = {}
         for route in routes:
-            of_host = self._by_host.setdefault(route.settings.host, {})
-            of_host.setdefault(route.settings.path_prefix, []).append(route)
+            by_prefix = self._by_host.setdefault(route.settings.host, {})
+            by_prefix.setdefault(route.settings.path_prefix, []).append(route)
 
     def changed(
-        self, gone: list[RouteResource], came: list[RouteResource], hosted: str
+        self, removed: list[RouteResource], added: list[RouteResource], hosted: str
     ) -> RouteIndex:
-        """Return a new index without the routes ``gone`` and with the routes ``came``.
+        """Return a new index without the routes ``removed`` and with the routes ``added``.
 
         ``hosted`` is the service that the node hosts. This index is not changed.
         """
         copy = RouteIndex(())
         copy._by_host = dict(self._by_host)
-        for host in {route.settings.host for route in (*gone, *came)}:
+        for host in {route.settings.host for route in (*removed, *added)}:
             copy._by_host[host] = dict(self._by_host.get(host, {}))
-        for route in gone:
-            of_host = copy._by_host[route.settings.host]
+        for route in removed:
+            by_prefix = copy._by_host[route.settings.host]
             prefix = route.settings.path_prefix
-            of_host[prefix] = [each for each in of_host[prefix] if each is not route]
-        for route in came:
-            of_host = copy._by_host[route.settings.host]
+            by_prefix[prefix] = [each for each in by_prefix[prefix] if each is not route]
+        for route in added:
+            by_prefix = copy._by_host[route.settings.host]
             prefix = route.settings.path_prefix
-            routes = [*of_host.get(prefix, ()), route]
-            of_host[prefix] = sorted(routes, key=lambda each: match_order(hosted, each))
-        for route in gone:
+            routes = [*by_prefix.get(prefix, ()), route]
+            by_prefix[prefix] = sorted(routes, key=lambda each: match_order(hosted, each))
+        for route in removed:
             copy._drop_if_empty(route.settings.host, route.settings.path_prefix)
         return copy
 
     def _drop_if_empty(self, host: str, prefix: str) -> None:
-        of_host = self._by_host.get(host, {})
-        if prefix in of_host and not of_host[prefix]:
-            del of_host[prefix]
-        if host in self._by_host and not of_host:
+        by_prefix = self._by_host.get(host, {})
+        if prefix in by_prefix and not by_prefix[prefix]:
+            del by_prefix[prefix]
+        if host in self._by_host and not by_prefix:
             del self._by_host[host]
 
     def candidates(self, host: str, path: str) -> Iterator[RouteResource]:
@@ -81,11 +81,11 @@
         """
         hosts = (host, ANY_HOST) if host != ANY_HOST else (ANY_HOST,)
         for each in hosts:
-            of_host = self._by_host.get(each)
-            if of_host is None:
+            by_prefix = self._by_host.get(each)
+            if by_prefix is None:
                 continue
             for prefix in _prefixes(path):
-                yield from of_host.get(prefix, ())
+                yield from by_prefix.get(prefix, ())
 
 
 class ActiveConfiguration(Value, frozen=True, dict=True):
--- a/src/peppershore/version/digest.py
+++ b/src/peppershore/version/digest.py
@@ -43,13 +43,13 @@
 
 
 def changed_digest(
-    former: Digest, gone: Iterable[Resource], came: Iterable[Resource]
+    former: Digest, removed: Iterable[Resource], added: Iterable[Resource]
 ) -> Digest:
     """Return the digest of a snapshot after resources were removed and added.
 
-    ``former`` is the digest before. A changed resource is in both: ``gone`` has its
-    former content and ``came`` its new one.
+    ``former`` is the digest before. A changed resource is in both: ``removed`` has its
+    former content and ``added`` its new one.
     """
-    removed_sum = sum(resource_digest(resource) for resource in gone)
-    added_sum = sum(resource_digest(resource) for resource in came)
+    removed_sum = sum(resource_digest(resource) for resource in removed)
+    added_sum = sum(resource_digest(resource) for resource in added)
     return (former - removed_sum + added_sum) % _MODULUS
--- a/src/peppershore/version/model.py
+++ b/src/peppershore/version/model.py
@@ -18,7 +18,7 @@
 """Position of an accepted edit in the replicated log; 0 before the first one."""
 
 Digest = int
-"""Unsigned 64-bit digest of a resource or of a whole snapshot."""
+"""Unsigned 64-bit digest of a resource or of a complete snapshot."""
 
 ROOT_PATH = "/"
 """Path of the tree's root."""
@@ -429,7 +429,11 @@
 
 
 class EditConflict(Value, frozen=True, tag="conflict"):
-    """An earlier edit has changed ``subject`` already; the tree did not change."""
+    """Another edit won the race for ``subject``; the tree did not change.
+
+    ``subject`` does not have the revision that the rejected edit expected.
+    ``winner_change_id`` is the change id of the edit that made the actual revision.
+    """
 
     change_id: str
     subject: str
--- a/src/peppershore/version/revert.py
+++ b/src/peppershore/version/revert.py
@@ -86,8 +86,8 @@
 
 
 def _tenant_operations(current: Tree, older: Tree, with_keys: bool) -> list[Operation]:
-    gone = sorted(current.tenants.keys() - older.tenants)
-    operations: list[Operation] = [RemoveTenant(name) for name in gone]
+    removed = sorted(current.tenants.keys() - older.tenants)
+    operations: list[Operation] = [RemoveTenant(name) for name in removed]
     for name, tenant in sorted(older.tenants.items()):
         known = current.tenants.get(name)
         has_keys = known is not None and (not with_keys or known.keys == tenant.keys)
@@ -107,10 +107,12 @@
 
 def _node_operations(current: Tree, older: Tree) -> list[Operation]:
     removed = _topmost(current.nodes.keys() - older.nodes)
-    gone = {path for path in current.nodes if _is_below(path, removed)} if removed else ()
+    removed_paths = (
+        {path for path in current.nodes if _is_below(path, removed)} if removed else ()
+    )
     operations: list[Operation] = [RemoveNode(path) for path in sorted(removed)]
     for path, node in sorted(older.nodes.items()):
-        known = None if path in gone else current.nodes.get(path)
+        known = None if path in removed_paths else current.nodes.get(path)
         wanted = without_rollout(node.overrides)
         if known is None:
             operations.append(SetOverrides(path, wanted))
--- a/src/peppershore/version/scope_state.py
+++ b/src/peppershore/version/scope_state.py
@@ -10,7 +10,7 @@
 from peppershore.version.model import Digest, Scope, Update, Version
 
 HISTORY_LIMIT = 512
-"""Number of digests of a scope that are retained; a delta can start from each."""
+"""Maximum number of digests retained per scope; an exact delta can start from each."""
 
 CACHED_UPDATES = 64
 """Maximum number of cached updates of a scope, which holders of the same base share."""
--- a/src/peppershore/version/setting_rules.py
+++ b/src/peppershore/version/setting_rules.py
@@ -10,7 +10,7 @@
 from peppershore.version.path import NAME_RULE, Level, is_name
 from peppershore.version.resolve import set_values
 from peppershore.version.splits import SPLIT_RULE, are_splits
-from peppershore.version.tenants import FIGURE_RULE, PRIORITIES, is_figure
+from peppershore.version.tenants import PRIORITIES, RATE_OR_BURST_RULE, is_rate_or_burst
 
 MAXIMUM_PREFIX_CHARACTERS = 512
 MAXIMUM_METHODS = 16
@@ -180,8 +180,8 @@
     "max_header_bytes": _integer(256, 1 << 20, SERVICES),
     "header_timeout_milliseconds": _integer(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
     "idle_timeout_milliseconds": _integer(1, MAXIMUM_TIMEOUT_MILLISECONDS, SERVICES),
-    "tenant_rate_per_second": SettingRule(ROOT_ONLY, is_figure, FIGURE_RULE),
-    "tenant_burst": SettingRule(ROOT_ONLY, is_figure, FIGURE_RULE),
+    "tenant_rate_per_second": SettingRule(ROOT_ONLY, is_rate_or_burst, RATE_OR_BURST_RULE),
+    "tenant_burst": SettingRule(ROOT_ONLY, is_rate_or_burst, RATE_OR_BURST_RULE),
     "tenant_priority": _integer(*PRIORITIES, ROOT_ONLY),
     "rollout_version": SettingRule(
         SERVICE_ONLY, _is_software_version, SOFTWARE_VERSION_RULE
--- a/src/peppershore/version/snapshot.py
+++ b/src/peppershore/version/snapshot.py
@@ -111,8 +111,10 @@
     if update.full or _known_contents(current) is None:
         return snapshot_digest(update.scope, resources.values())
     names = (*update.removed, *(each.name for each in update.changed))
-    gone = {name: current.resources[name] for name in names if name in current.resources}
-    return changed_digest(current.digest, gone.values(), update.changed)
+    former_resources = {
+        name: current.resources[name] for name in names if name in current.resources
+    }
+    return changed_digest(current.digest, former_resources.values(), update.changed)
 
 
 def _contents(
--- a/src/peppershore/version/snapshot_contents.py
+++ b/src/peppershore/version/snapshot_contents.py
@@ -92,25 +92,25 @@
         self, removed: Iterable[str], changed: tuple[Resource, ...]
     ) -> SnapshotContents:
         """Return the contents after names were removed and resources added or replaced."""
-        came = decode_contents(changed)
+        added_contents = decode_contents(changed)
         names = dict.fromkeys((*removed, *(resource.name for resource in changed)))
-        gone = [self.by_name[name] for name in names if name in self.by_name]
+        removed_contents = [self.by_name[name] for name in names if name in self.by_name]
         copy = self._copy()
         for name in names:
             copy.by_name.pop(name, None)
-        for resource, content in zip(changed, came, strict=True):
+        for resource, content in zip(changed, added_contents, strict=True):
             copy.by_name[resource.name] = content
-        for content in gone:
+        for content in removed_contents:
             copy._remove_content(content)
-        for content in came:
+        for content in added_contents:
             copy._add_content(content)
         copy.index = self.index.changed(
-            [each for each in gone if isinstance(each, RouteResource)],
-            [each for each in came if isinstance(each, RouteResource)],
+            [each for each in removed_contents if isinstance(each, RouteResource)],
+            [each for each in added_contents if isinstance(each, RouteResource)],
             self._scope.service,
         )
         touched = {*names, *self.lacking}
-        for content in came:
+        for content in added_contents:
             touched.update(used_names(self._scope, content))
         copy.lacking = frozenset(
             name for name in touched if copy._uses.get(name) and name not in copy.by_name
--- a/src/peppershore/version/tenant_definitions.py
+++ b/src/peppershore/version/tenant_definitions.py
@@ -31,7 +31,7 @@
 TenantDefinitions = Mapping[str, TenantDefinition]
 
 
-def problems_of_tenants(definitions: TenantDefinitions) -> list[Problem]:
+def find_tenant_problems(definitions: TenantDefinitions) -> list[Problem]:
     """Return the problems of each tenant, and the keys that tenants share."""
     problems: list[Problem] = []
     for name, tenant in definitions.items():
@@ -39,7 +39,7 @@
     return problems + shared_keys({name: each.keys for name, each in definitions.items()})
 
 
-def as_tenants(definitions: TenantDefinitions) -> dict[str, Tenant]:
+def to_tenants(definitions: TenantDefinitions) -> dict[str, Tenant]:
     """Convert definitions to tenants of the tree."""
     return {
         name: Tenant(each.keys, **given_limits(each)) for name, each in definitions.items()
--- a/src/peppershore/version/tenants.py
+++ b/src/peppershore/version/tenants.py
@@ -36,7 +36,7 @@
 MAXIMUM_SHOWN = 1e18
 """Largest absolute value of a number that problems show in digits."""
 
-FIGURE_RULE = f"a number from 0 to {MAXIMUM_FIGURE:.0f}"
+RATE_OR_BURST_RULE = f"a number from 0 to {MAXIMUM_FIGURE:.0f}"
 PRIORITIES = (0, 100)
 """Lowest and highest number of a priority; 0 is the most urgent."""
 
@@ -174,7 +174,7 @@
     return tuple(origins)
 
 
-def is_figure(value: Any) -> bool:
+def is_rate_or_burst(value: Any) -> bool:
     """Report whether a value is a valid rate or burst: finite, from 0 to MAXIMUM_FIGURE."""
     if type(value) not in (int, float):
         return False
@@ -187,7 +187,7 @@
     problems: list[Problem] = []
     if not is_name(name):
         problems.append(Problem(subject, "not a tenant's name", NAME_RULE))
-    problems += _check_figures(subject, tenant)
+    problems += _check_limits(subject, tenant)
     if len(tenant.keys) > MAXIMUM_KEYS_OF_TENANT:
         reason = f"the tenant has {len(tenant.keys)} keys"
         problems.append(Problem(subject, reason, f"at most {MAXIMUM_KEYS_OF_TENANT}"))
@@ -218,13 +218,13 @@
     ]
 
 
-def _check_figures(subject: str, tenant: GivenLimits) -> list[Problem]:
+def _check_limits(subject: str, tenant: GivenLimits) -> list[Problem]:
     problems: list[Problem] = []
     for name in ("rate_per_second", "burst"):
         value = getattr(tenant, name)
-        if value is not UNSET and not is_figure(value):
+        if value is not UNSET and not is_rate_or_burst(value):
             problems.append(
-                Problem(subject, f"{name} is {_number_text(value)}", FIGURE_RULE)
+                Problem(subject, f"{name} is {_number_text(value)}", RATE_OR_BURST_RULE)
             )
     priority = tenant.priority
     if priority is not UNSET and not PRIORITIES[0] <= priority <= PRIORITIES[1]:
--- a/src/peppershore/version/tree_index.py
+++ b/src/peppershore/version/tree_index.py
@@ -65,15 +65,21 @@
     for service, changed in by_service.items():
         branch = index.get(service)
         known = branch.paths if branch is not None else frozenset()
-        gone = frozenset(path for path in changed if path not in after.nodes)
-        kept = (known | changed) - gone
-        if not kept:
+        removed_paths = frozenset(path for path in changed if path not in after.nodes)
+        remaining = (known | changed) - removed_paths
+        if not remaining:
             index.pop(service, None)
             continue
-        was = {path: before.nodes[path] for path in changed if path in before.nodes}
-        now = {path: after.nodes[path] for path in changed - gone}
-        derived = None if branch is None else _changed_branch(service, branch, was, now)
-        index[service] = derived or _build_branch(service, kept, after.nodes)
+        nodes_before = {
+            path: before.nodes[path] for path in changed if path in before.nodes
+        }
+        nodes_after = {path: after.nodes[path] for path in changed - removed_paths}
+        derived = (
+            None
+            if branch is None
+            else _changed_branch(service, branch, nodes_before, nodes_after)
+        )
+        index[service] = derived or _build_branch(service, remaining, after.nodes)
     after.__dict__[_INDEX_ATTRIBUTE] = index
     return index
 
@@ -118,16 +124,16 @@
 def _changed_branch(
     service: str,
     former: ServiceBranch,
-    was: dict[str, TreeNode],
-    now: dict[str, TreeNode],
+    nodes_before: dict[str, TreeNode],
+    nodes_after: dict[str, TreeNode],
 ) -> ServiceBranch | None:
     """Return a branch after some of its nodes changed, from the changed nodes alone.
 
     Return None if the changed nodes no longer use some name or zone: only a scan of all
     nodes of the service shows whether another node uses it.
     """
-    before_change = _build_branch(service, frozenset(was), was)
-    after_change = _build_branch(service, frozenset(now), now)
+    before_change = _build_branch(service, frozenset(nodes_before), nodes_before)
+    after_change = _build_branch(service, frozenset(nodes_after), nodes_after)
     if not (
         before_change.references <= after_change.references
         and before_change.diversions <= after_change.diversions
--- a/src/peppershore/version/whole_configuration.py
+++ b/src/peppershore/version/whole_configuration.py
@@ -45,9 +45,9 @@
 from peppershore.version.splits import WeightedTarget, format_split, parse_splits
 from peppershore.version.tenant_definitions import (
     TenantDefinition,
-    as_tenants,
     definitions_of,
-    problems_of_tenants,
+    find_tenant_problems,
+    to_tenants,
 )
 
 Runs = Literal["repeatable", "repeatable-large", "once", "once-streamed"]
@@ -184,7 +184,7 @@
             problems.append(Problem(name, "is not a name", NAME_RULE))
     for name, route in configuration.routes.items():
         problems += _problems_of_route(name, route, configuration.services)
-    problems += problems_of_tenants(_tenants_of(configuration))
+    problems += find_tenant_problems(_tenants_of(configuration))
     return tuple(problems)
 
 
@@ -265,7 +265,7 @@
         for name, overrides in own.items():
             different = _overrides_except(overrides, shared)
             nodes[route_path(service, ANY_ZONE, name)] = TreeNode(different)
-    tenants = as_tenants(_tenants_of(configuration))
+    tenants = to_tenants(_tenants_of(configuration))
     return msgspec.structs.replace(tree, nodes=nodes, tenants=tenants)
 
 
