--- a/src/peppershore/version/active.py
+++ b/src/peppershore/version/active.py
@@ -107,15 +107,16 @@
     def match_route(
         self, path: str, method: str, service: str = "", host: str = ""
     ) -> RouteResource | None:
-        """Return the route that accepts ``method`` and has the longest prefix of ``path``.
-
-        Return None if there is none. Routes of ``host`` have precedence over the
-        routes of any host. ``service`` limits the search to the routes of one
-        service. Among routes of equal prefix, those of the service that the node
-        hosts come first, then they are sorted by name. A prefix ends at a segment:
-        "/pay" matches "/pay/1" and not "/payout". A path with dot segments matches
-        nothing, because a back end may resolve "/pay/../x" to a path of another
-        route, which may have another audience.
+        """Return the route for a call; None if there is none.
+
+        Of the routes that accept ``method`` and whose prefix covers ``path``, it is the
+        one with the longest prefix. Routes of ``host`` have precedence over the routes of
+        any host, whatever their prefixes. ``service`` limits the search to the routes of
+        one service. Among routes of equal prefix, those of the service that the node
+        hosts come first, then they are sorted by name. A prefix ends at a segment: "/pay"
+        matches "/pay/1" and not "/payout". A path with dot segments matches nothing,
+        because a back end may resolve "/pay/../x" to a path of another route, which may
+        have another audience.
         """
         if _has_dot_segment(path):
             return None
@@ -129,7 +130,8 @@
     def use_index(self, index: RouteIndex, names: Container[str]) -> None:
         """Set the index of the routes and the names of all resources of the snapshot.
 
-        Without this call both are computed at first use.
+        Without this call the index, and the names of the routes alone, are computed at
+        first use.
         """
         self.__dict__[_INDEX_ATTRIBUTE] = index
         self.__dict__[_NAMES_ATTRIBUTE] = names
@@ -151,7 +153,11 @@
         return index
 
     def allowed_methods(self, path: str, service: str = "") -> tuple[str, ...]:
-        """Return the sorted methods that the routes matching ``path`` accept."""
+        """Return the sorted methods that the routes matching ``path`` accept.
+
+        The result is empty if no route matches. ``service`` limits the search to the
+        routes of one service.
+        """
         if _has_dot_segment(path):
             return ()
         methods: set[str] = set()
--- a/src/peppershore/version/catalog.py
+++ b/src/peppershore/version/catalog.py
@@ -49,8 +49,9 @@
 class ScopeCatalog:
     """Snapshots and updates of all scopes in use, at the tree's version.
 
-    A scope is in use from the first request for it until ``forget``. Deltas start
-    from any digest in the scope's history, which begins when the scope comes into use.
+    A scope is in use from the first request for it until ``forget``. Deltas can
+    start from any digest in the scope's history, which begins when the scope comes into
+    use.
     """
 
     def __init__(self) -> None:
@@ -223,8 +224,8 @@
         """
         affected = []
         concerned = self._holders.holders_of(changed.groups, changed.secrets)
-        is_new = index_of(former).keys() != index_of(self._tree).keys()
-        if changed.any_tenant or is_new:
+        services_differ = index_of(former).keys() != index_of(self._tree).keys()
+        if changed.any_tenant or services_differ:
             concerned |= self._states.keys()
         for scope in sorted(concerned):
             contents = collect_contents(self._tree, scope, self._tables)
--- a/src/peppershore/version/closure.py
+++ b/src/peppershore/version/closure.py
@@ -21,7 +21,7 @@
 
 
 def find_gaps(scope: Scope, resources: Iterable[Resource]) -> tuple[str, ...]:
-    """Return one sorted text for each resource that is used but missing.
+    """Return one text for each use of a missing resource, sorted.
 
     A snapshot without resources has no gap: the tree does not have the scope's service.
     The scope's service may also be missing where nodes hold every service. The
--- a/src/peppershore/version/cycles.py
+++ b/src/peppershore/version/cycles.py
@@ -11,8 +11,8 @@
     """Return each group of services that can reach each other, members sorted.
 
     A service that refers to itself is a group of one. References to services that
-    the graph does not have are ignored. Services without references are removed
-    repeatedly until each remaining one has some; the rest is split into components.
+    the graph does not have are ignored. Services that refer to no remaining service
+    are removed repeatedly; the rest is split into components.
     """
     remaining = _remove_leaves(graph)
     if not remaining:
--- a/src/peppershore/version/difference.py
+++ b/src/peppershore/version/difference.py
@@ -1,4 +1,4 @@
-"""Differences between two trees, as the command line and other outputs show them."""
+"""Differences between two trees, for operators and for the command line."""
 
 from __future__ import annotations
 
--- a/src/peppershore/version/encoded.py
+++ b/src/peppershore/version/encoded.py
@@ -100,8 +100,9 @@
 ) -> ServiceGroup | None:
     """Resolve and encode a service and its routes; None if there is no such service.
 
-    A route that was resolved from the same nodes before is reused, so that the cost of
-    a change is proportional to the number of routes that it touches.
+    A route that was resolved from the same nodes and equal inherited settings before is
+    reused, so that the cost of a change is proportional to the number of routes that it
+    touches.
     """
     if service not in index_of(tree):
         return None
--- a/src/peppershore/version/model.py
+++ b/src/peppershore/version/model.py
@@ -214,8 +214,8 @@
     ``keys`` are key material: they leave the control group only in a complete
     configuration that an operator reads back. All nodes together admit
     ``rate_per_second`` calls per second, plus a burst of ``burst`` calls; a rate of 0
-    means no limit. ``priority`` overrides the priority of the route; if it is unset, the
-    route's applies.
+    means no limit. ``priority`` overrides the priority of the route; if neither the
+    tenant nor the root sets one, the route's applies.
     """
 
     keys: tuple[str, ...]
@@ -422,7 +422,10 @@
 
 
 class EditInvalid(Value, frozen=True, tag="invalid"):
-    """The edit is invalid, or would make the tree invalid; the tree did not change."""
+    """The edit breaks the rules that ``problems`` lists; the tree did not change.
+
+    Either the edit itself is invalid, or the tree after it would be.
+    """
 
     change_id: str
     problems: tuple[Problem, ...]
--- a/src/peppershore/version/resource_tables.py
+++ b/src/peppershore/version/resource_tables.py
@@ -43,7 +43,7 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """Services that have an encoded group in any zone."""
+        """Services requested in any zone, also those that the tree does not have."""
         return frozenset(self._groups)
 
     def get(self, tree: Tree, service: str, zone: str) -> ServiceGroup | None:
@@ -86,7 +86,7 @@
 
 
 class SecretTable:
-    """Encoded secrets, of those that were requested."""
+    """Encoded secrets; the table has only those that were requested."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
@@ -131,7 +131,10 @@
         return self._entries
 
     def refresh(self, tree: Tree, names: Iterable[str]) -> bool:
-        """Encode these tenants again; report whether any was changed, added or removed."""
+        """Encode these tenants again; report whether any was changed, added or removed.
+
+        Nothing is encoded, and the result is False, before the first request for tenants.
+        """
         if self._entries is None:
             return False
         entries = dict(self._entries)
@@ -171,7 +174,7 @@
 
 
 def _has_identical_entries(former: ServiceGroup | None, now: ServiceGroup | None) -> bool:
-    """Report whether two groups have identical entries."""
+    """Report whether two groups consist of the same entry objects."""
     if former is None or now is None:
         return former is now
     if former is now:
--- a/src/peppershore/version/revert.py
+++ b/src/peppershore/version/revert.py
@@ -2,9 +2,9 @@
 
 Versions only rise: to restore an older tree, an operator edits the newest one.
 Key material is not restored: a secret that both trees have does not change, because a
-key may have been replaced after it became known to others. For the same reason a key
-that was removed from a tenant is not added again. Only a complete configuration, which
-lists the keys of each tenant, sets them.
+key may have been replaced after it became known to others. For the same reason the
+keys of a tenant that both trees have do not change: a key that was removed is not added
+again. Only a complete configuration, which lists the keys of each tenant, sets them.
 """
 
 from __future__ import annotations
--- a/src/peppershore/version/rollout.py
+++ b/src/peppershore/version/rollout.py
@@ -2,8 +2,8 @@
 
 Only the control group changes these settings of the service's node, so that a roll-out
 is replicated, confirmed and distributed to nodes like any other setting. Edits of
-operators neither show nor change them. The state changes once: from running to
-completed or rolled back.
+operators neither show nor change them. The state of a roll-out changes once: from
+running to completed or rolled back.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
 def share_edit(rollout: Rollout, share: int) -> Edit:
     """Return the edit that sets the share of calls that goes to the new version.
 
-    Its change id is made of the share, so each share is set at most once per roll-out.
+    Its change id contains the share, so each share is set at most once per roll-out.
     """
     operation = SetOverrides(service_path(rollout.service), Overrides(rollout_share=share))
     return Edit(change_id=_change_id(rollout, str(share)), operations=(operation,))
--- a/src/peppershore/version/scope_state.py
+++ b/src/peppershore/version/scope_state.py
@@ -16,6 +16,7 @@
 """Maximum number of cached updates of a scope, which holders of the same base share."""
 
 FULL_BASE: Version = -1
+"""Key of the full update in the cache of updates, whose keys are base versions."""
 
 _UNSIGNED_64_BIT = "Q"
 
--- a/src/peppershore/version/tenants.py
+++ b/src/peppershore/version/tenants.py
@@ -34,7 +34,7 @@
 """
 
 MAXIMUM_SHOWN = 1e18
-"""Largest absolute value of a number that problems show in digits."""
+"""Largest absolute value of a number that the text of a ``Problem`` shows in digits."""
 
 RATE_OR_BURST_RULE = f"a number from 0 to {MAXIMUM_FIGURE:.0f}"
 PRIORITIES = (0, 100)
@@ -122,7 +122,8 @@
 def is_fingerprint(text: str) -> bool:
     """Report whether a text has the form of a key's fingerprint.
 
-    A key that was sent in place of a fingerprint is recognized by this check.
+    A key that was sent in place of a fingerprint does not have it, so that the key can
+    be refused and is not repeated in a text.
     """
     return FINGERPRINT_PATTERN.fullmatch(text) is not None
 
@@ -149,7 +150,10 @@
 
 
 def inherited_limits(tenant: GivenLimits, root: Overrides) -> TenantLimits:
-    """Return a tenant's limits; the root's, then the built-in ones apply where unset."""
+    """Return the effective limits of a tenant.
+
+    A limit that the tenant does not set is that of the root, else the built-in one.
+    """
     inherited = {name: getattr(root, setting) for name, setting in _ROOT_NAMES.items()}
     found = {name: value for name, value in inherited.items() if value is not UNSET}
     return TenantLimits(**{**found, **given_limits(tenant)})
@@ -199,7 +203,8 @@
 def shared_keys(keys_of: Mapping[str, tuple[str, ...]]) -> list[Problem]:
     """Return one problem for each pair of tenants that share a key.
 
-    The texts do not contain the key.
+    If more than two share a key, each is paired with the first of them by name. The
+    texts do not contain the key.
     """
     holders: dict[str, str] = {}
     pairs: set[tuple[str, str]] = set()
@@ -234,7 +239,10 @@
 
 
 def _number_text(value: Figure) -> str:
-    """Return a number as text, without its digits if it is above MAXIMUM_SHOWN."""
+    """Return a number as text, without digits if it is beyond MAXIMUM_SHOWN.
+
+    An integer of thousands of digits can't be converted to text.
+    """
     return repr(value) if abs(value) <= MAXIMUM_SHOWN else "out of all bounds"
 
 
--- a/src/peppershore/version/tree.py
+++ b/src/peppershore/version/tree.py
@@ -77,7 +77,7 @@
 
 
 def replay_edit(tree: Tree, edit: Edit, version: Version) -> AppliedEdit:
-    """Apply an edit that was accepted and committed to the log.
+    """Apply an edit that was accepted and that a quorum committed to the log.
 
     Raise AssertionError if it can't be applied, which only a corrupt log can cause.
     """
--- a/src/peppershore/version/validation.py
+++ b/src/peppershore/version/validation.py
@@ -1,11 +1,11 @@
 """Validation of a tree, limited to the rules that a change can break.
 
-All rules but four concern a single node, so they are checked on the nodes that
-changed. The cost of the other four is bounded too: a removed service, secret or zone
-is looked up in the index of references; the routes of a service are compared with each
-other if any node of the service changed; the graph of services is searched for cycles
-if any node other than the root changed; and the keys of all tenants are compared if a
-tenant changed.
+Besides the limits on the size of the tree, all rules but four concern a single node,
+zone, secret or tenant, so they are checked on those that changed. The cost of the other
+four is bounded too: a removed service, secret or zone is looked up in the index of
+references; the routes of a service are compared with each other if any node of the
+service changed; the graph of services is searched for cycles if any node other than the
+root changed; and the keys of all tenants are compared if a tenant was added or changed.
 
 References are checked on the node that has them, even where a deeper node overrides
 them: otherwise an unrelated edit could expose a reference to something that does not
@@ -272,7 +272,8 @@
 ) -> tuple[str, str, tuple[str, ...]]:
     """Return host, path prefix and methods of a route.
 
-    Only nodes of routes have these settings, so nothing is inherited from others.
+    Only nodes of routes may have these settings, so none of them is inherited from the
+    service or the root.
     """
     host = ""
     prefix = ""
--- a/src/peppershore/version/whole_configuration.py
+++ b/src/peppershore/version/whole_configuration.py
@@ -114,7 +114,7 @@
 
 
 class LimitsDefinition(Value, frozen=True):
-    """Bounds on what a caller may send, how long that may take, and idle connections."""
+    """Bounds on what a caller may send, on the time for it and on idle connections."""
 
     max_header_bytes: int = 32_768
     max_body_bytes: int = 1_048_576
@@ -155,10 +155,11 @@
 
 
 def change_id_of(configuration: WholeConfiguration) -> str:
-    """Return the change id of a configuration: its number and a digest of all content.
+    """Return the change id of a configuration: its number and a digest.
 
-    If the configuration has tenants, the digest is a cryptographic one, from which
-    their keys can't be derived.
+    The digest is that of all content, the number of the base included. If the
+    configuration has tenants, the digest is a cryptographic one, from which their keys
+    can't be derived.
     """
     encoded = encode_configuration(configuration)
     if configuration.tenants:
@@ -200,7 +201,7 @@
 
 
 def configuration_of(tree: Tree) -> WholeConfiguration:
-    """Return the configuration of a tree, from the settings that hold in any zone."""
+    """Return the configuration of a tree, as its settings resolve for the zone "*"."""
     routes: dict[str, RouteDefinition] = {}
     services: dict[str, ServiceDefinition] = {}
     for service in services_of(tree):
--- a/tests/version/test_catalog_machine.py
+++ b/tests/version/test_catalog_machine.py
@@ -3,7 +3,7 @@
 One catalog applies every edit at once; the other lags and is sometimes loaded again.
 Holders request updates from either of them. Updates are lost, duplicated and reordered,
 and holders restart without state. In each state, a holder must have the complete
-snapshot of one version.
+snapshot of one version, or the empty one if it has received none.
 """
 
 from hypothesis import settings
--- a/tests/version/test_tenants.py
+++ b/tests/version/test_tenants.py
@@ -364,7 +364,7 @@
         assert len(open_snapshot(taken).tenants["t7"].key_digests) == 2
 
 
-def test_a_removed_tenant_is_removed_and_the_order_of_keys_is_irrelevant() -> None:
+def test_a_removed_tenant_leaves_snapshots_and_the_order_of_keys_is_irrelevant() -> None:
     catalog = ScopeCatalog()
     catalog.load(tree_of(STUDIO, FARM))
     known = catalog.snapshot(TILL)
--- a/tests/version/test_tree_file.py
+++ b/tests/version/test_tree_file.py
@@ -115,7 +115,7 @@
     assert "material_base64" in tree_to_toml(refund_tree(), with_material=True)
 
 
-def test_every_problem_of_a_file_is_told_at_once() -> None:
+def test_every_problem_of_a_file_is_reported_at_once() -> None:
     text = """
     colour = "red"
     zones.oulu = 3
--- a/tests/version/test_whole_configuration.py
+++ b/tests/version/test_whole_configuration.py
@@ -283,7 +283,7 @@
         assert isinstance(decode_configuration(whole[:end]), Failure)
 
 
-def test_the_change_id_names_all_of_the_content() -> None:
+def test_the_change_id_depends_on_all_of_the_content() -> None:
     first = change_id_of(read())
     assert first == change_id_of(read())
     assert first != change_id_of(read(base=1))
