--- a/src/peppershore/connection/__init__.py
+++ b/src/peppershore/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection: framing, links between processes, HTTP."""
+"""Connections: framing and links between processes, HTTP, TLS and certificates."""
--- a/src/peppershore/connection/answer_rules.py
+++ b/src/peppershore/connection/answer_rules.py
@@ -1,4 +1,4 @@
-"""What a back end's answer must show to count as the answer to one request."""
+"""Checks that decide whether a back end's answer belongs to the request just sent."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 FIRST_REDIRECT = 300
 CONTENT_ENCODING = b"content-encoding"
 
-FOREIGN = "answer to another request"
-UNNAMED = "answer that names no request"
-UNSIGNED = "success without signature"
-ENCODED = "answer with an encoding that was not asked for"
+ANSWER_TO_OTHER_REQUEST = "answer to another request"
+MISSING_REQUEST_ID = "answer that names no request"
+MISSING_SIGNATURE = "success without signature"
+UNEXPECTED_ENCODING = "answer with an encoding that was not asked for"
 
 
 class AnswerRules(msgspec.Struct, frozen=True):
-    """Checks of an answer's head; empty names check nothing.
+    """Checks of an answer's head; a check whose header name is empty is skipped.
 
-    ``id_name`` is the field in which an answer repeats ``id_value``; ``signature``
-    must stand on each success, whose body then comes without encoding.  Unless
-    ``unframed_answers``, an answer must say how long it is.
+    ``id_name`` is the header in which an answer must repeat ``id_value``.
+    ``signature`` is a header that each success must carry; the body of a success must
+    then have no content encoding. Unless ``unframed_answers`` is set, an answer must
+    declare its length.
     """
 
     id_name: bytes = b""
@@ -29,22 +30,22 @@
     signature: bytes = b""
     unframed_answers: bool = False
 
-    def is_foreign(self, headers: HeaderList) -> bool:
-        """Whether the answer names another request than this one."""
+    def answers_other_request(self, headers: HeaderList) -> bool:
+        """Report whether the answer carries the identifier of another request."""
         if not self.id_name:
             return False
         named = first_value(headers, self.id_name)
         return bool(named) and named != self.id_value
 
     def problem(self, status: int, headers: HeaderList) -> str:
-        """Say why an answer can't be the back end's own; "" if it can."""
+        """Return why an answer is not acceptable as the back end's own, or ""."""
         if self.id_name and not first_value(headers, self.id_name):
-            return UNNAMED
+            return MISSING_REQUEST_ID
         if not self.signature or not FIRST_SUCCESS <= status < FIRST_REDIRECT:
             return ""
         if not first_value(headers, self.signature):
-            return UNSIGNED
-        return ENCODED if first_value(headers, CONTENT_ENCODING) else ""
+            return MISSING_SIGNATURE
+        return UNEXPECTED_ENCODING if first_value(headers, CONTENT_ENCODING) else ""
 
 
 NO_RULES = AnswerRules()
--- a/src/peppershore/connection/authorization.py
+++ b/src/peppershore/connection/authorization.py
@@ -1,8 +1,8 @@
-"""Which messages a peer may send, by the identity in its certificate.
+"""Authorization of messages by the identity in the sender's certificate.
 
-A link without TLS has no identity; everything is allowed on it, which suits a
-trial on one machine only.  With TLS, a peer may send the messages of its role,
-and must be the node, relay or scope that its own messages name.
+A link without TLS has no identity and allows every message, so it is suitable only for
+trials on one machine. With TLS, a peer may send the messages of its role only, and the
+node, relay, service, zone and cluster that its messages name must match its certificate.
 """
 
 from __future__ import annotations
@@ -20,40 +20,40 @@
 from peppershore.connection.messages.rollouts import EvidenceTold
 
 Authorize = Callable[[str, Message], str]
-"""Gives the reason why a peer (its identity's URI) may not send a message, or ""."""
+"""Maps a peer's identity (a URI) and a message to the reason for refusal, or ""."""
 
 SESSION_TAGS = frozenset(range(1, 20))
 CONSENSUS_TAGS = frozenset(range(70, 90))
 OPERATOR_TAGS = frozenset(range(90, 120))
-CLAIM_ASK_TAGS = frozenset({120, 124, 125})
-CLAIM_ANSWER_TAGS = frozenset({121, 122, 123, 126})
+CLAIM_REQUEST_TAGS = frozenset({120, 124, 125})
+CLAIM_REPLY_TAGS = frozenset({121, 122, 123, 126})
 CALL_TAGS = frozenset(range(140, 160))
 CRASH_TAGS = frozenset(range(160, 170))
-QUOTA_ASK_TAG, QUOTA_ANSWER_TAG = 170, 171
+QUOTA_REQUEST_TAG, QUOTA_REPLY_TAG = 170, 171
 QUOTA_PEER_TAGS = frozenset({172, 173})
 GROUP_TAGS = CONSENSUS_TAGS | QUOTA_PEER_TAGS
-"""What passes only between the replicas of one group."""
+"""Tags of the messages exchanged only between the replicas of one group."""
 
 SENDER_TAGS: dict[str, frozenset[int]] = {
-    "control": frozenset({51, 52, 54, QUOTA_ANSWER_TAG}) | GROUP_TAGS | OPERATOR_TAGS,
+    "control": frozenset({51, 52, 54, QUOTA_REPLY_TAG}) | GROUP_TAGS | OPERATOR_TAGS,
     "relay": frozenset({21, 22, 25, 41, 42, 43, 44, 45, 46, 47, 50, 53, 55, 56})
     | CRASH_TAGS
-    | {QUOTA_ASK_TAG, QUOTA_ANSWER_TAG},
-    "node": frozenset({20, 23, 24, 26, 28, 40, 46, 160, QUOTA_ASK_TAG})
-    | CLAIM_ASK_TAGS
+    | {QUOTA_REQUEST_TAG, QUOTA_REPLY_TAG},
+    "node": frozenset({20, 23, 24, 26, 28, 40, 46, 160, QUOTA_REQUEST_TAG})
+    | CLAIM_REQUEST_TAGS
     | CALL_TAGS,
-    "claims": frozenset({92, 98, 101}) | CONSENSUS_TAGS | CLAIM_ANSWER_TAGS,
+    "claims": frozenset({92, 98, 101}) | CONSENSUS_TAGS | CLAIM_REPLY_TAGS,
     "operator": OPERATOR_TAGS,
 }
-"""The tags that each role sends, besides the session's."""
+"""Tags that each role may send, besides ``SESSION_TAGS``."""
 
 
 def authorizer(own: PeerIdentity) -> Authorize:
-    """Give the check for a process whose certificate names ``own``.
+    """Return the authorization check of a process whose certificate names ``own``.
 
-    Peers of another cluster may send nothing, also under the same authority.
-    Consensus messages are taken only from the same role, so that a claims
-    replica never votes in the control group.
+    A peer of another cluster may send nothing, even if the same certificate authority
+    issued its certificate. Consensus messages are accepted only from a peer of the same
+    role, so that a claims replica never votes in the control group.
     """
 
     def authorize(uri: str, message: Message) -> str:
@@ -66,7 +66,7 @@
 
 
 def allow_all(uri: str, message: Message) -> str:
-    """Allow every message; for links without TLS."""
+    """Allow every message. Used for links without TLS."""
     del uri, message
     return ""
 
@@ -79,17 +79,19 @@
         return f"a {peer.role} may not send {type(message).__name__}"
     if tag in GROUP_TAGS and peer.role != own.role:
         return f"a {peer.role} has no vote in a group of {own.role} replicas"
-    return _impersonation(peer, message)
+    return _identity_mismatch(peer, message)
 
 
-def _impersonation(peer: PeerIdentity, message: Message) -> str:
-    for claimed, own, what in _claims_of(peer, message):
+def _identity_mismatch(peer: PeerIdentity, message: Message) -> str:
+    for claimed, own, what in _asserted_identities(peer, message):
         if claimed != own:
             return f"{what} {claimed!r} is not the certificate's {own!r}"
     return ""
 
 
-def _claims_of(peer: PeerIdentity, message: Message) -> Iterable[tuple[str, str, str]]:
+def _asserted_identities(
+    peer: PeerIdentity, message: Message
+) -> Iterable[tuple[str, str, str]]:
     if isinstance(message, CallLinkHello):
         yield message.cluster, peer.cluster, "the cluster"
         yield message.node, peer.name, "the node"
--- a/src/peppershore/connection/call_link.py
+++ b/src/peppershore/connection/call_link.py
@@ -1,7 +1,7 @@
-"""Calls multiplexed on one link between two nodes.
+"""Calls multiplexed as streams on one link between two nodes.
 
-Stream numbers only ever grow, so a late message never meets another call's
-stream.  Body bytes both ways are bounded by credit for each stream.
+Stream numbers only increase, so a late message can't reach the stream of another call.
+Flow control: in each direction, the body bytes of a stream are bounded by credit.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 
 
 class StreamSink(Protocol):
-    """Takes the messages of one stream."""
+    """Receiver of the messages of one stream."""
 
     def stream_message(self, message: Message) -> None:
-        """Take the next message of this stream."""
+        """Handle the next message of this stream."""
 
     def stream_lost(self, reason: str) -> None:
-        """The link is gone; nothing more comes."""
+        """Handle the loss of the link: no more messages follow."""
 
 
 StreamMessage = (
@@ -58,7 +58,7 @@
 
 
 class CallLink:
-    """The streams of one link."""
+    """One link between two nodes and the streams on it."""
 
     def __init__(
         self,
@@ -70,11 +70,12 @@
         *,
         packs_heads: bool = False,
     ) -> None:
-        """Take over an open link.
+        """Wrap an open link.
 
-        ``on_started`` gets calls from the peer, ``on_other`` messages outside
-        any stream; a message that ``allows`` refuses ends the link.  With
-        ``packs_heads`` heads go packed; those of the peer are read in any case.
+        ``on_started`` receives the calls that the peer starts, ``on_other`` the messages
+        outside any stream. A message for which ``allows`` returns false closes the link.
+        With ``packs_heads``, heads are sent compressed; compressed heads from the peer
+        are accepted either way.
         """
         self._packer = HeadPacker() if packs_heads else None
         self._unpacker: HeadUnpacker | None = None
@@ -91,33 +92,33 @@
 
     @property
     def streams(self) -> int:
-        """Streams open now."""
+        """Number of open streams."""
         return len(self._streams)
 
     def start(self) -> None:
-        """Begin to take messages."""
-        self._link.start(self._received, self._lost)
+        """Start delivering messages."""
+        self._link.start(self._received, self._link_lost)
 
     def open_stream(self, sink: StreamSink) -> int:
-        """Give the number of a new stream of ours."""
+        """Open a stream from this node; return its number."""
         number = next(self._numbers)
         self._streams[number] = sink
         return number
 
     def serve(self, stream: int, sink: StreamSink) -> None:
-        """Hand what comes on the peer's stream to ``sink``."""
+        """Deliver messages on the peer's stream ``stream`` to ``sink``."""
         self._streams[stream] = sink
 
     def forget(self, stream: int) -> None:
-        """The stream is over; what still comes on it is discarded."""
+        """Remove a finished stream; messages that still arrive on it are discarded."""
         self._streams.pop(stream, None)
 
     def send(self, message: Message) -> bool:
-        """Queue a message; false if it surely never leaves this process."""
+        """Queue a message; return false if it certainly never leaves this process."""
         if not self.alive:
             return False
         payload = encode_message(message)
-        if self._packs(message, payload):
+        if self._should_pack(message, payload):
             assert self._packer is not None
             payload = encode_message(CallPacked(self._packer.pack(payload)))
             return self._link.send(payload) > 0
@@ -126,37 +127,38 @@
             TRAFFIC.note_body_sent(_tag(message), len(message.data))
         return is_sent
 
-    def _packs(self, message: Message, payload: bytes) -> bool:
-        if self._packer is None or not self._packer.takes(payload):
+    def _should_pack(self, message: Message, payload: bytes) -> bool:
+        if self._packer is None or not self._packer.is_packable(payload):
             return False
         return isinstance(message, CallStarted | CallAnswered)
 
     def close(self) -> None:
-        """Send what is queued, then close."""
+        """Close the link after sending what is queued; all streams are lost."""
         self.alive = False
         self._link.close()
         self._lose_streams("closed")
 
     def abandon(self, reason: str) -> None:
-        """The peer is taken as gone: its streams are lost, nothing is waited for."""
+        """Treat the peer as dead: close the link and fail all streams with ``reason``."""
         self.alive = False
         self._link.close()
         self._lose_streams(reason)
 
     def _received(self, message: Message, size: int) -> None:
-        """Take a message of so many bytes on the link; 0: it came inside a packed one.
+        """Handle a message that took ``size`` bytes on the link.
 
-        A body that was packed counts with the packed message that carried it.
+        ``size`` is 0 for a message unpacked from a ``CallPacked``: its body bytes were
+        already counted with the packed message that carried it.
         """
         self.received += 1
         if size and isinstance(message, MessageWithBody) and message.data:
             TRAFFIC.note_body_received(_tag(message), len(message.data))
         if not self._allows(self._link, message):
-            self._end(NOT_AUTHORIZED)
+            self._close_for_violation(NOT_AUTHORIZED)
         elif isinstance(message, CallPacked):
             self._unpack(message)
         elif isinstance(message, CallStarted):
-            self._begin(message)
+            self._start_call(message)
         elif isinstance(message, StreamMessage):
             sink = self._streams.get(message.stream)
             if sink is not None:
@@ -165,32 +167,32 @@
             self._on_other(self, message)
 
     def _unpack(self, message: CallPacked) -> None:
-        """Take the message that was packed; one packed in itself ends the link."""
+        """Unpack and handle a message; a nested ``CallPacked`` closes the link."""
         if self._unpacker is None:
             self._unpacker = HeadUnpacker()
         decoded = self._unpacker.unpack(message.packed).bind(decode_message)
         if isinstance(decoded, Failure):
-            self._end(decoded.failure().reason)
+            self._close_for_violation(decoded.failure().reason)
             return
         unpacked = decoded.unwrap()
         if isinstance(unpacked, CallPacked):
-            self._end("packed twice")
+            self._close_for_violation("packed twice")
             return
         self._received(unpacked, 0)
 
-    def _begin(self, message: CallStarted) -> None:
+    def _start_call(self, message: CallStarted) -> None:
         if message.stream <= self._highest_started:
-            self._end("stream number used twice")
+            self._close_for_violation("stream number used twice")
             return
         self._highest_started = message.stream
         self._on_started(self, message)
 
-    def _end(self, reason: str) -> None:
-        """The peer breaks the rules: have nothing more to do with it."""
+    def _close_for_violation(self, reason: str) -> None:
+        """Close the link because the peer violated the protocol."""
         self.close()
         self._on_lost(self, reason)
 
-    def _lost(self, reason: str) -> None:
+    def _link_lost(self, reason: str) -> None:
         self.alive = False
         self._lose_streams(reason)
         self._on_lost(self, reason)
@@ -207,57 +209,60 @@
 
 
 class SendWindow:
-    """Credit left for sending body bytes on one stream."""
+    """Flow-control credit for sending body bytes on one stream."""
 
     __slots__ = ("_left",)
 
     def __init__(self, octets: int = STREAM_WINDOW_BYTES) -> None:
-        """Start with a whole window, or with what is given."""
+        """Start with credit for ``octets`` bytes."""
         self._left = octets
 
     @property
     def open(self) -> bool:
-        """Whether more may be sent."""
+        """Whether credit is left."""
         return self._left > 0
 
     @property
     def room(self) -> int:
-        """Bytes that may be sent now."""
+        """Number of bytes that may be sent now."""
         return max(0, self._left)
 
     def sent(self, octets: int) -> None:
-        """Count bytes sent."""
+        """Deduct sent bytes from the credit."""
         self._left -= octets
 
     def credited(self, octets: int) -> bool:
-        """Take credit; true if this opened a closed window."""
+        """Add credit; return true if this opened a closed window."""
         was_open = self.open
         self._left += octets
         return self.open and not was_open
 
 
 class ReceiveWindow:
-    """Credit owed for body bytes taken on one stream."""
+    """Flow-control credit that is owed to the sender of one stream's body bytes."""
 
     __slots__ = ("_owed", "_paused", "_window")
 
     def __init__(self, window: int = STREAM_WINDOW_BYTES, owed: int = 0) -> None:
-        """Start with so much owed; credit is given for a quarter of the window or more."""
+        """Start with ``owed`` bytes of credit due.
+
+        Credit is returned once it amounts to a quarter of the window or more.
+        """
         self._window = window
         self._owed = owed
         self._paused = False
 
     def taken(self, octets: int) -> int:
-        """Count bytes handed on; give the credit to send now, or 0."""
+        """Count bytes that were forwarded; return the credit to send now, or 0."""
         self._owed += octets
         return self._due()
 
     def pause(self) -> None:
-        """Owe, but give no credit."""
+        """Accumulate credit without returning any until ``resume``."""
         self._paused = True
 
     def resume(self) -> int:
-        """Give the credit to send now, or 0."""
+        """Return the credit to send now, or 0."""
         self._paused = False
         return self._due()
 
--- a/src/peppershore/connection/certificates.py
+++ b/src/peppershore/connection/certificates.py
@@ -1,9 +1,9 @@
-"""A small site's own certificate authority: makes and renews process certificates.
+"""Certificate authority of a small site: creates and renews process certificates.
 
-Files in one folder: ``authority.crt`` (every trusted authority, newest first),
-``authority.key`` (keep it off the machines that run processes) and one
-``NAME.pem`` for each process with its key and certificate together, so that a
-renewal replaces both in one step.  Every file is written whole and synced.
+One folder holds ``authority.crt`` (all trusted authorities, newest first),
+``authority.key`` (to be kept off the machines that run processes) and a ``NAME.pem`` for
+each process with both its key and its certificate, so that a renewal replaces the two
+atomically. Every file is replaced atomically and synced to disk.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 
 
 class KeyProblem(msgspec.Struct, frozen=True):
-    """Why keys could not be made or read; names files, never their content."""
+    """Why keys could not be created or read; names files, never their content."""
 
     reason: str
 
 
 class Authority(msgspec.Struct, frozen=True):
-    """The newest authority of a folder."""
+    """Certificate and private key of the newest authority of a folder."""
 
     certificate: x509.Certificate
     key: ec.EllipticCurvePrivateKey
@@ -52,7 +52,7 @@
 
 
 class IssuedCertificate(msgspec.Struct, frozen=True):
-    """A process certificate as listed."""
+    """Name, identity and expiry of a process certificate."""
 
     name: str
     identity: str
@@ -60,7 +60,7 @@
 
 
 def make_authority(folder: Path) -> Result[Authority, KeyProblem]:
-    """Make a new authority; earlier ones stay trusted until ``retire_authorities``."""
+    """Create a new authority; earlier ones stay trusted until ``retire_authorities``."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "peppershore authority")])
     now = datetime.now(UTC)
@@ -89,7 +89,7 @@
         .sign(key, hashes.SHA256())
     )
     try:
-        trusted = _read_if_there(folder / AUTHORITY_CERTIFICATE)
+        trusted = _read_if_exists(folder / AUTHORITY_CERTIFICATE)
         bundle = _certificate_pem(certificate) + trusted
         folder.mkdir(parents=True, exist_ok=True)
         _replace_file(folder / AUTHORITY_KEY, _key_pem(key), PRIVATE_MODE)
@@ -100,7 +100,7 @@
 
 
 def retire_authorities(folder: Path) -> Result[int, KeyProblem]:
-    """Trust only the newest authority from now on; give how many were dropped."""
+    """Trust only the newest authority; return the number of authorities removed."""
     path = folder / AUTHORITY_CERTIFICATE
     try:
         trusted = x509.load_pem_x509_certificates(path.read_bytes())
@@ -133,7 +133,7 @@
 def issue(
     folder: Path, authority: Authority, identity: PeerIdentity, days: int
 ) -> Result[Path, KeyProblem]:
-    """Make a key and certificate for one process; replaces its file in one step."""
+    """Create a key and certificate for one process, replacing its file atomically."""
     key = ec.generate_private_key(ec.SECP256R1())
     now = datetime.now(UTC)
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, identity.name[:64])])
@@ -163,7 +163,7 @@
 
 
 def read_issued(path: Path) -> Result[IssuedCertificate, KeyProblem]:
-    """Read whose certificate a process file holds and when it ends."""
+    """Read the identity and expiry of the certificate in a process file."""
     try:
         certificate = x509.load_pem_x509_certificate(path.read_bytes())
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName)
@@ -208,21 +208,21 @@
     return certificate.public_bytes(serialization.Encoding.PEM)
 
 
-def _read_if_there(path: Path) -> bytes:
+def _read_if_exists(path: Path) -> bytes:
     return path.read_bytes() if path.exists() else b""
 
 
 def _replace_file(path: Path, content: bytes, mode: int) -> None:
-    """Write a file whole: synced beside the old one, then put in its place."""
-    beside = path.with_name(f".{path.name}.new")
-    descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    """Replace a file atomically: write and sync a temporary file, then rename it."""
+    temporary = path.with_name(f".{path.name}.new")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     try:
         os.fchmod(descriptor, mode)
         os.write(descriptor, content)
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    beside.replace(path)
+    temporary.replace(path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/src/peppershore/connection/codec.py
+++ b/src/peppershore/connection/codec.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of link messages; garbage gives a typed error."""
+"""Encoding and decoding of link messages; undecodable bytes give a typed error."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class UndecodableMessage(msgspec.Struct, frozen=True):
-    """A payload is no known message; ``reason`` says where it goes wrong."""
+    """A payload that is no known message; ``reason`` says what is wrong with it."""
 
     reason: str
 
@@ -62,17 +62,17 @@
 
 
 def kind_name(kind: int | str) -> str:
-    """Give the name of a message's tag, in snake case; a name is given as it is."""
+    """Return the snake-case name of a message tag; a name is returned unchanged."""
     return _NAMES.get(kind, str(kind))
 
 
 def encode_message(message: Message) -> bytes:
-    """Give the payload of one message, without the frame header."""
+    """Encode one message as a payload without the frame header."""
     return _ENCODER.encode(message)
 
 
 def decode_message(payload: bytes) -> Result[Message, UndecodableMessage]:
-    """Give the message of one payload, or why it is none."""
+    """Decode one payload; fail with the reason if it is no known message."""
     try:
         return Success(_DECODER.decode(payload))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
--- a/src/peppershore/connection/endpoint_packing.py
+++ b/src/peppershore/connection/endpoint_packing.py
@@ -1,7 +1,7 @@
-"""Endpoints packed for the wire, for nodes: MessagePack, then a dictionary packer.
+"""Compression of the endpoint lists sent to nodes: MessagePack, then Zstandard.
 
-Endpoints of one service differ in little more than names and addresses, and a
-node that connects is told of a hundred or more at once.
+The dictionary pays off because the endpoints of one service differ in little more than
+names and addresses, and a node that connects receives a hundred or more at once.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
     b"\x9a\xa0\xa0\xa0\xcf\x00\x00\x01\x9a\xdd\xe8\xbd\x00\x02\xa5ready"
     b"\xad10.0.0.1:8080\xad10.0.0.1:7443\x14\xcc\x82"
 )
-"""Typical endpoints, the most frequent last."""
+"""Zstandard dictionary: typical endpoints, the most frequent last."""
 
 
 class _Row(msgspec.Struct, frozen=True, array_like=True):
-    """What is packed of ``EndpointsChanged``."""
+    """Packed content of an ``EndpointsChanged`` message."""
 
     endpoints: tuple[Endpoint, ...]
     complete: bool
@@ -43,7 +43,7 @@
 
 
 def pack_endpoints(message: EndpointsChanged) -> EndpointsPacked:
-    """Give the message that tells a node the same in fewer bytes."""
+    """Compress an ``EndpointsChanged`` message."""
     row = _Row(message.endpoints, message.complete, message.services)
     return EndpointsPacked(_PACKER.pack(_ENCODER.encode(row)))
 
@@ -51,7 +51,7 @@
 def unpack_endpoints(
     message: EndpointsPacked,
 ) -> Result[EndpointsChanged, UnusablePacking]:
-    """Give what was packed, or why it is not usable."""
+    """Restore the packed message; fail with the reason if its bytes are invalid."""
     content = _PACKER.unpack(message.packed)
     if isinstance(content, Failure):
         return Failure(content.failure())
--- a/src/peppershore/connection/framing.py
+++ b/src/peppershore/connection/framing.py
@@ -1,7 +1,7 @@
-"""Frames on a link: a 4-byte big-endian length, then that many bytes.
+"""Frames on a link: a 4-byte big-endian length, then that many bytes of payload.
 
-Takes arbitrary pieces of a byte stream, gives whole payloads.  Bytes that can't
-be a frame give a typed error; nothing is raised.
+The reader accepts a byte stream in chunks of any size and returns complete payloads.
+Bytes that can't be a frame give a typed error; nothing is raised.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 
 class FrameTooLarge(msgspec.Struct, frozen=True):
-    """A header announced more bytes than allowed; the link must be closed."""
+    """A frame header announced more bytes than allowed; the link must be closed."""
 
     announced_bytes: int
     allowed_bytes: int
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Give the bytes on the wire for one payload."""
+    """Prefix a payload with its frame header."""
     return len(payload).to_bytes(HEADER_BYTES, "big") + payload
 
 
 class FrameReader:
-    """Collects received bytes and cuts whole payloads from them."""
+    """Splits a received byte stream into payloads."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Start empty; refuse frames above ``max_frame_bytes``."""
+        """Start with an empty buffer; reject frames larger than ``max_frame_bytes``."""
         self._buffer = bytearray()
         self._max_frame_bytes = max_frame_bytes
 
     def feed(self, data: bytes) -> Result[list[bytes], FrameTooLarge]:
-        """Add received bytes; give the payloads that became whole."""
+        """Add received bytes; return the payloads that are now complete."""
         self._buffer += data
         payloads: list[bytes] = []
         start = 0
@@ -52,5 +52,5 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes received that are not yet a whole frame."""
+        """Number of buffered bytes of an incomplete frame."""
         return len(self._buffer)
--- a/src/peppershore/connection/head_packing.py
+++ b/src/peppershore/connection/head_packing.py
@@ -1,7 +1,8 @@
-"""Heads of calls on one link, packed as one stream: a head is much like the one before.
+"""Compression of the call heads on one link, as one Deflate stream per direction.
 
-Deflate with a small window, flushed after each message, so that nothing waits.  Both ends
-keep their state for as long as the link is there; what it carries is never kept longer.
+A head is very similar to the one before it, so a small window suffices. The stream is
+flushed after each message, so that no message is delayed. Both ends keep the state of
+the stream while the link is open, and drop it with the link.
 """
 
 from __future__ import annotations
@@ -13,61 +14,64 @@
 from peppershore.connection.codec import UndecodableMessage
 
 WINDOW_BITS = -11
-"""A window of 2 KB holds the last four heads; negative: without a header of its own."""
+"""Window of 2 KB, enough for the last four heads; negative means raw Deflate, no header."""
 
 MEMORY_LEVEL = 2
-LEVEL = 6
-"""Such a stream needs some 12 KB at its sender and 10 KB at its receiver."""
+COMPRESSION_LEVEL = 6
+"""With these settings a stream takes about 12 KB at its sender, 10 KB at its receiver."""
 
-PACKED_FROM_BYTES = 64
-PACKED_UP_TO_BYTES = 2_048
-"""Shorter messages gain nothing; longer ones hold bodies, which push heads out."""
+MIN_PACKABLE_BYTES = 64
+MAX_PACKABLE_BYTES = 2_048
+"""Shorter messages gain nothing; longer ones carry bodies, which evict heads from the
+window."""
 
-MOST_UNPACKED_BYTES = 64 * 1024
+MAX_UNPACKED_BYTES = 64 * 1024
 
-PACKING_MEGABITS = 20.0
-"""Links up to this rate are worth it: packing and unpacking a head take 3 µs of processor
-time (``benchmarks/head_packing_cost.py``) and save 130 bytes or more of it, which
-20 Mbit/s carry in 50 µs."""
+MAX_PACKING_MEGABITS = 20.0
+"""Link rate in Mbit/s up to which heads are compressed: packing and unpacking a head takes
+3 µs of processor time (``benchmarks/head_packing_cost.py``) and saves at least 130 bytes,
+which take 50 µs at 20 Mbit/s."""
 
-FLUSH_MARK = b"\x00\x00\xff\xff"
-"""What each flush ends with; it is left out on the way."""
+FLUSH_SUFFIX = b"\x00\x00\xff\xff"
+"""Bytes that end each flush; they are removed before sending and restored on receipt."""
 
 
 def is_worth_it(link_megabits: float) -> bool:
-    """Whether heads should be packed on a link of that rate (0: wide enough)."""
-    return 0.0 < link_megabits <= PACKING_MEGABITS
+    """Report whether to compress heads on a link of this rate in Mbit/s (0: no limit)."""
+    return 0.0 < link_megabits <= MAX_PACKING_MEGABITS
 
 
 class HeadPacker:
-    """The sending end of one link's stream."""
+    """Compressor at the sending end of one link's stream."""
 
     def __init__(self) -> None:
-        """Begin with an empty window."""
-        self._stream = zlib.compressobj(LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
+        """Start with an empty window."""
+        self._stream = zlib.compressobj(
+            COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
+        )
 
     @staticmethod
-    def takes(payload: bytes) -> bool:
-        """Whether a payload is of a size that gains by it."""
-        return PACKED_FROM_BYTES <= len(payload) <= PACKED_UP_TO_BYTES
+    def is_packable(payload: bytes) -> bool:
+        """Report whether a payload has a size for which compression pays off."""
+        return MIN_PACKABLE_BYTES <= len(payload) <= MAX_PACKABLE_BYTES
 
     def pack(self, payload: bytes) -> bytes:
-        """Give the next piece of the stream."""
+        """Compress a payload into the next chunk of the stream."""
         packed = self._stream.compress(payload) + self._stream.flush(zlib.Z_SYNC_FLUSH)
-        return packed.removesuffix(FLUSH_MARK)
+        return packed.removesuffix(FLUSH_SUFFIX)
 
 
 class HeadUnpacker:
-    """The receiving end of one link's stream."""
+    """Decompressor at the receiving end of one link's stream."""
 
     def __init__(self) -> None:
-        """Begin with an empty window."""
+        """Start with an empty window."""
         self._stream = zlib.decompressobj(WINDOW_BITS)
 
     def unpack(self, packed: bytes) -> Result[bytes, UndecodableMessage]:
-        """Give the payload of the next piece; the stream ends with the first failure."""
+        """Return the payload of the next chunk; after a failure the stream is unusable."""
         try:
-            payload = self._stream.decompress(packed + FLUSH_MARK, MOST_UNPACKED_BYTES)
+            payload = self._stream.decompress(packed + FLUSH_SUFFIX, MAX_UNPACKED_BYTES)
         except zlib.error as problem:
             return Failure(UndecodableMessage(f"packed head: {problem}"))
         if self._stream.unconsumed_tail:
--- a/src/peppershore/connection/http_client.py
+++ b/src/peppershore/connection/http_client.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 towards back ends: one connection, on h11, one exchange at a time.
+"""HTTP/1.1 client for back ends: one connection, on h11, one exchange at a time.
 
-An answer is handed on only as far as it is well-formed; an answer that ends
-before its declared length is a failure, and one that declares no length unless the
-rules allow it; then a reset is no end.  A whole answer that names another request is passed
-over: the one that is waited for may follow it.
+An answer is forwarded only as far as it is well-formed. An answer that ends before its
+declared length is a failure. So is one that declares no length, unless the rules allow
+it; if they do, the answer ends when the back end closes the connection in order, and a
+reset is a failure. A complete answer that carries the identifier of another request is
+skipped, because the expected answer may follow it.
 """
 
 from __future__ import annotations
@@ -17,7 +18,11 @@
 
 import h11
 
-from peppershore.connection.answer_rules import FOREIGN, NO_RULES, AnswerRules
+from peppershore.connection.answer_rules import (
+    ANSWER_TO_OTHER_REQUEST,
+    NO_RULES,
+    AnswerRules,
+)
 from peppershore.connection.http_head import (
     MAX_HEAD_BYTES,
     AnswerHead,
@@ -28,46 +33,49 @@
     end_to_end_headers,
     received_headers,
 )
-from peppershore.connection.silence import probe_at_rest
+from peppershore.connection.silence import enable_keep_alive
 
 WRITE_HIGH_WATER_BYTES = 256 * 1024
 STATUS_NO_CONTENT = 204
 STATUS_NOT_MODIFIED = 304
 HTTP_1_1 = b"1.1"
-MAX_FOREIGN_ANSWERS = 3
-_KEPT = re.compile(rb"timeout=([0-9]{1,6})")
+MAX_MISMATCHED_ANSWERS = 3
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=([0-9]{1,6})")
 
 
 class AnswerSink(Protocol):
-    """Takes what a back end answers to one attempt."""
+    """Receiver of a back end's answer to one attempt."""
 
     def answer_head(self, head: AnswerHead) -> None:
-        """The answer begins."""
+        """Handle the head of the answer."""
 
     def answer_data(self, data: bytes) -> None:
-        """A piece of the answer's body."""
+        """Handle a chunk of the answer's body."""
 
     def answer_batch_ended(self) -> None:
-        """No more of the answer is at hand for now."""
+        """Handle the end of the data received so far; more of the answer may follow."""
 
     def answer_ended(self, trailers: HeaderList) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete answer."""
 
     def attempt_failed(self, reason: str) -> None:
-        """There will be no whole answer; the request's bytes may have been read."""
+        """Handle a failure: no complete answer follows.
+
+        The back end may have read bytes of the request.
+        """
 
     def sending_paused(self) -> None:
-        """The back end reads slowly: give no more request bytes for now."""
+        """Stop sending request bytes for now: the back end reads slowly."""
 
     def sending_resumed(self) -> None:
-        """The back end caught up."""
+        """Continue sending request bytes: the back end has caught up."""
 
 
 class ClientConnection(asyncio.Protocol):
     """One connection to a back end."""
 
     def __init__(self, on_idle_lost: Callable[[ClientConnection], None]) -> None:
-        """Call ``on_idle_lost`` when the connection ends outside an exchange."""
+        """Call ``on_idle_lost`` if the connection closes outside an exchange."""
         self.last_used = 0.0
         self.exchanges = 0
         self._on_idle_lost = on_idle_lost
@@ -78,28 +86,28 @@
         self._out: list[bytes] = []
         self._method = b""
         self._rules = NO_RULES
-        self._foreign = 0
+        self._mismatched_answers = 0
         self._skipping = False
-        self.kept_seconds: float | None = None
-        """For how long the back end keeps the connection idle; None if it says nothing."""
+        self.keep_alive_seconds: float | None = None
+        """Idle time-out announced by the back end in its Keep-Alive header, or None."""
         self._poll: select.poll | None = None
 
     # --- transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and set its socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         raw = transport.get_extra_info("socket")
         if raw is not None:
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            probe_at_rest(raw)
+            enable_keep_alive(raw)
             self._poll = select.poll()
             self._poll.register(raw.fileno(), select.POLLIN)
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes through h11."""
+        """Parse received bytes; close the connection if no answer is expected."""
         if self._sink is None:
             self.close()
             return
@@ -107,14 +115,14 @@
         self._process()
 
     def eof_received(self) -> bool:
-        """No more answer bytes will come."""
+        """Finish parsing: the back end sends no more bytes."""
         if self._sink is not None:
             self._http.receive_data(b"")
             self._process()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the exchange in flight, or leave the pool."""
+        """Fail the exchange in progress, or report the loss of an idle connection."""
         self._transport = None
         if self._sink is not None:
             self._fail(str(exc) if exc else "connection closed")
@@ -122,12 +130,12 @@
             self._on_idle_lost(self)
 
     def pause_writing(self) -> None:
-        """Pass the back end's slowness on."""
+        """Apply back-pressure to the sender of the request: the back end reads slowly."""
         if self._sink is not None:
             self._sink.sending_paused()
 
     def resume_writing(self) -> None:
-        """The back end reads again."""
+        """Release the back-pressure: the back end reads again."""
         if self._sink is not None:
             self._sink.sending_resumed()
 
@@ -135,7 +143,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection looks open: no end and no stray bytes waiting."""
+        """Whether the connection looks open: neither closed nor with unread bytes."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
@@ -149,11 +157,10 @@
         on_free: Callable[[ClientConnection], None],
         rules: AnswerRules = NO_RULES,
     ) -> bool:
-        """Queue a request's head; ``on_free`` follows when the exchange is over.
-
-        An answer must keep ``rules``.
+        """Start an exchange by queueing the request's head.
 
-        False: this can't be sent as HTTP, and nothing was.
+        The answer is checked against ``rules``; ``on_free`` is called when the exchange
+        is over. Return false, with nothing queued, if the head can't be sent as HTTP.
         """
         assert self._sink is None, "one exchange at a time"
         try:
@@ -167,28 +174,28 @@
         self._on_free = on_free
         self._method = head.method
         self._rules = rules
-        self._foreign = 0
+        self._mismatched_answers = 0
         self._skipping = False
         self.exchanges += 1
         return True
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
         self._send(h11.Data(data=data))
 
     def send_end(self, trailers: HeaderList) -> None:
-        """Queue the request's end."""
+        """Queue the end of the request."""
         self._send(end_event(trailers))
 
     def flush(self) -> None:
-        """Write what is queued, in one piece."""
+        """Write all queued bytes with one call."""
         out = self._out
         self._out = []
         if self._transport is not None and out:
             self._transport.write(out[0] if len(out) == 1 else b"".join(out))
 
     def cancel(self) -> None:
-        """Give the exchange up: close, so that the back end stops working on it."""
+        """Abort the exchange by closing, so that the back end stops working on it."""
         self._sink = None
         on_free = self._on_free
         self._on_free = None
@@ -203,7 +210,7 @@
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Go on reading the answer."""
+        """Continue reading the answer."""
         if self._transport is not None:
             self._transport.resume_reading()
 
@@ -212,10 +219,10 @@
         if self._transport is not None:
             self._transport.close()
 
-    # --- inside
+    # --- internal
 
     def _send(self, event: h11.Data | h11.EndOfMessage) -> None:
-        """Queue a part of the body; one that breaks the framing ends the exchange."""
+        """Queue a part of the body; fail the exchange if it violates the framing."""
         if self._http.our_state is not h11.SEND_BODY:
             return
         try:
@@ -233,9 +240,9 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 self._sink.answer_batch_ended()
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         sink = self._sink
         assert sink is not None
         if self._skipping:
@@ -243,15 +250,15 @@
         elif isinstance(event, h11.Data):
             sink.answer_data(event.data)
         elif isinstance(event, h11.Response):
-            self._take_head(event, sink)
+            self._handle_head(event, sink)
         elif isinstance(event, h11.EndOfMessage):
             self._finish(sink, received_headers(event.headers))
         elif isinstance(event, h11.ConnectionClosed):
             self._fail("connection closed")
 
-    def _take_head(self, event: h11.Response, sink: AnswerSink) -> None:
+    def _handle_head(self, event: h11.Response, sink: AnswerSink) -> None:
         headers = received_headers(event.headers)
-        if self._rules.is_foreign(headers):
+        if self._rules.answers_other_request(headers):
             self._begin_skipping()
             return
         problem = self._rules.problem(event.status_code, headers)
@@ -266,7 +273,7 @@
             elif name == b"transfer-encoding":
                 chunked = True
             elif name == b"keep-alive":
-                self.kept_seconds = _kept_seconds(value)
+                self.keep_alive_seconds = _parse_keep_alive(value)
         has_body = self._answer_has_body(event.status_code)
         is_framed = chunked or content_length is not None or not has_body
         if not is_framed and not self._rules.unframed_answers:
@@ -283,26 +290,36 @@
         )
 
     def _begin_skipping(self) -> None:
-        """An answer to another request: only one that is whole can be passed over."""
-        self._foreign += 1
-        if self._foreign > MAX_FOREIGN_ANSWERS or self._http.our_state is not h11.DONE:
-            self._fail(FOREIGN)
+        """Start skipping an answer that carries the identifier of another request.
+
+        Fail the exchange if the request is not yet sent completely, or after
+        ``MAX_MISMATCHED_ANSWERS``.
+        """
+        self._mismatched_answers += 1
+        if (
+            self._mismatched_answers > MAX_MISMATCHED_ANSWERS
+            or self._http.our_state is not h11.DONE
+        ):
+            self._fail(ANSWER_TO_OTHER_REQUEST)
         else:
             self._skipping = True
 
     def _skip(self, event: object) -> None:
-        """Pass over the rest of a foreign answer, then read on from where it ends."""
+        """Skip the rest of a mismatched answer, then parse what follows it.
+
+        Fail the exchange if the mismatched answer is incomplete or ends the connection.
+        """
         if isinstance(event, h11.EndOfMessage):
             rest = self._http.trailing_data[0]
             if self._http.their_state is not h11.DONE:
-                self._fail(FOREIGN)
+                self._fail(ANSWER_TO_OTHER_REQUEST)
                 return
             self._skipping = False
             self._http = _awaiting_answer(self._method)
             if rest:
                 self._http.receive_data(rest)
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail(FOREIGN)
+            self._fail(ANSWER_TO_OTHER_REQUEST)
 
     def _answer_has_body(self, status: int) -> bool:
         if status in (STATUS_NO_CONTENT, STATUS_NOT_MODIFIED):
@@ -340,14 +357,14 @@
 
 
 def _awaiting_answer(method: bytes) -> h11.Connection:
-    """Give a parser for the answer to a request that has been sent already."""
+    """Return a parser for the answer to a request that was already sent."""
     http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     http.send(h11.Request(method=method, target=b"/", headers=[(b"host", b"-")]))
     http.send(h11.EndOfMessage())
     return http
 
 
-def _kept_seconds(value: bytes) -> float | None:
-    """Read "timeout=N" of a Keep-Alive field."""
-    found = _KEPT.search(value)
+def _parse_keep_alive(value: bytes) -> float | None:
+    """Parse "timeout=N" of a Keep-Alive header value."""
+    found = _KEEP_ALIVE_TIMEOUT.search(value)
     return None if found is None else float(found.group(1))
--- a/src/peppershore/connection/http_head.py
+++ b/src/peppershore/connection/http_head.py
@@ -1,8 +1,8 @@
 """Heads of HTTP/1.1 messages: typed values, strict checks, hop-by-hop headers.
 
-h11 parses leniently in places where two parsers may disagree about where a
-message ends (bare LF, folded lines, repeated Content-Length).  ``check_request_head``
-looks at the raw bytes first and refuses those shapes.
+h11 is lenient about forms for which two parsers may disagree on where a message ends
+(bare LF, folded lines, repeated Content-Length), which allows request smuggling.
+``check_request_head`` therefore checks the raw bytes first and rejects those forms.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 HeaderList = list[tuple[bytes, bytes]]
-"""Header fields as h11 yields them: lower-case name, value; order kept."""
+"""Header fields as pairs of lower-case name and value, in the order received."""
 
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADER_FIELDS = 100
@@ -52,7 +52,7 @@
 
 
 class HeadProblem(msgspec.Struct, frozen=True):
-    """A head that is refused: the status to answer with and a stable reason."""
+    """Why a request head is rejected: the HTTP status to answer and a stable reason."""
 
     status: int
     reason: str
@@ -61,8 +61,8 @@
 class RequestHead(msgspec.Struct, frozen=True):
     """Head of a request.
 
-    ``content_length`` is None for a chunked body; 0 when there is no body, which
-    ``declares_length`` tells from a body declared empty.
+    ``content_length`` is None for a chunked body and 0 without a body;
+    ``declares_length`` distinguishes a body declared empty from no body.
     ``headers`` holds end-to-end fields only, without Content-Length.
     """
 
@@ -75,7 +75,7 @@
     expects_continue: bool = False
 
     def header(self, name: bytes) -> bytes:
-        """Give the first value of a field (lower-case name), or nothing."""
+        """Return the first value of a field (lower-case name), or b""."""
         return first_value(self.headers, name)
 
 
@@ -83,7 +83,7 @@
     """Head of an answer; ``content_length`` is None for a chunked body.
 
     For answers without a body (HEAD, 204, 304) ``has_body`` is false and
-    ``content_length`` repeats what the back end declared, if anything.
+    ``content_length`` is the length that the back end declared, if any.
     """
 
     status: int
@@ -94,24 +94,24 @@
 
 
 def received_headers(headers: Headers) -> HeaderList:
-    """Give the fields of a parsed h11 event, names in lower case."""
+    """Return the header fields of a parsed h11 event, with names in lower case."""
     if not headers:
         return []
     return [(name.lower(), value) for name, value in headers.raw_items()]
 
 
 def checked_headers(fields: HeaderList) -> Headers:
-    """Give fields to h11 as checked before.
+    """Wrap header fields so that h11 does not validate them again.
 
-    All fields that are sent were parsed by h11 here or in another node, or are
-    constants, so h11 need not match each against its patterns again: that was a
-    sixth of the processor time of a call.  ``fields_unsafe`` guards what links bring.
+    All fields that are sent are constants or were parsed by h11, here or in another
+    node. Matching each against the patterns of h11 again took a sixth of the processor
+    time of a call. Fields received on links are checked by ``fields_unsafe``.
     """
     return Headers([(name, name, value) for name, value in fields])
 
 
 def fields_unsafe(fields: HeaderList) -> bool:
-    """Whether a name or value would end its line or its field when written."""
+    """Report whether a name or value would break out of its line or field if written."""
     names = b"\0".join(name for name, _ in fields)
     values = b"\0".join(value for _, value in fields)
     if _LINE_BREAK.search(values) or b"" in [name for name, _ in fields]:
@@ -123,19 +123,19 @@
 
 
 def end_event(trailers: HeaderList) -> h11.EndOfMessage:
-    """Give the h11 event of a body's end; most have no trailers and share one."""
+    """Return the h11 event for the end of a body; one is shared without trailers."""
     return h11.EndOfMessage(headers=trailers) if trailers else _END
 
 
 def answer_event(head: AnswerHead, headers: HeaderList) -> h11.Response:
-    """Give the h11 event of an answer's head with the given fields."""
+    """Return the h11 event for an answer's head with the given header fields."""
     return h11.Response(
         status_code=head.status, headers=checked_headers(headers), reason=head.reason
     )
 
 
 def first_value(headers: HeaderList, name: bytes) -> bytes:
-    """Give the first value of a field (lower-case name), or nothing."""
+    """Return the first value of a field (lower-case name), or b""."""
     for candidate, value in headers:
         if candidate == name:
             return value
@@ -145,8 +145,8 @@
 def check_request_head(received: bytes) -> Result[bool, HeadProblem]:
     """Check the raw bytes of a request head, as far as received.
 
-    Success(False): not whole yet.  Success(True): whole, and no other parser
-    can read its boundaries otherwise.
+    Return Success(False) for a head that is incomplete so far, and Success(True) for a
+    complete head whose message boundaries all parsers read in the same way.
     """
     end = received.find(HEAD_END)
     head = received if end < 0 else received[: end + len(HEAD_END)]
@@ -154,11 +154,11 @@
         return Failure(HeadProblem(STATUS_HEAD_TOO_LARGE, "head-too-large"))
     if end < 0:
         return _check_partial(head)
-    return _check_whole(head)
+    return _check_complete(head)
 
 
 def end_to_end_headers(headers: HeaderList) -> HeaderList:
-    """Drop the fields that concern one connection only, and Content-Length."""
+    """Return the fields without hop-by-hop fields and Content-Length."""
     listed = _connection_options(headers)
     return [
         field
@@ -175,7 +175,7 @@
     return Success(False)
 
 
-def _check_whole(head: bytes) -> Result[bool, HeadProblem]:
+def _check_complete(head: bytes) -> Result[bool, HeadProblem]:
     line_ends = head.count(LINE_END)
     if head.count(b"\n") != line_ends:
         return Failure(HeadProblem(STATUS_BAD_REQUEST, "bare-line-feed"))
--- a/src/peppershore/connection/http_listener.py
+++ b/src/peppershore/connection/http_listener.py
@@ -1,9 +1,9 @@
-"""The listener for callers, which a successor process can take over.
+"""Listener for callers' HTTP connections, which a successor process can take over.
 
-All processes bind their address with SO_REUSEPORT, so that a successor listens
-beside its predecessor.  A predecessor that stops sends new connections to the
-successor first (``hand_over``), accepts what it still has in its queue, and only
-then closes: a queue that is closed with connections in it cuts them.
+All processes bind their address with SO_REUSEPORT, so that a successor can listen while
+its predecessor still does. A predecessor that stops first directs new connections to the
+successor (``hand_over``), then accepts those left in its own accept queue, and only then
+closes: closing a listener resets the connections in its accept queue.
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 
 LISTEN_BACKLOG = 4_096
 SO_ATTACH_REUSEPORT_CBPF = 51
-"""Linux; the socket module of Python 3.11 does not name it."""
+"""Linux socket option; the socket module of Python 3.11 has no constant for it."""
 
 BPF_RETURN_CONSTANT = 0x06
 SUCCESSOR_INDEX = 1
-"""Listeners of one address are numbered by age; the older one that closes moves the
-younger one to its place.  A number that nobody has means: choose by hash."""
+"""Index of the younger listener. The kernel numbers the listeners of one address by age;
+when the older one closes, the younger one takes its index. For an index without a
+listener the kernel chooses a listener by hash."""
 
 
 class HttpListener:
-    """Accepts callers on one address."""
+    """Accepts callers' connections on one address."""
 
     def __init__(self, make_connection: Callable[[], asyncio.Protocol]) -> None:
-        """Make one protocol for each accepted connection."""
+        """Use ``make_connection`` to create the protocol of each accepted connection."""
         self._make_connection = make_connection
         self._bound: socket.socket | None = None
         self._server: asyncio.Server | None = None
 
     def bind(self, host: str, port: int, take_over: bool = False) -> str:
-        """Bind; port 0 takes a free one.  Gives the address bound, "IP:port".
+        """Bind the address and return it as "IP:port"; port 0 chooses a free port.
 
-        Raises OSError if the address is taken, which ``take_over`` allows.
+        Raise OSError if the address is in use, unless ``take_over`` is set.
         """
         if port and not take_over:
-            _probe(host, port)
+            _check_unused(host, port)
         bound = _bindable(host)
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         bound.bind((host, port))
@@ -54,7 +55,7 @@
         return self._server is not None
 
     async def listen(self) -> None:
-        """Accept connections on the address bound."""
+        """Start accepting connections on the bound address."""
         bound = self._bound
         if bound is None or self._server is not None:
             return
@@ -64,9 +65,10 @@
         )
 
     def hand_over(self) -> None:
-        """Let new connections go to a younger listener of the address, if there is one.
+        """Direct new connections to a younger listener of the address, if there is one.
 
-        Where the system can't, they go to both until this one closes.
+        If the operating system does not support this, new connections are distributed
+        to both listeners until this one closes.
         """
         if self._bound is None or self._server is None:
             return
@@ -78,7 +80,7 @@
             self._bound.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, option)
 
     def close(self) -> None:
-        """Stop accepting; open connections stay."""
+        """Stop accepting connections; open ones stay open."""
         if self._server is not None:
             self._server.close()
         elif self._bound is not None:
@@ -89,13 +91,16 @@
 
 def _bindable(host: str) -> socket.socket:
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    made = socket.socket(family, socket.SOCK_STREAM)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.setblocking(False)
-    return made
+    created = socket.socket(family, socket.SOCK_STREAM)
+    created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    created.setblocking(False)
+    return created
 
 
-def _probe(host: str, port: int) -> None:
-    """Raise OSError if another process listens: without it, two would share."""
+def _check_unused(host: str, port: int) -> None:
+    """Raise OSError if another process listens on the address.
+
+    Without this check SO_REUSEPORT would let two processes share the address.
+    """
     with _bindable(host) as probe:
         probe.bind((host, port))
--- a/src/peppershore/connection/http_pool.py
+++ b/src/peppershore/connection/http_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one back end, newest first, within a bound."""
+"""Pool of persistent connections to one back end, reused most recent first."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 CONNECT_TIMEOUT_SECONDS = 2.0
 BOUND_REACHED = "connection bound reached"
 IDLE_SECONDS = 20.0
-KEPT_MARGIN_SECONDS = 1.0
-"""A connection is used no more so long before its back end would close it."""
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+"""A pooled connection is retired this long before the back end's own idle time-out."""
 
 ConnectOutcome = Callable[[ClientConnection | str], None]
-"""Gets the new connection, or why there is none."""
+"""Callback that receives the new connection, or the reason for the failure."""
 
 
 class ConnectionPool:
-    """Connections to one address; at most ``bound`` open or opening."""
+    """Connections to one address, at most ``bound`` of them open or being opened."""
 
     def __init__(self, address: str, bound: int) -> None:
         """Start without connections; ``address`` is "IP:port"."""
@@ -31,13 +31,13 @@
 
     @property
     def connections(self) -> int:
-        """Connections open or opening."""
+        """Number of connections that are open or being opened."""
         return len(self._open) + len(self._opening)
 
     def take(self, max_age_seconds: float | None = None) -> ClientConnection | None:
-        """Give an idle connection that looks open, or None.
+        """Take an idle connection that looks open out of the pool, or return None.
 
-        ``max_age_seconds`` bounds for how long it may have been idle.
+        ``max_age_seconds`` limits how long the connection may have been idle.
         """
         while self._idle:
             connection = self._idle[-1]
@@ -45,13 +45,17 @@
             if max_age_seconds is not None and age > max_age_seconds:
                 return None
             self._idle.pop()
-            if connection.usable and age < _idle_bound(connection):
+            if connection.usable and age < _idle_timeout(connection):
                 return connection
             self._discard(connection)
         return None
 
     def connect(self, outcome: ConnectOutcome) -> None:
-        """Open a connection for the caller alone; refused above the bound."""
+        """Open a connection for the exclusive use of the requester.
+
+        ``outcome`` receives ``BOUND_REACHED`` if the pool is full; an idle connection is
+        closed first to make space.
+        """
         if self.connections >= self.bound and self._idle:
             self._discard(self._idle.pop(0))
         if self.connections >= self.bound:
@@ -61,7 +65,7 @@
         self._opening.add(task)
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Keep a connection whose exchange is over, if it can be used again."""
+        """Return a connection to the pool after its exchange; close it if unusable."""
         if self._closed or self.connections > self.bound or not connection.usable:
             self._discard(connection)
             return
@@ -69,24 +73,24 @@
         self._idle.append(connection)
 
     def limit(self, bound: int) -> None:
-        """Change the bound; idle connections above it are closed at once."""
+        """Change the bound, closing excess idle connections at once."""
         self.bound = bound
         while self._idle and self.connections > bound:
             self._discard(self._idle.pop(0))
 
     def trim(self, now: float) -> None:
-        """Close connections that were idle for long."""
-        while self._idle and now - self._idle[0].last_used > _idle_bound(self._idle[0]):
+        """Close connections that were idle for longer than their idle time-out."""
+        while self._idle and now - self._idle[0].last_used > _idle_timeout(self._idle[0]):
             self._discard(self._idle.pop(0))
 
     def close_idle(self) -> None:
-        """Close the connections that rest: their other end is known to be gone."""
+        """Close all idle connections, for example because their back end has exited."""
         for connection in self._idle:
             self._discard(connection)
         self._idle.clear()
 
     def close(self) -> None:
-        """Close idle connections now and used ones once their exchange is over."""
+        """Close idle connections now, and busy ones when their exchange is over."""
         self._closed = True
         self.close_idle()
 
@@ -118,9 +122,12 @@
         connection.close()
 
 
-def _idle_bound(connection: ClientConnection) -> float:
-    """Give for how long a connection may rest: what its back end says, with a margin."""
-    kept = connection.kept_seconds
-    if kept is None:
+def _idle_timeout(connection: ClientConnection) -> float:
+    """Return the idle time-out of a connection in seconds.
+
+    It is the time-out announced by the back end less a margin, at most ``IDLE_SECONDS``.
+    """
+    keep_alive = connection.keep_alive_seconds
+    if keep_alive is None:
         return IDLE_SECONDS
-    return min(IDLE_SECONDS, max(0.0, kept - KEPT_MARGIN_SECONDS))
+    return min(IDLE_SECONDS, max(0.0, keep_alive - KEEP_ALIVE_MARGIN_SECONDS))
--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 towards callers: one accepted connection, on h11.
+"""HTTP/1.1 server for callers: one accepted connection, on h11.
 
-Requests that a caller sends before the first is answered are begun at once, as long
-as all of them may be repeated; answers keep the order of the requests.  Any other
-request waits until the answers before it are whole: a caller sends again what stands
-behind an answer that closes the connection.
-No task is made for a call: everything runs in the protocol's callbacks.
+Pipelined requests are started concurrently as long as all of them are safe to retry;
+answers are sent in the order of the requests. Any other request waits until the answers
+before it are complete, because a caller retries the requests that follow an answer which
+closes the connection.
+No asyncio task is created for a call: everything runs in the protocol's callbacks.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 __all__ = ["RequestSink", "ServerConnection", "ServerExchange", "ServerOwner"]
 
 MAX_PIPELINED_BYTES = 64 * 1024
-MAX_AT_ONCE = 16
-"""Requests of one connection under way at once."""
+MAX_CONCURRENT_REQUESTS = 16
+"""Pipelined requests of one connection that may be in progress concurrently."""
 
 WRITE_HIGH_WATER_BYTES = 256 * 1024
 IDLE_SECONDS = 75.0
@@ -41,51 +41,52 @@
 
 
 class ServerOwner(Protocol):
-    """Who listens: gets every request and hears of refused ones."""
+    """Handler of the requests of all connections, and of malformed requests."""
 
     draining: bool
 
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
-        """Make a call; its body and its start follow on the sink."""
+        """Create a call and return its sink, which then receives the body and the start."""
 
     def may_be_repeated(self, head: RequestHead) -> bool:
-        """Whether a request may be begun before those in front of it are answered."""
+        """Report whether a request is safe to retry, so that it may be pipelined."""
 
     def request_refused(self, problem: HeadProblem) -> bytes:
-        """Count a malformed request; give the refusal's body."""
+        """Count a malformed request; return the body of the error answer."""
 
     def connection_opened(self, connection: ServerConnection) -> None:
-        """Remember a connection."""
+        """Register a new connection."""
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection."""
+        """Unregister a closed connection."""
 
 
 class ServerConnection(asyncio.Protocol):
     """One connection of a caller.
 
-    ``_exchanges`` are the requests without whole answer, in their order; ``_current``
-    is the one whose body is still being read, ``_held`` the bytes behind it.
+    ``_exchanges`` are the requests whose answer is not complete, in order of receipt.
+    ``_current`` is the one whose body is still being read. ``_unparsed`` are the received
+    bytes that follow it.
     """
 
     def __init__(self, owner: ServerOwner) -> None:
-        """Hand requests to ``owner``."""
+        """Deliver requests to ``owner``."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[ServerExchange] = deque()
         self._current: ServerExchange | None = None
-        self._held = b""
+        self._unparsed = b""
         self._peer_address = ""
         self._body_paused = False
-        self._ahead_paused = False
+        self._pipeline_paused = False
         self._discarding = False
-        self._working = False
+        self._is_processing = False
         self._idle_since = 0.0
 
     # --- transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport, set its socket options and register the connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
@@ -98,75 +99,75 @@
         self._owner.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes: of a body, or of requests to come."""
+        """Handle received bytes of a request's body or of further requests."""
         if data:
             TRAFFIC.note_received(CALLERS, len(data))
         if self._discarding:
             return
-        self._working = True
+        self._is_processing = True
         if self._current is not None:
             self._current.http.receive_data(data)
             self._read_body(self._current)
         else:
-            self._held += data
+            self._unparsed += data
         self._begin_requests()
-        self._working = False
+        self._is_processing = False
         self._write_answers()
 
     def eof_received(self) -> bool:
-        """Treat a caller that closed its side as gone."""
+        """Close the connection when the caller closes its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the calls in flight that their caller is gone."""
+        """Notify the calls in progress that their caller has disconnected."""
         del exc
         self._transport = None
-        self._give_up_exchanges()
+        self._abort_exchanges()
         self._owner.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """Pass the caller's slowness on."""
+        """Apply back-pressure to the answer being written: the caller reads slowly."""
         if self._exchanges and self._exchanges[0].sink is not None:
             self._exchanges[0].sink.writing_paused()
 
     def resume_writing(self) -> None:
-        """The caller reads again."""
+        """Release the back-pressure: the caller reads again."""
         if self._exchanges and self._exchanges[0].sink is not None:
             self._exchanges[0].sink.writing_resumed()
 
     # --- used by exchanges
 
     def has_output(self, exchange: ServerExchange) -> None:
-        """Write what is queued, if it is this exchange's turn."""
+        """Write the queued bytes of an exchange if its answer is next in order."""
         if self._exchanges and self._exchanges[0] is exchange:
             self._write_answers()
 
     def answered(self, exchange: ServerExchange) -> None:
-        """An answer is whole."""
+        """Finish an exchange whose answer is complete."""
         exchange.sink = None
         self._write_answers()
 
     def must_close_after(self, exchange: ServerExchange) -> bool:
-        """Whether this is the last request of a connection that is to end."""
+        """Report whether to close the connection after this answer, to drain it."""
         if not self._owner.draining:
             return False
-        return self._exchanges[-1] is exchange and not self._held
+        return self._exchanges[-1] is exchange and not self._unparsed
 
-    def broken_off(self) -> None:
-        """Cut the connection: the caller sees that an answer is not whole."""
+    def abort_connection(self) -> None:
+        """Abort the connection, so that the caller sees that an answer is incomplete."""
         transport = self._transport
         self._discarding = True
         if transport is not None:
             transport.abort()
 
     def pause_body(self, exchange: ServerExchange) -> None:
-        """Read no more of a body for now."""
+        """Pause reading the body of an exchange."""
         if exchange is self._current:
             self._body_paused = True
             self._apply_pauses()
 
     def resume_body(self, exchange: ServerExchange) -> None:
-        """Go on reading a body."""
+        """Resume reading the body of an exchange."""
         if exchange is self._current or self._current is None:
             self._body_paused = False
             self._apply_pauses()
@@ -175,24 +176,24 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is in flight or a request has begun to come in."""
-        return bool(self._exchanges) or bool(self._held)
+        """Whether a call is in progress or part of a request was received."""
+        return bool(self._exchanges) or bool(self._unparsed)
 
     def idle_seconds(self, now: float) -> float:
-        """Seconds without a call."""
+        """Return the seconds since the last call ended, 0.0 while busy."""
         return 0.0 if self.busy else now - self._idle_since
 
     def close(self) -> None:
-        """Close in order: what is queued goes out."""
+        """Close the connection gracefully: queued bytes are still sent."""
         if self._transport is not None:
             self._transport.close()
 
     # --- requests
 
     def _begin_requests(self) -> None:
-        while self._held and self._may_begin() and self._begin_request():
+        while self._unparsed and self._may_begin() and self._begin_request():
             pass
-        self._ahead_paused = len(self._held) > MAX_PIPELINED_BYTES
+        self._pipeline_paused = len(self._unparsed) > MAX_PIPELINED_BYTES
         self._apply_pauses()
 
     def _may_begin(self) -> bool:
@@ -201,20 +202,26 @@
         if not self._exchanges:
             return True
         last = self._exchanges[-1]
-        if last.http.their_state is not h11.DONE or len(self._exchanges) >= MAX_AT_ONCE:
+        if (
+            last.http.their_state is not h11.DONE
+            or len(self._exchanges) >= MAX_CONCURRENT_REQUESTS
+        ):
             return False
         return all(exchange.is_repeatable for exchange in self._exchanges)
 
     def _begin_request(self) -> bool:
-        """Begin the next request; false if it is not whole enough or has to wait."""
-        checked = check_request_head(self._held)
+        """Start the next request; return false if none could be started.
+
+        That is so if its head is incomplete or malformed, or if it has to wait.
+        """
+        checked = check_request_head(self._unparsed)
         if isinstance(checked, Failure):
             self._refuse(checked.failure())
             return False
         if not checked.unwrap():
             return False
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        http.receive_data(self._held)
+        http.receive_data(self._unparsed)
         try:
             event = http.next_event()
         except h11.RemoteProtocolError as problem:
@@ -226,14 +233,14 @@
         is_repeatable = self._owner.may_be_repeated(head)
         if self._exchanges and not is_repeatable:
             return False
-        self._held = b""
+        self._unparsed = b""
         self._begin(ServerExchange(self, http), head, is_repeatable)
         return True
 
     def _begin(
         self, exchange: ServerExchange, head: RequestHead, is_repeatable: bool
     ) -> None:
-        """Start a call, with as much of its body as is already here."""
+        """Start a call after delivering the part of its body that was already received."""
         exchange.is_repeatable = is_repeatable
         self._exchanges.append(exchange)
         self._current = exchange
@@ -244,7 +251,7 @@
             exchange.sink.start()
 
     def _read_body(self, exchange: ServerExchange) -> None:
-        """Hand on what is at hand of a request's body, up to its end."""
+        """Deliver the received part of a request's body, up to its end."""
         while self._current is exchange:
             try:
                 event = exchange.http.next_event()
@@ -262,7 +269,7 @@
     def _request_ended(self, exchange: ServerExchange, event: h11.EndOfMessage) -> None:
         self._current = None
         self._body_paused = False
-        self._held = bytes(exchange.http.trailing_data[0])
+        self._unparsed = bytes(exchange.http.trailing_data[0])
         if exchange.sink is not None:
             exchange.sink.body_ended(received_headers(event.headers))
 
@@ -289,8 +296,8 @@
     # --- answers
 
     def _write_answers(self) -> None:
-        """Write the answers whose turn it is; go on to the next requests, or close."""
-        if self._working or self._transport is None:
+        """Write the answers that are next in order, then start more requests or close."""
+        if self._is_processing or self._transport is None:
             return
         out: list[bytes] = []
         last: ServerExchange | None = None
@@ -301,63 +308,70 @@
             if not exchange.ended:
                 break
             last = self._exchanges.popleft()
-            if not last.may_be_followed:
+            if not last.can_continue:
                 break
         if out:
             data = out[0] if len(out) == 1 else b"".join(out)
             TRAFFIC.note_sent(CALLERS, len(data))
             self._transport.write(data)
         if last is not None:
-            self._after(last)
+            self._after_answer(last)
 
-    def _after(self, exchange: ServerExchange) -> None:
-        """An answer is written: the connection goes on, or ends with it."""
-        if not exchange.may_be_followed:
+    def _after_answer(self, exchange: ServerExchange) -> None:
+        """After a written answer, continue with further requests or close."""
+        if not exchange.can_continue:
             self._close_after(exchange)
             return
         if not self._exchanges:
             self._idle_since = asyncio.get_running_loop().time()
-        if self._held:
-            asyncio.get_running_loop().call_soon(self._go_on)
+        if self._unparsed:
+            asyncio.get_running_loop().call_soon(self._resume_requests)
 
-    def _go_on(self) -> None:
+    def _resume_requests(self) -> None:
         if self._transport is not None and not self._discarding:
             self.data_received(b"")
 
     def _close_after(self, exchange: ServerExchange) -> None:
-        """Close; requests behind this answer are not answered: callers send them again."""
-        self._give_up_exchanges()
+        """Close after this answer; later requests get none, and callers retry them."""
+        self._abort_exchanges()
         if exchange.http.their_state in (h11.SEND_BODY, h11.ERROR):
             self._linger()
         elif self._transport is not None:
             self._transport.close()
 
     def _linger(self) -> None:
-        """Let the caller read the answer before the unread request resets it."""
+        """Close the sending side now and the connection after ``LINGER_SECONDS``.
+
+        The rest of the request is read and discarded meanwhile: closing with unread
+        bytes would reset the connection, and the caller could lose the answer.
+        """
         self._discarding = True
         transport = self._transport
         if transport is None:
             return
         self._body_paused = False
-        self._ahead_paused = False
+        self._pipeline_paused = False
         self._apply_pauses()
         if transport.can_write_eof():
             transport.write_eof()
         asyncio.get_running_loop().call_later(LINGER_SECONDS, transport.close)
 
     def _refuse(self, problem: HeadProblem) -> None:
-        """Answer a malformed request and close; what was begun of it is given up.
+        """Answer a malformed request with an error and close, aborting its call if any.
 
-        Behind requests without answer it waits until those are answered.
+        While earlier requests are unanswered, a request with a malformed head is left
+        alone and parsed again after their answers. If the body of a started request is
+        malformed while earlier requests are unanswered, or after the head of its answer
+        was sent, the connection is aborted.
         """
         current = self._current
         if self._exchanges and current is None:
             return
         if current is not None and (len(self._exchanges) > 1 or current.head_sent):
-            self.broken_off()
+            self.abort_connection()
             return
         outcome = b"not-run" if current is None else b"unknown"
-        self._give_up_exchanges()
+        self._abort_exchanges()
         http = h11.Connection(h11.SERVER)
         body = self._owner.request_refused(problem)
         headers = [
@@ -372,10 +386,10 @@
         answer += http.send(h11.EndOfMessage()) or b""
         if self._transport is not None:
             self._transport.write(answer)
-        self._held = b""
+        self._unparsed = b""
         self._linger()
 
-    def _give_up_exchanges(self) -> None:
+    def _abort_exchanges(self) -> None:
         exchanges = list(self._exchanges)
         self._exchanges.clear()
         self._current = None
@@ -388,7 +402,7 @@
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        if self._body_paused or self._ahead_paused:
+        if self._body_paused or self._pipeline_paused:
             transport.pause_reading()
         else:
             transport.resume_reading()
--- a/src/peppershore/connection/identity.py
+++ b/src/peppershore/connection/identity.py
@@ -1,9 +1,8 @@
-"""Who a process is, as its certificate says: ``peppershore://CLUSTER/ROLE/NAME``.
+"""Identity of a process in its certificate: ``peppershore://CLUSTER/ROLE/NAME``.
 
-A node's identity also fixes its scope:
-``peppershore://CLUSTER/node/SERVICE/ZONE/NAME``, so that no node can ask for
-the configuration and the secrets of another service.  It stands as a URI in
-the certificate's subject alternative names.
+The identity is a URI among the certificate's subject alternative names. A node's
+identity also includes its scope, ``peppershore://CLUSTER/node/SERVICE/ZONE/NAME``, so that
+no node can request the configuration and the secrets of another service.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class PeerIdentity(msgspec.Struct, frozen=True):
-    """The identity of one process or operator; service and zone only for nodes."""
+    """Identity of one process or operator; only nodes have a service and a zone."""
 
     cluster: str
     role: str
@@ -31,13 +30,13 @@
 
 
 class IdentityProblem(msgspec.Struct, frozen=True):
-    """Why a text is no identity."""
+    """Why a text is not a valid identity."""
 
     reason: str
 
 
 def format_identity(identity: PeerIdentity) -> str:
-    """Give the URI of an identity."""
+    """Return the URI of an identity."""
     parts = [identity.cluster, identity.role]
     if identity.role == NODE_ROLE:
         parts += [identity.service, identity.zone]
@@ -46,7 +45,7 @@
 
 
 def parse_identity(uri: str) -> Result[PeerIdentity, IdentityProblem]:
-    """Read the URI of an identity."""
+    """Parse the URI of an identity."""
     if not uri.startswith(SCHEME):
         return Failure(IdentityProblem(f"does not begin with {SCHEME}"))
     parts = [unquote(part) for part in uri.removeprefix(SCHEME).split("/")]
--- a/src/peppershore/connection/link.py
+++ b/src/peppershore/connection/link.py
@@ -1,7 +1,7 @@
-"""One TCP (or TLS) link between two processes of the system, on asyncio.
+"""One TCP or TLS link between two processes of the system, on asyncio.
 
-A link carries whole messages both ways.  A frame or message that can't be
-decoded closes the link with a reason; the process goes on.
+A link carries messages in both directions. A frame or message that can't be decoded
+closes the link with a reason; the process continues.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from peppershore.connection.codec import decode_message
 from peppershore.connection.framing import HEADER_BYTES, FrameReader
 from peppershore.connection.messages.base import Message
-from peppershore.connection.silence import end_when_silent
+from peppershore.connection.silence import close_when_silent
 from peppershore.connection.tls_admission import TlsAdmission
 from peppershore.connection.traffic import TRAFFIC, message_tag
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""A machine that is cut off says nothing: a new attempt soon after it is back is worth
-more than an old one whose first packet was lost."""
+"""Time-out of a connection attempt. A machine that is cut off gives no reply; a new attempt
+soon after it is reachable again succeeds sooner than one whose first packet was lost."""
 
 MAX_QUEUED_BYTES = 128 * 1024 * 1024
 FLUSH_SECONDS = 5.0
-"""A closed link that has not sent what was queued by then is cut."""
+"""Time a closed link has to send its queued bytes before it is aborted."""
 LISTEN_BACKLOG = 4_096
 
 MessageSink = Callable[[Message, int], None]
@@ -35,7 +35,7 @@
 
 
 class Link(asyncio.Protocol):
-    """An open link.  Messages wait until ``start`` names who takes them."""
+    """An open link; received messages are buffered until ``start`` sets their receiver."""
 
     def __init__(self, on_open: Callable[[Link], None]) -> None:
         """Call ``on_open`` once the transport is connected."""
@@ -46,12 +46,12 @@
         self._transport: asyncio.Transport | None = None
         self._on_message: MessageSink | None = None
         self._on_closed: CloseSink | None = None
-        self._early: list[bytes] = []
+        self._undelivered: list[bytes] = []
         self._closed_reason: str | None = None
-        self._cut_timer: asyncio.TimerHandle | None = None
+        self._abort_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; learn who the peer is."""
+        """Store the transport, its peer's identity, and set the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         peer = transport.get_extra_info("peername")
@@ -60,40 +60,40 @@
         raw = transport.get_extra_info("socket")
         if raw is not None:
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            end_when_silent(raw)
+            close_when_silent(raw)
         self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the received bytes into messages and hand them on."""
+        """Split the received bytes into messages and deliver them."""
         if self._on_message is None:
-            self._early.append(data)
+            self._undelivered.append(data)
             return
-        self._take(data)
+        self._read_frames(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner once that the link is gone."""
-        if self._cut_timer is not None:
-            self._cut_timer.cancel()
+        """Notify the owner, once, that the link is closed."""
+        if self._abort_timer is not None:
+            self._abort_timer.cancel()
         self._finish(str(exc) if exc else "closed by peer")
 
     def start(self, on_message: MessageSink, on_closed: CloseSink) -> None:
-        """Begin handing on messages, first those that came early."""
+        """Start delivering messages, first those that were already received."""
         self._on_message = on_message
         self._on_closed = on_closed
-        early = self._early
-        self._early = []
+        early = self._undelivered
+        self._undelivered = []
         for data in early:
-            self._take(data)
+            self._read_frames(data)
         if self._closed_reason is not None:
             on_closed(self._closed_reason)
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait because the peer does not read."""
+        """Number of bytes queued for sending because the peer does not read them."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
     def send(self, payload: bytes) -> int:
-        """Queue one payload; give the bytes put on the wire (0 if closing)."""
+        """Queue one payload; return its size on the wire in bytes (0 if closing)."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return 0
@@ -106,27 +106,28 @@
         return octets
 
     def close(self) -> None:
-        """Send what is queued, then close; the owner hears nothing more.
+        """Send what is queued, then close; the owner gets no more callbacks.
 
-        A peer that stands still keeps nothing queued here for longer than the bound.
+        If the peer does not read, the link is aborted after ``FLUSH_SECONDS``, so queued
+        bytes take memory no longer than that.
         """
         self._on_closed = None
         self._on_message = None
-        if self._transport is None or self._cut_timer is not None:
+        if self._transport is None or self._abort_timer is not None:
             return
         self._transport.close()
         loop = asyncio.get_running_loop()
-        self._cut_timer = loop.call_later(FLUSH_SECONDS, self._transport.abort)
+        self._abort_timer = loop.call_later(FLUSH_SECONDS, self._transport.abort)
 
-    def _take(self, data: bytes) -> None:
+    def _read_frames(self, data: bytes) -> None:
         cut = self._reader.feed(data)
         if isinstance(cut, Failure):
             self._abort(repr(cut.failure()))
             return
         for payload in cut.unwrap():
-            self._hand_on(payload)
+            self._deliver(payload)
 
-    def _hand_on(self, payload: bytes) -> None:
+    def _deliver(self, payload: bytes) -> None:
         if self._on_message is None:
             return
         octets = len(payload) + HEADER_BYTES
@@ -159,20 +160,20 @@
     def __init__(
         self, on_accepted: Callable[[Link], None], tls: ssl.SSLContext | None
     ) -> None:
-        """Hand every accepted link to ``on_accepted``."""
+        """Pass every accepted link to ``on_accepted``."""
         self._on_accepted = on_accepted
         self._admission = None if tls is None else TlsAdmission(tls, self._link)
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; port 0 takes a free one.  Gives the port bound."""
+        """Listen and return the bound port; port 0 chooses a free one."""
         loop = asyncio.get_running_loop()
-        make = self._link if self._admission is None else self._admission.arriving
+        make = self._link if self._admission is None else self._admission.initial_protocol
         self._server = await loop.create_server(make, host, port, backlog=LISTEN_BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop accepting; open links stay."""
+        """Stop accepting links; open ones stay open."""
         if self._server is not None:
             self._server.close()
         if self._admission is not None:
@@ -180,7 +181,7 @@
 
     @property
     def refused_handshakes(self) -> int:
-        """Connections refused because too many handshakes were under way."""
+        """Number of connections refused because too many handshakes were in progress."""
         return 0 if self._admission is None else self._admission.refused
 
     def _link(self) -> asyncio.Protocol:
@@ -188,7 +189,7 @@
 
 
 async def open_link(address: str, tls: ssl.SSLContext | None) -> Link | str:
-    """Connect to "IP:port"; give the link or the reason it can't be had."""
+    """Connect to "IP:port"; return the link, or the reason for the failure."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
@@ -206,7 +207,7 @@
 
 
 def connection_problem(problem: Exception) -> str:
-    """Say in words why a connection could not be had."""
+    """Describe, for log lines and operators, why a connection could not be opened."""
     if isinstance(problem, ssl.SSLCertVerificationError):
         return f"its certificate is refused: {problem.verify_message}"
     if isinstance(problem, ssl.SSLError):
@@ -219,7 +220,7 @@
 
 
 def _identity(transport: asyncio.BaseTransport) -> str:
-    """Give the URI in the peer's certificate, which ``identity`` can read."""
+    """Return the URI in the peer's certificate (see ``identity``), or "" without one."""
     certificate = transport.get_extra_info("peercert")
     if not certificate:
         return ""
--- a/src/peppershore/connection/messages/__init__.py
+++ b/src/peppershore/connection/messages/__init__.py
@@ -1,7 +1,7 @@
-"""Typed messages on the links between the system's own processes, by who speaks.
+"""Typed messages on the links between the system's own processes, by sender.
 
 One frame carries one message, encoded as a MessagePack array whose first item
-is the integer tag.  Tags are never reused.  Ranges: 1-19 ``session``, 20-39 ``node``,
+is the integer tag. Tags are never reused. Ranges: 1-19 ``session``, 20-39 ``node``,
 40-49 ``endpoints``, 50-69 ``relay``, 70-89 ``consensus``, 90-119 ``operators``,
 120-139 ``claims``, 140-159 ``calls``, 160-169 ``crashes``.
 """
--- a/src/peppershore/connection/messages/base.py
+++ b/src/peppershore/connection/messages/base.py
@@ -11,5 +11,5 @@
     """Base of every message."""
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the lengths of byte strings, not their content."""
         return describe(self)
--- a/src/peppershore/connection/messages/calls.py
+++ b/src/peppershore/connection/messages/calls.py
@@ -1,4 +1,4 @@
-"""Messages between the nodes on the way of a call."""
+"""Messages between the node of a caller and the node of a back end, about calls."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 from peppershore.connection.messages.base import Message
 
 HeaderFields = list[tuple[bytes, bytes]]
-"""HTTP header fields: lower-case name, value; order kept."""
+"""HTTP header fields as pairs of lower-case name and value, in the order received."""
 
 
 STREAM_WINDOW_BYTES = 256 * 1024
-"""Body bytes that may be under way on one stream in one direction."""
+"""Body bytes that may be in transit on one stream in one direction."""
 
 MICROSECONDS = 1_000_000
 UNBOUNDED_PATIENCE = -1
-"""Of ``CallStarted``: it may wait until its deadline."""
+"""``CallStarted.patience_milliseconds`` of a call that may wait until its deadline."""
 
 
 class OwnerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Calls at a back end and waiting for it, and its slots, as its own node counts.
-
-    ``work_microseconds``: how long it works on a call of the route that this is told
-    for, as a mean over all callers; 0 if that is not known yet.
-    ``pace_percent``: how long work takes at the back end's machine now, 100 as usual, as
-    the back end said ``pace_age_milliseconds`` ago (-1: never).
-    ``link_wait_milliseconds``: for how long one more large answer would wait for the
-    link of the back end's node, and be on its way.
+    """Load of a back end as counted by its local node.
+
+    ``running`` calls are at the back end, ``waiting`` ones are queued for it, and it has
+    ``slots``. ``work_microseconds`` is its mean service time, over all callers, for a
+    call of the route that this report is for; 0 while unknown.
+    ``pace_percent`` is the pace: the current service time at the back end's machine
+    relative to the usual one (100 is usual, 200 twice as long), as the back end reported
+    ``pace_age_milliseconds`` ago (-1: never).
+    ``link_wait_milliseconds`` is the time that one more large answer would take to wait
+    for the network link of the back end's node and be transmitted.
     """
 
     running: int
@@ -39,12 +41,12 @@
 
     @property
     def work_seconds(self) -> float:
-        """How long it works on a call of that route; 0 if that is not known yet."""
+        """Mean service time of a call of the route in seconds; 0 while unknown."""
         return self.work_microseconds / MICROSECONDS
 
 
 class CallLinkHello(Message, frozen=True, tag=140):
-    """First message of a node that will send calls to a back end's own node."""
+    """First message of a node that will send calls to a back end's local node."""
 
     cluster: str
     node: str
@@ -54,18 +56,21 @@
 class CallStarted(Message, frozen=True, tag=141):
     """A call for the receiver's back end; ``stream`` is never reused on a link.
 
-    ``content_length`` -1 means a body of unknown length; ``data`` is its first
-    piece.  ``deadline_milliseconds`` is what remains.  ``service`` is whose back end
-    is meant ("" for any); ``priority`` 0 goes first.  Without ``may_wait`` the call is
-    refused where no slot is free; else it waits for ``patience_milliseconds`` at most.
-    ``is_client_retry``: it was refused before, and goes after those that were not.
-    ``route`` is the name of its route, by which its work is estimated.
-    ``body_on_credit``: its body follows only once the receiver has given credit, which
-    it does when the back end takes the call; where it ``takes_room``, the receiver takes
-    in only a few of those at a time.  ``identity``: see ``request.fingerprint``.
-    ``tenant``: on whose behalf it is made; "" where there are none.  ``answer_is_large``:
-    its answer takes room on the link of the back end's node, and should be through within
-    ``due_milliseconds``; ``answer_window`` bytes of it may be under way (0: the usual).
+    ``content_length`` -1 means a body of unknown length; ``data`` is the first chunk of
+    the body. ``deadline_milliseconds`` is the time remaining until the deadline.
+    ``service`` is the service whose back end is addressed ("" for any). ``priority`` 0
+    is the highest. Without ``may_wait`` the call is refused if no slot is free; otherwise
+    it waits in the queue for at most ``patience_milliseconds``. ``is_client_retry`` marks
+    a call that was refused before; it is queued after those that were not. ``route`` is
+    the name of its route, by which its service time is estimated.
+
+    ``body_on_credit``: the body follows only after the receiver has granted credit, which
+    it does when the back end accepts the call. If the call also ``takes_room``, the
+    receiver accepts only a few such bodies at a time. ``identity``: see
+    ``request.fingerprint``. ``tenant`` is the tenant on whose behalf the call is made, ""
+    without tenants. ``answer_is_large``: the answer needs capacity on the network link of
+    the back end's node and should be transferred completely within ``due_milliseconds``;
+    ``answer_window`` bytes of it may be in transit (0: the default).
     """
 
     stream: int
@@ -96,7 +101,7 @@
 
 
 class CallBody(Message, frozen=True, tag=142):
-    """More of a call's body."""
+    """The next chunk of a call's body."""
 
     stream: int
     data: bytes
@@ -105,20 +110,20 @@
 
 
 class CallCancelled(Message, frozen=True, tag=143):
-    """The caller gave the call up; whatever comes of it is discarded."""
+    """The caller abandoned the call; any result of it is discarded."""
 
     stream: int
 
 
 class CallCredit(Message, frozen=True, tag=144):
-    """The sender of this can take so many more body bytes on the stream."""
+    """Flow control: the sender of this message accepts ``octets`` more body bytes."""
 
     stream: int
     octets: int
 
 
 class CallAnswered(Message, frozen=True, tag=145):
-    """The head of the back end's answer and the first piece of its body."""
+    """The head of the back end's answer and the first chunk of its body."""
 
     stream: int
     status: int
@@ -133,7 +138,7 @@
 
 
 class CallAnswerBody(Message, frozen=True, tag=146):
-    """More of an answer's body."""
+    """The next chunk of an answer's body."""
 
     stream: int
     data: bytes
@@ -142,7 +147,10 @@
 
 
 class CallNotRun(Message, frozen=True, tag=147):
-    """The call is not run: the back end never saw it, or refused it (``offered``)."""
+    """The call was not run: it never reached the back end, or was refused by it.
+
+    ``offered`` is true if the back end refused it.
+    """
 
     stream: int
     status: int
@@ -154,7 +162,7 @@
 
 
 class CallUnknown(Message, frozen=True, tag=148):
-    """The call was sent to the back end and no whole answer came."""
+    """The call was sent to the back end, but no complete answer was received."""
 
     stream: int
     status: int
@@ -162,9 +170,9 @@
 
 
 class SlotsAsked(Message, frozen=True, tag=149):
-    """A node asks to hold this many slots of the receiver's back end itself.
+    """Request for a loan of ``wanted`` slots of the receiver's back end.
 
-    ``number`` grows with every ask on a link.
+    ``number`` increases with every request on a link.
     """
 
     number: int
@@ -172,10 +180,10 @@
 
 
 class SlotsLent(Message, frozen=True, tag=150):
-    """The receiver may have ``slots`` calls at the back end by the direct way.
+    """Loan: the receiver may have ``slots`` calls that it sends directly to the back end.
 
-    Replaces the grant before.  ``number`` is that of the ask; the loan ends
-    ``lease_milliseconds`` after that ask was sent, unless asked for again.
+    Replaces the previous loan. ``number`` is that of the request; the loan expires
+    ``lease_milliseconds`` after that request was sent, unless requested again.
     """
 
     number: int
@@ -184,25 +192,28 @@
 
 
 class SlotsReturned(Message, frozen=True, tag=151):
-    """Under grant ``number`` the node keeps no more than ``kept`` slots."""
+    """The borrower keeps at most ``kept`` slots of loan ``number`` and returns the rest."""
 
     number: int
     kept: int
 
 
 class CallLinkProbe(Message, frozen=True, tag=152):
-    """Asks the back end's own node whether it is there: it answers at once."""
+    """Liveness probe of the back end's local node, which replies at once."""
 
     number: int
 
 
 class CallLinkAlive(Message, frozen=True, tag=153):
-    """The answer to a probe."""
+    """Reply to a ``CallLinkProbe``."""
 
     number: int
 
 
 class CallPacked(Message, frozen=True, tag=154):
-    """One message of this link, as the next piece of its packed stream."""
+    """One message, compressed as the next chunk of this link's stream.
+
+    See ``head_packing``.
+    """
 
     packed: bytes
--- a/src/peppershore/connection/messages/claims.py
+++ b/src/peppershore/connection/messages/claims.py
@@ -11,10 +11,10 @@
 
 
 class ClaimRequest(Message, frozen=True, tag=120):
-    """Ask to be the one attempt that may run the call named ``key``.
+    """Request to be the only attempt that may run the call with idempotency key ``key``.
 
-    ``attempt`` names the asking attempt; asking again with it gives the first
-    answer again.
+    ``attempt`` names the requesting attempt; a repeated request with the same name
+    receives the first reply again.
     """
 
     request: int
@@ -23,9 +23,9 @@
 
 
 class ClaimGranted(Message, frozen=True, tag=121):
-    """The attempt holds the claim; a quorum has it on disk.
+    """The attempt holds the claim, which a quorum has written to disk.
 
-    ``horizon_seconds`` is for how long the group keeps records at least.
+    ``horizon_seconds`` is the minimum time for which the group retains records.
     """
 
     request: int
@@ -33,21 +33,21 @@
 
 
 class KeptAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """An answer kept for callers that send the same call again."""
+    """An answer stored for callers that retry the same call."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the lengths of byte strings, not their content."""
         return describe(self)
 
 
 class ClaimTaken(Message, frozen=True, tag=122):
     """Another attempt holds the claim.
 
-    ``answer`` is its answer where that is kept; None means the outcome is not known.
+    ``answer`` is its stored answer; None means that its outcome is unknown.
     """
 
     request: int
@@ -63,7 +63,7 @@
 
 
 class ClaimCompleted(Message, frozen=True, tag=124):
-    """Keep the answer of a finished attempt; ``answer`` None if it is too large."""
+    """Request to store the answer of a finished attempt; None if it is too large."""
 
     request: int
     key: str
@@ -72,7 +72,7 @@
 
 
 class ClaimReleased(Message, frozen=True, tag=125):
-    """The attempt provably did not run: the call may be claimed again."""
+    """Release of a claim whose attempt provably did not run; it may be claimed again."""
 
     request: int
     key: str
@@ -80,6 +80,6 @@
 
 
 class ClaimNoted(Message, frozen=True, tag=126):
-    """A completion or release is on disk at a quorum."""
+    """A quorum has written a ``ClaimCompleted`` or ``ClaimReleased`` to disk."""
 
     request: int
--- a/src/peppershore/connection/messages/consensus.py
+++ b/src/peppershore/connection/messages/consensus.py
@@ -12,7 +12,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry means to the consensus core itself."""
+    """Type of a log entry, as the consensus core distinguishes it."""
 
     EMPTY = 0
     COMMAND = 1
@@ -28,16 +28,16 @@
     payload: bytes
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the lengths of byte strings, not their content."""
         return describe(self)
 
 
 class ReplicaMember(msgspec.Struct, frozen=True, array_like=True, order=True):
     """A member of a consensus group.
 
-    ``identity`` is the random number its store was made with: a blank disk under
-    the same name has another one and is another member.  A learner (``voter``
-    false) receives the log and is counted in no quorum.
+    ``identity`` is a random number that was generated with the member's store: a replica
+    with the same name but a blank disk has a different one and is a different member.
+    A learner (``voter`` false) receives the log but is not counted in any quorum.
     """
 
     name: str
@@ -53,10 +53,10 @@
 
 
 class ReplicaHello(Message, frozen=True, tag=70):
-    """First message between two replicas, and its answer.
+    """First message between two replicas, and the reply to it.
 
-    ``group_id`` 0 means that the store of the sender is blank.  ``not_leading``: the
-    sender did not lead its group at that moment.
+    ``group_id`` 0 means that the store of the sender is blank. ``not_leading``: the
+    sender was not the leader of its group when it sent this.
     """
 
     cluster: str
@@ -67,9 +67,9 @@
 
 
 class VoteRequest(Message, frozen=True, tag=71):
-    """Ask for a vote in ``term``; a pre-vote changes nothing at the receiver.
+    """Request for a vote in ``term``; a pre-vote changes no state at the receiver.
 
-    ``transfer``: the leader asked for this election, so its lease is given up.
+    ``transfer``: the leader requested this election and so no longer holds its lease.
     """
 
     term: int
@@ -80,7 +80,7 @@
 
 
 class VoteReply(Message, frozen=True, tag=72):
-    """Answer to a ``VoteRequest``; a granted pre-vote repeats the asked term."""
+    """Reply to a ``VoteRequest``; a granted pre-vote repeats the requested term."""
 
     term: int
     granted: bool
@@ -88,7 +88,7 @@
 
 
 class AppendRequest(Message, frozen=True, tag=73):
-    """Entries that follow ``previous_index``; without entries a heartbeat."""
+    """Log entries that follow ``previous_index``; a heartbeat if there are none."""
 
     term: int
     previous_index: int
@@ -99,8 +99,11 @@
 
 
 class AppendReply(Message, frozen=True, tag=74):
-    """``last_index`` is durable and equal to the leader's log if ``accepted``,
-    else the highest index at which the receiver may agree."""
+    """Reply to an ``AppendRequest``.
+
+    If ``accepted``, the receiver's log up to ``last_index`` is durable and equal to the
+    leader's; otherwise ``last_index`` is the highest index at which they may agree.
+    """
 
     term: int
     accepted: bool
@@ -109,7 +112,7 @@
 
 
 class SnapshotChunk(Message, frozen=True, tag=75):
-    """A piece of the state at ``index``, for a replica that lacks compacted entries."""
+    """A chunk of the snapshot at ``index``, for a replica that lacks compacted entries."""
 
     term: int
     index: int
@@ -131,19 +134,22 @@
 
 
 class ElectNow(Message, frozen=True, tag=77):
-    """The leader of ``term`` hands over: campaign at once."""
+    """Leadership transfer by the leader of ``term``: the receiver starts an election."""
 
     term: int
 
 
 class ReadIndexRequest(Message, frozen=True, tag=78):
-    """A follower asks the leader which index a read must have applied."""
+    """Request of a follower to the leader for the index that a read must have applied."""
 
     request: int
 
 
 class ReadIndexReply(Message, frozen=True, tag=79):
-    """A quorum confirmed ``index`` after the request came, or nobody did."""
+    """Reply to a ``ReadIndexRequest``.
+
+    ``confirmed``: a quorum confirmed ``index`` after the request was received.
+    """
 
     request: int
     index: int
@@ -151,23 +157,23 @@
 
 
 class ProgressShared(Message, frozen=True, tag=80):
-    """A replica passes a relay's report on to the leader."""
+    """A relay's report, forwarded by a replica to the leader."""
 
     report: ProgressReported
     age_milliseconds: int
 
 
 class GroupDescribed(Message, frozen=True, tag=81):
-    """Answer to the hello of a replica that is no member: who the members are."""
+    """Reply to the hello of a replica that is not a member: the current members."""
 
     members: tuple[ReplicaMember, ...]
 
 
 class ProgressTableShared(Message, frozen=True, tag=82):
-    """The leader tells what it knows of all relays; of each, only a few nodes by name."""
+    """The leader's progress reports of all relays, each listing only a few nodes."""
 
     shared: tuple[ProgressShared, ...]
 
 
 class ProgressWanted(Message, frozen=True, tag=83):
-    """A replica at which operators watch asks the leader to be told of changes soon."""
+    """Request to the leader, by a replica that operators watch, for prompt updates."""
--- a/src/peppershore/connection/messages/crashes.py
+++ b/src/peppershore/connection/messages/crashes.py
@@ -1,4 +1,7 @@
-"""Messages about requests under which back ends ended: nodes, relays, and back."""
+"""Messages about requests during which back ends crashed.
+
+Nodes send them to relays, relays to each other and back to nodes.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,13 @@
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One request and the lives of back ends that ended under it.
+    """One request and the incarnations of back ends that crashed while running it.
 
-    ``identity`` is the digest of its head, ``key`` that of all of it
-    (``request.fingerprint``).  A higher ``generation`` replaces a lower one, with all lives
-    that it names; of one generation lives add up.  ``age_milliseconds`` counts from the
-    last end.
+    ``identity`` is the digest of the request's head, ``key`` that of the complete request
+    (see ``request.fingerprint``). ``lives`` names the incarnations. A record of a higher
+    ``generation`` replaces one of a lower generation together with its ``lives``; records
+    of the same generation are merged by the union of their ``lives``.
+    ``age_milliseconds`` is the time since the last crash.
     """
 
     identity: bytes
@@ -24,17 +28,17 @@
     age_milliseconds: int
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the lengths of byte strings, not their content."""
         return describe(self)
 
 
 class CrashesTold(Message, frozen=True, tag=160):
-    """What the sender knows of these requests."""
+    """Crash records known to the sender."""
 
     records: tuple[CrashRecord, ...]
 
 
 class CrashesDigest(Message, frozen=True, tag=161):
-    """Anti-entropy between relays: digest of all that the sender knows."""
+    """Anti-entropy between relays: digest of all crash records known to the sender."""
 
     digest: int
--- a/src/peppershore/connection/messages/endpoints.py
+++ b/src/peppershore/connection/messages/endpoints.py
@@ -1,4 +1,7 @@
-"""Messages about back ends that are there: nodes to relays, relays to relays and nodes."""
+"""Messages about the existing back ends (endpoints).
+
+Nodes send them to relays, relays to each other and to nodes.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +10,22 @@
 from peppershore.connection.messages.base import Message
 
 NEVER_CONFIRMED_MILLISECONDS = 2**31 - 1
-"""In place of the age of a relay's confirmation: there was none yet."""
+"""Age of a relay's confirmation that stands for "never confirmed"."""
 
 WARMING_NOT_TOLD = -1
-"""In place of a back end's warming: it does not say."""
+"""Value of ``Endpoint.warming_milliseconds`` if the back end does not report it."""
 
 
 class Endpoint(msgspec.Struct, frozen=True, array_like=True):
-    """One back end, as its own node reports it.
-
-    Ordered by (incarnation, sequence) of its owner: a higher pair replaces a
-    lower one whatever link it came on.  ``state``: "warming", "ready",
-    "leaving", "gone".  ``address`` is the back end ("IP:port");
-    ``owner_address`` its node's internal listener.  ``warming_milliseconds`` is for
-    how much longer it was slow when it began to be ready.  ``version`` is that of its
-    software, "" untold; ``born`` is when its life began (Unix milliseconds, 0 untold).
+    """One back end, as reported by its local node (its owner).
+
+    Reports are ordered by (``incarnation``, ``sequence``) of the owner: a higher pair
+    replaces a lower one, whichever link it arrives on. ``state`` is "warming", "ready",
+    "leaving" or "gone". ``address`` is the back end's address ("IP:port") and
+    ``owner_address`` that of its node's internal listener. ``warming_milliseconds`` is
+    how long the back end was still slow after it became ready. ``version`` is the version
+    of its software ("" if not reported); ``born`` is the start of its incarnation (Unix
+    time in milliseconds, 0 if not reported).
     """
 
     node: str
@@ -40,16 +44,16 @@
 
 
 class EndpointAnnounced(Message, frozen=True, tag=40):
-    """A node reports its back end's state to its relay."""
+    """A node's report of its back end's state to its relay."""
 
     endpoint: Endpoint
 
 
 class EndpointsChanged(Message, frozen=True, tag=41):
-    """Endpoints that changed, to nodes that may call them and between relays.
+    """Changed endpoints, sent to nodes that may call them and between relays.
 
-    ``complete``: the list replaces all that the receiver knew of ``services``
-    (empty: of every service).
+    ``complete``: the list replaces all endpoints of ``services`` that the receiver knows
+    (empty: of all services).
     """
 
     endpoints: tuple[Endpoint, ...]
@@ -58,13 +62,13 @@
 
 
 class EndpointsPacked(Message, frozen=True, tag=47):
-    """``EndpointsChanged`` as nodes are told of it, packed by ``endpoint_packing``."""
+    """``EndpointsChanged`` as sent to nodes, compressed by ``endpoint_packing``."""
 
     packed: bytes
 
 
 class RelayHello(Message, frozen=True, tag=42):
-    """First message between two relays, and its answer."""
+    """First message between two relays, and the reply to it."""
 
     cluster: str
     relay: str
@@ -73,13 +77,13 @@
 
 
 class EndpointDigest(Message, frozen=True, tag=43):
-    """Anti-entropy: digest of the endpoints the sender vouches for.
+    """Anti-entropy: digest of the endpoints whose liveness the sender confirms.
 
-    ``total`` is that of all; ``buckets``, into which nodes fall by name, come where the
-    receiver asked for them or the link is new.  ``hears`` names the relays the sender
-    has heard within the lease; None: as it said before.
-    ``confirmed_age_milliseconds`` says how long ago a quorum confirmed the sender's
-    version; the default stands for never.
+    ``total`` is the digest of all of them. ``buckets`` are the digests of groups of nodes,
+    formed by node name; they are sent if the receiver requested them or the link is new.
+    ``hears`` names the relays that the sender received messages from within the lease;
+    None means unchanged. ``confirmed_age_milliseconds`` is the time since a quorum
+    confirmed the sender's version; the default stands for never.
     """
 
     total: int
@@ -89,19 +93,19 @@
 
 
 class EndpointDigestWanted(Message, frozen=True, tag=48):
-    """Anti-entropy: the total differs; send the digest with its buckets."""
+    """Anti-entropy: request for the digest with its buckets, because the total differs."""
 
 
 class EndpointBucketsWanted(Message, frozen=True, tag=44):
-    """Anti-entropy: send the endpoints in these buckets."""
+    """Anti-entropy: request for the endpoints in these buckets."""
 
     buckets: tuple[int, ...]
 
 
 class LeaseRenewed(Message, frozen=True, tag=45):
-    """A relay vouches for its live sessions' endpoints in ``buckets``.
+    """A relay's confirmation that endpoints in ``buckets`` with a live session are alive.
 
-    Nodes of those buckets that are not named are no longer vouched for.
+    It covers ``nodes_alive``; the confirmation of other nodes of these buckets ends.
     """
 
     relay: str
@@ -110,6 +114,6 @@
 
 
 class EndpointsHeld(Message, frozen=True, tag=46):
-    """A node's digest of the endpoints it holds; the relay sends them if it differs."""
+    """A node's digest of its endpoints; the relay sends them if its own differs."""
 
     digest: int
--- a/src/peppershore/connection/messages/node.py
+++ b/src/peppershore/connection/messages/node.py
@@ -1,4 +1,4 @@
-"""Messages between a relay and its nodes: configuration and its confirmation."""
+"""Messages between a relay and its nodes: configuration updates and confirmations."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class NodeHello(Message, frozen=True, tag=20):
-    """A node's first message: who it is and what it holds.
+    """First message of a node: its identity and the configuration it holds.
 
-    ``floor`` is the highest version it ever held, from its disk; ``digest`` 0
-    means it holds nothing.  ``sent_at_milliseconds`` is the node's own monotonic time:
-    the relay tells confirmations by that clock, so that no way counts as fresh.
+    ``floor`` is the highest version that the node ever held, read from its disk;
+    ``digest`` 0 means that it holds none. ``sent_at_milliseconds`` is the node's own
+    monotonic time: the relay expresses the times of confirmations by that clock, so that
+    time spent on the network path does not make a configuration appear fresher.
     """
 
     cluster: str
@@ -27,11 +28,11 @@
 
 
 class Current(Message, frozen=True, tag=21):
-    """What has this digest is right up to ``version``: nothing to send.
+    """A configuration with this digest is current up to ``version``: no update is needed.
 
-    It names the digest because it can cross an update from another relay.
-    ``confirmed_at_milliseconds``: a quorum confirmed that no earlier than at this time
-    of the node's own clock; None for never.
+    The digest is included because this message can arrive concurrently with an update
+    from another relay. A quorum confirmed the version no earlier than at
+    ``confirmed_at_milliseconds`` of the node's own clock; None for never.
     """
 
     version: Version
@@ -40,7 +41,7 @@
 
 
 class UpdateOffered(Message, frozen=True, tag=22):
-    """New state for the node's scope, packed by ``update_packing``.
+    """New configuration for the node's scope, compressed by ``update_packing``.
 
     A quorum confirmed the version no earlier than at ``confirmed_at_milliseconds`` of
     the node's own clock; None for never.
@@ -51,25 +52,27 @@
 
 
 class UpdateApplied(Message, frozen=True, tag=23):
-    """The node holds and uses ``version``."""
+    """Confirmation that the node holds and uses ``version``."""
 
     version: Version
     digest: Digest
 
 
 class UpdateRefused(Message, frozen=True, tag=24):
-    """The node kept what it had; the relay answers with full state."""
+    """The node rejected an update and kept its configuration; the relay replies with the
+    complete configuration."""
 
     version: Version
     reason: str
 
 
 class Freshness(Message, frozen=True, tag=25):
-    """Heartbeat of a relay: highest version this node has, in effect, and since when.
+    """Heartbeat of a relay: the version up to which the node is current, and since when.
 
-    ``confirmed_at_milliseconds``, by the node's own clock, stands still while the relay
-    is cut off from the quorum.  What has this digest is right up to the version; 0 while
-    the relay has more for the node or does not know what it holds.
+    ``confirmed_at_milliseconds``, by the node's own clock, does not advance while the
+    relay is cut off from the quorum. A configuration with this ``digest`` is current up to
+    ``version``; the digest is 0 while the relay has an update for the node or does not
+    know what the node holds.
     """
 
     version: Version
@@ -78,9 +81,9 @@
 
 
 class NodeAlive(Message, frozen=True, tag=26):
-    """Heartbeat of a node, in answer to ``Freshness``: the version in effect.
+    """Heartbeat of a node in reply to ``Freshness``: the version that it uses.
 
-    ``sent_at_milliseconds`` is its own monotonic time, as in its hello.
+    ``sent_at_milliseconds`` is the node's own monotonic time, as in ``NodeHello``.
     """
 
     version: Version
@@ -88,7 +91,7 @@
 
 
 class RelayListed(msgspec.Struct, frozen=True, array_like=True):
-    """A relay that nodes may use; ``zone`` is empty while it is not known."""
+    """A relay that nodes may connect to; ``zone`` is empty while unknown."""
 
     name: str
     zone: str
@@ -96,6 +99,6 @@
 
 
 class RelaysListed(Message, frozen=True, tag=27):
-    """A relay tells its nodes which relays there are, itself included."""
+    """All relays known to the sending relay, itself included, for its nodes."""
 
     relays: tuple[RelayListed, ...]
--- a/src/peppershore/connection/messages/operators.py
+++ b/src/peppershore/connection/messages/operators.py
@@ -1,4 +1,4 @@
-"""Messages between an operator's commands and the control replicas."""
+"""Messages between operator commands and the control replicas."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class SubmitEdit(Message, frozen=True, tag=90):
-    """An operator's edit."""
+    """Submission of an operator's edit."""
 
     edit: Edit
 
 
 class EditAnswered(Message, frozen=True, tag=91):
-    """The outcome of a submitted edit."""
+    """Outcome of a submitted edit."""
 
     outcome: EditOutcome
 
 
 class NotLeader(Message, frozen=True, tag=92):
-    """This replica can't answer; ``leader`` is an address or empty if unknown.
+    """This replica can't answer; ``leader`` is the leader's address, empty if unknown.
 
-    ``undecided``: the edit was proposed and may still be accepted; the sender
-    learns its outcome by sending it again with the same change id.
+    ``undecided``: the edit was proposed and may still be accepted; the sender learns the
+    outcome by retrying it with the same change id.
     """
 
     leader: str
@@ -33,37 +33,37 @@
 
 
 class TreeQuery(Message, frozen=True, tag=93):
-    """Ask for the tree at a version (0: the newest, confirmed by a quorum)."""
+    """Request for the configuration tree at a version (0: the newest, quorum-confirmed)."""
 
     version: Version = 0
 
 
 class TreeAnswered(Message, frozen=True, tag=94):
-    """The tree asked for."""
+    """The requested configuration tree."""
 
     tree: Tree
 
 
 class HistoryQuery(Message, frozen=True, tag=95):
-    """Ask for the accepted edits after a version, newest last."""
+    """Request for at most ``limit`` accepted edits after a version, newest last."""
 
     after_version: Version
     limit: int
 
 
 class HistoryAnswered(Message, frozen=True, tag=96):
-    """Accepted edits; ``first_version`` is the oldest kept."""
+    """Accepted edits; ``first_version`` is the oldest version that is retained."""
 
     edits: tuple[CommittedEdit, ...]
     first_version: Version
 
 
 class StatusQuery(Message, frozen=True, tag=97):
-    """Ask for the state of the replicas, the relays and the rollout."""
+    """Request for the state of the replicas, the relays and the roll-out."""
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One replica as the answering replica sees it."""
+    """State of one replica as observed by the answering replica."""
 
     replica: str
     address: str
@@ -74,9 +74,10 @@
 
 
 class RelayStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One relay as the control group sees it.
+    """State of one relay as known to the control group.
 
-    ``settled``: as in ``ProgressReported``; while false, ``in_force`` does not rise.
+    ``settled`` is as in ``ProgressReported``; while it is false, ``in_force`` does not
+    increase.
     """
 
     relay: str
@@ -93,7 +94,8 @@
 class StatusAnswered(Message, frozen=True, tag=98):
     """State of the cluster; ``in_force`` is the minimum over the live relays.
 
-    It is 0 while ``relays_awaited``, which other relays name, have not reported.
+    It is 0 while ``relays_awaited`` is not empty: relays that other relays name but that
+    have not reported yet.
     """
 
     cluster: str
@@ -108,13 +110,13 @@
 
 
 class WatchRequest(Message, frozen=True, tag=99):
-    """Ask for a ``StatusAnswered`` at every change of progress until in force."""
+    """Request for a ``StatusAnswered`` at every progress until ``version`` is in force."""
 
     version: Version
 
 
 class MembershipChange(Message, frozen=True, tag=100):
-    """Add (as a learner, then voter) or remove a replica."""
+    """Request to add a replica (first as a learner, then as a voter) or to remove it."""
 
     action: str
     replica: str
@@ -128,15 +130,16 @@
 
 
 class TenantUsageQuery(Message, frozen=True, tag=102):
-    """Ask the leader how tenants use their limits."""
+    """Request to the leader for the usage of tenants' limits."""
 
 
 class TenantUsage(msgspec.Struct, frozen=True, array_like=True):
-    """One tenant with a limit: ``rate_per_second`` calls, and ``burst`` on top.
+    """Usage of one tenant whose limit is ``rate_per_second`` calls plus ``burst``.
 
-    ``used_per_second``: calls granted in the last whole window.  ``admitted`` calls were
-    granted since this leader began, ``refused`` ones refused by the limit, as far as nodes
-    told by now.  ``is_binding``: the limit refused calls in the last seconds.
+    ``used_per_second``: rate of calls granted in the last complete window. Since this
+    leader took over, ``admitted`` calls were granted and ``refused`` calls were refused
+    by the limit, as far as nodes have reported. ``is_binding``: the limit refused calls in
+    the last seconds.
     """
 
     tenant: str
@@ -149,7 +152,7 @@
 
 
 class TenantUsageAnswered(Message, frozen=True, tag=103):
-    """The leader's counts of ``seconds``; not ``is_counted``: no limit is counted here."""
+    """The leader's counts over ``seconds``; without ``is_counted`` it counts no limits."""
 
     replica: str
     is_counted: bool
--- a/src/peppershore/connection/messages/quotas.py
+++ b/src/peppershore/connection/messages/quotas.py
@@ -1,8 +1,8 @@
-"""Messages by which calls of tenants that have a limit are granted.
+"""Messages that grant calls to tenants that have a limit.
 
-Grants go down from the leader to relays and on to nodes, in answer to asks.  What was
-granted and not used ends by itself: a grant counts for a bounded time from the moment at
-which it was asked for, by the clock of whoever asked.
+In reply to requests, the leader grants calls to relays, and relays to nodes. A grant that
+is not used expires by itself: it is valid for a bounded time from the moment of the
+request, by the clock of the requester.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 
 
 class TenantAsk(msgspec.Struct, frozen=True, array_like=True):
-    """So many calls of one tenant are wanted.
+    """Request for ``calls`` calls of one tenant.
 
-    ``refused``: calls that its limit refused since the ask before; only counted.
+    ``refused`` is the number of calls that the tenant's limit refused since the previous
+    request; it is used for statistics only.
     """
 
     tenant: str
@@ -24,11 +25,11 @@
 
 
 class TenantGrant(msgspec.Struct, frozen=True, array_like=True):
-    """So many calls of one tenant may be made.
+    """Grant of ``calls`` calls of one tenant.
 
-    ``wait_milliseconds``: where fewer were granted than asked for, the limit gives one
-    more after so long; 0 where nothing is missing.  ``ahead``: so many calls may a relay
-    give before it asks for them, see ``QuotaGranted.epoch``.
+    ``wait_milliseconds``: if fewer calls were granted than requested, the time until the
+    limit allows one more; 0 if all were granted. ``ahead`` is the number of calls that a
+    relay may grant before it requests them; see ``QuotaGranted.epoch``.
     """
 
     tenant: str
@@ -38,9 +39,10 @@
 
 
 class QuotaAsked(Message, frozen=True, tag=170):
-    """A node asks its relay, or a relay the group; ``number`` grows in a process's life.
+    """Request of a node to its relay, or of a relay to the control group.
 
-    ``life`` tells the lives of a relay's process apart; a node's is 0.
+    ``number`` increases during the lifetime of the requesting process. ``life``
+    identifies the incarnation of a relay's process; it is 0 for a node.
     """
 
     number: int
@@ -49,11 +51,11 @@
 
 
 class QuotaGranted(Message, frozen=True, tag=171):
-    """The answer to the ask of that number.
+    """Reply to the request with this ``number``.
 
-    The grants end ``lease_milliseconds`` after that ask was sent.  ``is_known`` is false
-    where nobody can prove a turn to grant: nothing is granted then.  What was told of
-    ``ahead`` counts as long as answers bear the same ``epoch``.
+    The grants expire ``lease_milliseconds`` after that request was sent. ``is_known`` is
+    false if no replica can prove that it is entitled to grant; nothing is granted then.
+    The last received ``TenantGrant.ahead`` is valid while replies have the same ``epoch``.
     """
 
     number: int
@@ -64,9 +66,9 @@
 
 
 class QuotaForwarded(Message, frozen=True, tag=172):
-    """A replica passes an ask of a relay that follows it on to the leader.
+    """A relay's request, forwarded to the leader by the replica that the relay follows.
 
-    ``relay`` names one life of a relay.
+    ``relay`` names one incarnation of a relay.
     """
 
     relay: str
@@ -75,7 +77,7 @@
 
 
 class QuotaReturned(Message, frozen=True, tag=173):
-    """The leader's answer to a forwarded ask, for that relay."""
+    """The leader's reply to a forwarded request of ``relay``."""
 
     relay: str
     granted: QuotaGranted
--- a/src/peppershore/connection/messages/relay.py
+++ b/src/peppershore/connection/messages/relay.py
@@ -9,7 +9,7 @@
 
 
 class FollowRequest(Message, frozen=True, tag=50):
-    """A relay asks for all committed edits after ``after_version``."""
+    """Request of a relay for all committed edits after ``after_version``."""
 
     cluster: str
     relay: str
@@ -18,7 +18,7 @@
 
 
 class TreeState(Message, frozen=True, tag=51):
-    """The whole tree, for a relay that is too far behind the log."""
+    """The complete tree, for a relay that needs edits older than the retained log."""
 
     tree: Tree
 
@@ -37,7 +37,7 @@
 
 
 class ConfirmRequest(Message, frozen=True, tag=53):
-    """Ask which version a quorum confirms now (a read index)."""
+    """Request for the version that a quorum now confirms (a read index)."""
 
     nonce: int
 
@@ -50,7 +50,7 @@
 
 
 class LaggingNode(msgspec.Struct, frozen=True, array_like=True):
-    """A node that does not yet hold all of its scope, and why."""
+    """A node that does not yet hold the complete state of its scope, and the reason."""
 
     node: str
     service: str
@@ -60,16 +60,17 @@
 
 
 class ProgressReported(Message, frozen=True, tag=55):
-    """A relay's progress: every session holds all changes up to ``in_force``.
+    """A relay's progress: all nodes connected to it hold all changes up to ``in_force``.
 
-    ``lagging`` is a bounded sample; ``control_bytes`` counts what the relay
-    sent to nodes since it started; ``nodes_by_service`` is not included here.
+    ``lagging`` is a bounded sample. ``control_bytes`` is the number of bytes that the
+    relay sent to nodes since it started. ``nodes_by_service`` is not included here.
 
-    ``incarnation`` names this life of the relay, without order; ``number`` counts
-    its reports.  ``settled``: every node that the relay had in a former life, or
-    before a pause, came back somewhere or counts as gone.  ``relays`` are this one
-    and those it hears.  ``silent`` are nodes that left without a word and lack a
-    change, the furthest behind first: a bounded sample, for rotations of secrets.
+    ``incarnation`` identifies the relay's process; incarnations have no order. ``number``
+    counts its reports. ``settled``: every node that was connected to the relay in a former
+    incarnation, or before a suspension, has reconnected to some relay or counts as gone.
+    ``relays`` are this relay and those it receives messages from. ``silent`` is a bounded
+    sample of nodes that disconnected without notice and lack a change, the furthest
+    behind first; it is used for rotations of secrets.
     """
 
     relay: str
--- a/src/peppershore/connection/messages/rollouts.py
+++ b/src/peppershore/connection/messages/rollouts.py
@@ -1,8 +1,8 @@
-"""Messages that carry what back ends of a service under roll-out showed.
+"""Messages with the call results of back ends during a roll-out of their service.
 
-From the node beside a back end to its relay, to the replica that this follows, to the
-leader.  Counts grow from the begin of the roll-out, so that a lost or late message only
-delays what the next one tells as well.
+The node next to a back end sends them to its relay, the relay to the replica that it
+follows, and the replica to the leader. Counts are cumulative since the start of the
+roll-out, so a lost or late message only delays information that the next one repeats.
 """
 
 from __future__ import annotations
@@ -13,10 +13,9 @@
 
 
 class RouteEvidence(msgspec.Struct, frozen=True, array_like=True):
-    """What calls of one route came to at one back end.
+    """Results of the calls of one route at one back end.
 
-    ``times`` are pairs of a bucket of ``request.version_evidence`` and a count, one
-    after the other.
+    ``times`` alternates between a bucket of ``request.version_evidence`` and its count.
     """
 
     route: str
@@ -26,10 +25,11 @@
 
 
 class BackEndEvidence(msgspec.Struct, frozen=True, array_like=True):
-    """All that one back end showed since a roll-out of its service began.
+    """Call results of one back end since a roll-out of its service started.
 
-    ``began_milliseconds`` names the roll-out, ``version`` is the software the back end
-    runs; (``incarnation``, ``number``) orders what one node tells.
+    ``began_milliseconds``, the start of the roll-out, identifies it. ``version`` is the
+    version of the back end's software. (``incarnation``, ``number``) orders the reports
+    of one node.
     """
 
     node: str
@@ -42,18 +42,18 @@
 
 
 class EvidenceTold(Message, frozen=True, tag=28):
-    """A node tells its relay."""
+    """Report of a node to its relay."""
 
     evidence: BackEndEvidence
 
 
 class EvidenceShared(Message, frozen=True, tag=56):
-    """A relay tells the replica that it follows."""
+    """Report forwarded by a relay to the replica that it follows."""
 
     evidence: BackEndEvidence
 
 
 class EvidencePassed(Message, frozen=True, tag=84):
-    """A replica tells the leader."""
+    """Report forwarded by a replica to the leader."""
 
     evidence: BackEndEvidence
--- a/src/peppershore/connection/messages/session.py
+++ b/src/peppershore/connection/messages/session.py
@@ -1,27 +1,30 @@
-"""Messages of every link: refusals, waits and planned ends."""
+"""Messages used on every link: refusal, retry delay and planned close."""
 
 from __future__ import annotations
 
 from peppershore.connection.messages.base import Message
 
 CUT_OFF = "cut off from the control replicas"
-"""Reason of a relay that goes on serving those that find no fresher one."""
+"""Reason in ``Goodbye`` of a relay that has lost contact with the control replicas.
+
+It still serves nodes that find no relay with a fresher configuration.
+"""
 
 
 class Refused(Message, frozen=True, tag=1):
-    """The peer will not serve this link; ``reason`` is a stable word."""
+    """The peer does not serve this link; ``reason`` is a stable value."""
 
     reason: str
     detail: str = ""
 
 
 class RetryAfter(Message, frozen=True, tag=2):
-    """Admission control: come back after so many milliseconds."""
+    """Admission control: the receiver should reconnect after ``milliseconds``."""
 
     milliseconds: int
 
 
 class Goodbye(Message, frozen=True, tag=3):
-    """A planned end of this link; the peer should move to another process."""
+    """Planned close of this link; the peer should connect to another process."""
 
     reason: str
--- a/src/peppershore/connection/packing.py
+++ b/src/peppershore/connection/packing.py
@@ -1,7 +1,7 @@
-"""Bytes packed for the wire: Zstandard with a dictionary that both ends know.
+"""Compression for the wire: Zstandard, with a dictionary known to both ends.
 
-Small messages of the same kind look much like each other, so they shrink mainly
-by their dictionary.
+Small messages of the same kind resemble each other, so the dictionary gives most of the
+saving.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 from returns.result import Failure, Result, Success
 
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 COMPRESSION_LEVEL = 9
 
 BLOCK_LEVEL = 1
-"""Of blocks: names of routes are random, so that more effort saves little."""
+"""Compression level of blocks: route names are random, so a higher level saves little."""
 
-BLOCK_FROM_BYTES = 512
-"""Below it a block is left as it is: packing would save less than its own frame."""
+MIN_BLOCK_BYTES = 512
+"""Smaller blocks stay uncompressed: compression would save less than its frame costs."""
 
 BLOCK_MARK = zstandard.FRAME_HEADER
-"""First bytes of a packed block; a MessagePack list or map never begins with them."""
+"""First bytes of a compressed block; no MessagePack list or map begins with them."""
 
 
 class UnusablePacking(msgspec.Struct, frozen=True):
-    """Bytes are not packed as they should be; ``reason`` says where it goes wrong."""
+    """Packed bytes that can't be unpacked or decoded; ``reason`` says why."""
 
     reason: str
 
 
 class DictionaryPacker:
-    """Packs with one dictionary, which is part of the protocol: it never changes."""
+    """Compresses with a dictionary, which is part of the protocol and never changes."""
 
     def __init__(self, dictionary: bytes) -> None:
-        """Use ``dictionary``, its most frequent content last."""
+        """Use ``dictionary``, which holds its most frequent content last."""
         shared = zstandard.ZstdCompressionDict(
             dictionary, dict_type=zstandard.DICT_TYPE_RAWCONTENT
         )
@@ -53,34 +53,38 @@
         )
 
     def pack(self, content: bytes) -> bytes:
-        """Give the packed bytes."""
+        """Return the compressed bytes."""
         return self._compressor.compress(content)
 
     def unpack(self, packed: bytes) -> Result[bytes, UnusablePacking]:
-        """Give the content piece by piece, or why there is none; never too much."""
-        pieces: list[bytes] = []
+        """Return the decompressed content; fail if invalid or above the size limit.
+
+        The content is read in chunks, so that a small input can't expand to more than
+        ``MAX_UNPACKED_BYTES`` in memory.
+        """
+        chunks: list[bytes] = []
         total = 0
         try:
             with self._decompressor.stream_reader(packed) as reader:
-                while piece := reader.read(PIECE_BYTES):
-                    total += len(piece)
+                while chunk := reader.read(CHUNK_BYTES):
+                    total += len(chunk)
                     if total > MAX_UNPACKED_BYTES:
                         return Failure(UnusablePacking(f"above {MAX_UNPACKED_BYTES} bytes"))
-                    pieces.append(piece)
+                    chunks.append(chunk)
         except zstandard.ZstdError as problem:
             return Failure(UnusablePacking(str(problem)))
-        return Success(b"".join(pieces))
+        return Success(b"".join(chunks))
 
 
 def pack_block(content: bytes) -> bytes:
-    """Pack MessagePack of this program's own if that is worth it."""
-    if len(content) < BLOCK_FROM_BYTES:
+    """Compress MessagePack written by this program if it is large enough to gain."""
+    if len(content) < MIN_BLOCK_BYTES:
         return content
     return zstandard.ZstdCompressor(level=BLOCK_LEVEL).compress(content)
 
 
 def unpack_block(block: bytes) -> bytes:
-    """Give what ``pack_block`` was given; the block must be this program's own."""
+    """Reverse ``pack_block``; the block must come from this program."""
     if not block.startswith(BLOCK_MARK):
         return block
     return zstandard.ZstdDecompressor().decompress(block)
--- a/src/peppershore/connection/server_exchange.py
+++ b/src/peppershore/connection/server_exchange.py
@@ -17,57 +17,60 @@
 
 
 class RequestSink(Protocol):
-    """Takes what follows a request's head.
+    """Receiver of what follows a request's head.
 
-    What is at hand of the body comes before ``start``, so that a small request
-    leaves in one piece.
+    The part of the body that was already received is delivered before ``start``, so that
+    a small request can be sent to the back end with one write.
     """
 
     def start(self) -> None:
-        """Begin the call."""
+        """Start the call."""
 
     def body_received(self, data: bytes) -> None:
-        """Take a piece of the request's body."""
+        """Handle a chunk of the request's body."""
 
     def body_ended(self, trailers: HeaderList) -> None:
-        """The request is whole."""
+        """Handle the end of a complete request."""
 
     def caller_gone(self) -> None:
-        """The caller left, or broke its request; nothing can be answered."""
+        """Stop the call: the caller disconnected or its request is malformed.
+
+        No answer can be sent.
+        """
 
     def writing_paused(self) -> None:
-        """The caller reads slowly: give no more answer bytes for now."""
+        """Stop sending answer bytes for now: the caller reads slowly."""
 
     def writing_resumed(self) -> None:
-        """The caller caught up."""
+        """Continue sending answer bytes: the caller has caught up."""
 
 
 class ExchangeOwner(Protocol):
-    """The connection of an exchange, as the exchange needs it."""
+    """Operations that an exchange needs of its connection."""
 
     def has_output(self, exchange: ServerExchange) -> None:
-        """Write what is queued, if it is this exchange's turn."""
+        """Write the queued bytes of an exchange if its answer is next in order."""
 
     def answered(self, exchange: ServerExchange) -> None:
-        """The answer is whole."""
+        """Finish an exchange whose answer is complete."""
 
-    def broken_off(self) -> None:
-        """Cut the connection."""
+    def abort_connection(self) -> None:
+        """Abort the connection."""
 
     def must_close_after(self, exchange: ServerExchange) -> bool:
-        """Whether the caller should send nothing more behind this answer."""
+        """Report whether the connection must close after this answer."""
 
     def pause_body(self, exchange: ServerExchange) -> None:
-        """Read no more of this request's body for now."""
+        """Pause reading this request's body."""
 
     def resume_body(self, exchange: ServerExchange) -> None:
-        """Go on reading this request's body."""
+        """Resume reading this request's body."""
 
 
 class ServerExchange:
-    """One request and its answer; writes after its end go nowhere.
+    """One request and its answer; writes after its end are ignored.
 
-    The answer's bytes are queued here until those before it are written.
+    The bytes of the answer are queued here until all earlier answers are written.
     """
 
     __slots__ = (
@@ -81,7 +84,7 @@
     )
 
     def __init__(self, owner: ExchangeOwner, http: h11.Connection) -> None:
-        """``http`` has parsed the request's head, and frames the answer."""
+        """Use ``http``, which has parsed the request's head, to frame the answer."""
         self._owner: ExchangeOwner | None = owner
         self.http = http
         self.sink: RequestSink | None = None
@@ -92,28 +95,28 @@
 
     @property
     def live(self) -> bool:
-        """Whether an answer can still reach the caller."""
+        """Whether an answer can still be sent to the caller."""
         return self._owner is not None
 
     @property
-    def request_whole(self) -> bool:
-        """Whether all of the request was read."""
+    def request_complete(self) -> bool:
+        """Whether the complete request was read."""
         return self.http.their_state in (h11.DONE, h11.MUST_CLOSE)
 
     @property
-    def may_be_followed(self) -> bool:
+    def can_continue(self) -> bool:
         """Whether the connection can carry another request after this answer."""
         return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
     def send_continue(self) -> None:
-        """Tell a caller that waits for it to send its body."""
+        """Send "100 Continue" if the caller waits for it before sending its body."""
         if self._owner is not None and self.http.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
             self._queue(self.http.send(response))
             self._owner.has_output(self)
 
     def send_head(self, head: AnswerHead) -> None:
-        """Begin the answer."""
+        """Queue the head of the answer."""
         owner = self._owner
         if owner is None:
             return
@@ -123,22 +126,22 @@
             headers.append((b"content-length", b"%d" % head.content_length))
         elif head.has_body:
             headers.append((b"transfer-encoding", b"chunked"))
-        if not self.request_whole or owner.must_close_after(self):
+        if not self.request_complete or owner.must_close_after(self):
             headers.append((b"connection", b"close"))
         self._send(answer_event(head, headers))
 
     def send_data(self, data: bytes) -> None:
-        """Give a piece of the answer's body."""
+        """Queue a chunk of the answer's body."""
         if self._owner is not None:
             self._send(h11.Data(data=data))
 
     def flush(self) -> None:
-        """Write what was given so far, if it is this answer's turn."""
+        """Write the queued bytes if this answer is next in order."""
         if self._owner is not None:
             self._owner.has_output(self)
 
     def send_end(self, trailers: HeaderList) -> None:
-        """The answer is whole."""
+        """Queue the end of the answer, which completes the exchange."""
         owner = self._owner
         if owner is None:
             return
@@ -150,30 +153,30 @@
             owner.answered(self)
 
     def abort(self) -> None:
-        """Cut the connection, so that the caller sees the answer is not whole."""
+        """Abort the connection, so that the caller sees that the answer is incomplete."""
         owner = self._owner
         if owner is not None:
-            owner.broken_off()
+            owner.abort_connection()
 
     def pause_body(self) -> None:
-        """Stop reading the request's body."""
+        """Pause reading the request's body."""
         if self._owner is not None:
             self._owner.pause_body(self)
 
     def resume_body(self) -> None:
-        """Go on reading the request's body."""
+        """Resume reading the request's body."""
         if self._owner is not None:
             self._owner.resume_body(self)
 
     def detach(self) -> RequestSink | None:
-        """The connection is gone; give who has to hear of it."""
+        """Detach from a closed connection; return the sink to notify, or None."""
         sink = self.sink
         self._owner = None
         self.sink = None
         return None if self.ended else sink
 
     def _send(self, event: h11.Event) -> bool:
-        """Queue a part of the answer; one that can't be sent as HTTP breaks it off."""
+        """Queue a part of the answer; abort if it can't be sent as HTTP."""
         try:
             self._queue(self.http.send(event))
         except h11.LocalProtocolError:
--- a/src/peppershore/connection/silence.py
+++ b/src/peppershore/connection/silence.py
@@ -1,44 +1,47 @@
-"""Ends TCP connections whose other end has fallen silent without a reset.
+"""Detection of TCP connections whose peer has become unreachable without a reset.
 
-Behind a cut, or where a machine on the way forgot the connection, nothing says that it is
-dead: what is sent stays unacknowledged, and new connections may work all the while.  The
-operating system finds out by probes while nothing is on its way, and by a bound on what
-stays unacknowledged; the connection then ends like one that was reset.
+If the network path is interrupted, or a machine on the path lost the connection's state,
+nothing reports that the connection is dead: sent data stays unacknowledged, although new
+connections may work. The operating system detects this by keep-alive probes on an idle
+connection and by a time-out on unacknowledged data; it then closes the connection as if
+it had been reset.
 """
 
 from __future__ import annotations
 
 import socket
 
-LINK_SILENT_SECONDS = 2
-"""Between processes of the system: three packets lost in a row, or a queue of a second on
-a narrow link, are no silence yet; a voter silent for so long is replaced."""
+LINK_TIMEOUT_SECONDS = 2
+"""Time-out on unacknowledged data of links between processes of the system. It tolerates
+three packets lost in a row, or a queue of one second on a narrow link; a voter that is
+silent for this long is replaced."""
 
 PROBE_SECONDS = 1
-"""A connection at rest is probed so often: the least that the system takes."""
+"""Interval of probes on an idle connection; the operating system allows no less."""
 
-UNANSWERED_PROBES = 2
-"""One lost probe is no silence."""
+MAX_UNANSWERED_PROBES = 2
+"""Unanswered probes after which a connection is closed; one lost probe is tolerated."""
 
 MILLISECONDS = 1_000
 
 
-def probe_at_rest(connection: socket.socket) -> None:
-    """Have the system end a connection that leaves probes unanswered.
+def enable_keep_alive(connection: socket.socket) -> None:
+    """Have the operating system close the connection if its probes stay unanswered.
 
-    A peer that reads slowly answers them, for as long as it likes.
+    A peer that reads slowly still answers probes, so its connection stays open.
     """
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, UNANSWERED_PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_UNANSWERED_PROBES)
 
 
-def end_when_silent(connection: socket.socket) -> None:
-    """Have the system end a connection that takes nothing for the bound of links.
+def close_when_silent(connection: socket.socket) -> None:
+    """Have the operating system close a link whose sent data stays unacknowledged.
 
-    Its peer always reads what comes: one that does not is taken as gone.
+    The bound is ``LINK_TIMEOUT_SECONDS``. The peer of a link always reads what it
+    receives, so one that does not is treated as dead.
     """
-    probe_at_rest(connection)
-    bound = LINK_SILENT_SECONDS * MILLISECONDS
+    enable_keep_alive(connection)
+    bound = LINK_TIMEOUT_SECONDS * MILLISECONDS
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, bound)
--- a/src/peppershore/connection/tls.py
+++ b/src/peppershore/connection/tls.py
@@ -1,9 +1,9 @@
 """Mutual TLS between the system's processes, from PEM files.
 
-Both sides show a certificate of the site's authority.  Addresses are plain IP
-numbers, so that a peer is known by the identity in its certificate and not by
-a host name.  Files that changed on disk are read again without a restart: the
-context uses the new certificate for the links made after that.
+Both sides present a certificate issued by the site's authority. Addresses are plain IP
+addresses, so a peer is identified by the identity in its certificate and not by a host
+name. Files that changed on disk are reloaded without a restart; the new certificate is
+used for links opened after that.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class TlsPaths(msgspec.Struct, frozen=True):
-    """The PEM files of one process; certificate and key may be one file."""
+    """Paths of the PEM files of one process; certificate and key may be in one file."""
 
     certificate: str
     key: str
@@ -24,7 +24,7 @@
 
 
 class FileStamp(msgspec.Struct, frozen=True):
-    """What tells one content of a file from the next."""
+    """File attributes by which a changed file is recognized."""
 
     modified_nanoseconds: int
     size: int
@@ -32,21 +32,21 @@
 
 
 class Reload(msgspec.Struct, frozen=True):
-    """What a look at the files gave; ``failure`` says why they can't be used."""
+    """Result of checking the files; ``failure`` says why changed files can't be used."""
 
     reloaded: bool = False
     failure: str = ""
 
 
 class ReloadingContext:
-    """An ``ssl.SSLContext`` that follows its files.
+    """An ``ssl.SSLContext`` that can be reloaded from its files.
 
-    New files are tried on a scratch context first, so that a pair that does
-    not fit together leaves the context in use as it was.
+    New files are first loaded into a temporary context, so that a key that does not
+    match its certificate leaves the context in use unchanged.
     """
 
     def __init__(self, paths: TlsPaths, protocol: ssl._SSLMethod) -> None:
-        """Read the files; raises OSError, ValueError or ssl.SSLError if unusable."""
+        """Load the files; raise OSError, ValueError or ssl.SSLError if unusable."""
         self._paths = paths
         self._protocol = protocol
         self._stamps = _stamps(paths)
@@ -58,7 +58,7 @@
         self.expires_unix_seconds = _expiry(paths)
 
     def reload_if_changed(self) -> Reload:
-        """Read the files again if they changed."""
+        """Reload the files if they changed; keep the current ones if they are unusable."""
         try:
             stamps = _stamps(self._paths)
             if stamps == self._stamps:
@@ -78,12 +78,12 @@
 
 
 def client_context(paths: TlsPaths) -> ReloadingContext:
-    """Give the context for links this process opens."""
+    """Create the context for links that this process opens."""
     return ReloadingContext(paths, ssl.PROTOCOL_TLS_CLIENT)
 
 
 def server_context(paths: TlsPaths) -> ReloadingContext:
-    """Give the context for links this process accepts."""
+    """Create the context for links that this process accepts."""
     return ReloadingContext(paths, ssl.PROTOCOL_TLS_SERVER)
 
 
@@ -99,5 +99,5 @@
 
 
 def _stamp(path: str) -> FileStamp:
-    facts = os.stat(path)
-    return FileStamp(facts.st_mtime_ns, facts.st_size, facts.st_ino)
+    status = os.stat(path)
+    return FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/src/peppershore/connection/tls_admission.py
+++ b/src/peppershore/connection/tls_admission.py
@@ -1,9 +1,9 @@
-"""TLS handshakes of accepted connections: only so many at a time.
+"""Limit on concurrent TLS handshakes of accepted connections.
 
-A handshake costs milliseconds of processor time.  If a herd began thousands at
-once, each would take longer than its peer waits, and all of that work would be
-lost.  What is too much is refused at once, before it costs anything; peers come
-back after a wait at random.
+A handshake costs milliseconds of processor time. If a reconnect storm started thousands
+at once, each would take longer than its peer waits, and all of that work would be lost.
+Connections above the limit are refused at once, before they cost anything; peers retry
+after a random delay.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 
 MAX_HANDSHAKES = 128
 HANDSHAKE_SECONDS = 3.0
-"""A peer that connects gives up after this too."""
+"""Handshake time-out; a connecting peer gives up after the same time."""
 
 MakeProtocol = Callable[[], asyncio.Protocol]
 
 
 class TlsAdmission:
-    """Secures accepted connections; hands each to a protocol of its own."""
+    """Performs the TLS handshake of accepted connections and creates their protocols."""
 
     def __init__(
         self,
         tls: ssl.SSLContext,
         make_protocol: MakeProtocol,
-        most: int = MAX_HANDSHAKES,
+        max_handshakes: int = MAX_HANDSHAKES,
     ) -> None:
-        """Let at most ``most`` handshakes be under way."""
+        """Allow at most ``max_handshakes`` handshakes at a time."""
         self.refused = 0
         self._tls = tls
         self._make_protocol = make_protocol
-        self._most = most
+        self._max_handshakes = max_handshakes
         self._handshakes: set[asyncio.Task[None]] = set()
 
-    def arriving(self) -> asyncio.Protocol:
-        """Give the protocol for a connection that was accepted just now."""
-        return _Arriving(self._arrived)
+    def initial_protocol(self) -> asyncio.Protocol:
+        """Return the initial protocol of a connection that was just accepted."""
+        return _InitialProtocol(self._admit)
 
     def close(self) -> None:
-        """Break off the handshakes under way."""
+        """Cancel the handshakes in progress."""
         for handshake in self._handshakes:
             handshake.cancel()
 
-    def _arrived(self, transport: asyncio.Transport) -> None:
-        if len(self._handshakes) >= self._most:
+    def _admit(self, transport: asyncio.Transport) -> None:
+        if len(self._handshakes) >= self._max_handshakes:
             self.refused += 1
             transport.abort()
             return
@@ -70,13 +70,13 @@
             protocol.connection_made(secured)
 
 
-class _Arriving(asyncio.Protocol):
-    """Reads nothing before the handshake does."""
+class _InitialProtocol(asyncio.Protocol):
+    """Initial protocol that pauses reading, so that the handshake gets all bytes."""
 
-    def __init__(self, on_arrived: Callable[[asyncio.Transport], None]) -> None:
-        self._on_arrived = on_arrived
+    def __init__(self, on_connected: Callable[[asyncio.Transport], None]) -> None:
+        self._on_connected = on_connected
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         transport.pause_reading()
-        self._on_arrived(transport)
+        self._on_connected(transport)
--- a/src/peppershore/connection/update_packing.py
+++ b/src/peppershore/connection/update_packing.py
@@ -1,13 +1,13 @@
-"""Updates packed for the wire: MessagePack, then Zstandard with a dictionary.
+"""Compression of updates for the wire: MessagePack, then Zstandard with a dictionary.
 
-Most updates are one or two resources that look much like any other, so they
-shrink mainly by a dictionary that both ends know.  The dictionary is part of the
-protocol: it must never change.  Another one needs another message tag.
+Most updates are one or two resources that resemble all others, so a dictionary known to
+both ends gives most of the saving. The dictionary is part of the protocol and must never
+change; a different one needs a different message tag.
 
-What the receiver knows or can work out is left out: its scope, the digest it
-holds, and the names of resources, which their payloads hold as well.  An update
-that does not fit what the receiver holds leads to another digest than the one
-it names, and is refused for that.
+Omitted is what the receiver knows or can derive: its scope, the digest it holds, and the
+names of resources, which are also in their payloads. If an update does not match the state
+that the receiver holds, the resulting digest differs from the one in the update, and the
+receiver rejects it.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
     b"\x94\x01\xa6route:\xa0\x9e\xa0\x91\xa3GET\xa0\xcd'\x10\xa6normal\xc2"
     b"\x91\xa8internal\xa6direct\n\x02\xc3\x00\xa0\xce\x00\x10\x00\x00"
 )
-"""Typical resources, the most frequent last."""
+"""Zstandard dictionary: typical resources, the most frequent last."""
 
 
 class _Row(msgspec.Struct, frozen=True, array_like=True):
-    """What is packed of an update; ``changed`` are the payloads of resources."""
+    """Packed content of an update; ``changed`` holds the payloads of resources."""
 
     full: bool
     version: Version
@@ -50,7 +50,7 @@
 
 
 def pack_update(update: Update) -> bytes:
-    """Give the bytes of an update on the wire."""
+    """Compress an update for the wire."""
     payloads = tuple(resource.payload for resource in update.changed)
     row = _Row(update.full, update.version, update.digest, payloads, update.removed)
     return _PACKER.pack(_ENCODER.encode(row))
@@ -59,9 +59,9 @@
 def unpack_update(
     packed: bytes, scope: Scope, held: Digest
 ) -> Result[Update, UnusablePacking]:
-    """Give the update that these bytes mean to a holder of ``held`` in ``scope``.
+    """Restore an update for a receiver in ``scope`` whose state has digest ``held``.
 
-    Fails, with the reason, if the bytes are no packed update.
+    Fail with the reason if the bytes are not a packed update.
     """
     content = _PACKER.unpack(packed)
     if isinstance(content, Failure):
--- a/tests/http/test_http_exchanges.py
+++ b/tests/http/test_http_exchanges.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 seen from both ends of a data plane."""
+"""HTTP/1.1 exchanges between a caller and a back end through one or two nodes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     until,
 )
 
-LARGE = 3 * 1024 * 1024
-HUGE = 1024 * 1024 * 1024
-MOST_BUFFERED = 64 * 1024 * 1024
+LARGE_BODY_BYTES = 3 * 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 
 
 class Stage:
-    """One back end behind one node (direct) or two (owner)."""
+    """A back end called through one node ("direct") or also through its own ("owner")."""
 
     def __init__(self, hop: str) -> None:
         self.backend = ScriptedBackend()
@@ -41,7 +41,7 @@
             await self.owner.start()
             owner_address = self.owner.addresses.internal
         route = msgspec.structs.replace(
-            PUBLIC_ROUTE, hop=self._hop, max_body_bytes=HUGE, **changes
+            PUBLIC_ROUTE, hop=self._hop, max_body_bytes=MAX_BODY_BYTES, **changes
         )
         return await self.edge.start(
             endpoint(address, owner_address=owner_address), route=route
@@ -59,7 +59,7 @@
     return Stage(request.param)
 
 
-async def _ask(stage: Stage, data: bytes, method: str = "GET") -> Answer:
+async def _send_raw(stage: Stage, data: bytes, method: str = "GET") -> Answer:
     caller = await Caller.connect(await stage.start())
     caller.write(data)
     answer = await caller.answer(method)
@@ -71,7 +71,7 @@
     async def scene() -> None:
         data = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n"
         data += b"transfer-encoding: chunked\r\n\r\n0\r\n\r\n"
-        answer = await _ask(stage, data)
+        answer = await _send_raw(stage, data)
         assert (answer.status, answer.outcome) == (400, "not-run")
         assert answer.headers["connection"] == "close"
         assert stage.backend.requests == []
@@ -87,7 +87,7 @@
     async def scene() -> None:
         stage = Stage("direct")
         head = b"POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n"
-        answer = await _ask(stage, head + chunk)
+        answer = await _send_raw(stage, head + chunk)
         assert answer.status in (400, 431) or answer.broken
         assert answer.outcome != "answered"
 
@@ -96,7 +96,7 @@
 
 def test_large_body_passes_both_ways(stage: Stage) -> None:
     async def scene() -> None:
-        body = bytes(range(256)) * (LARGE // 256)
+        body = bytes(range(256)) * (LARGE_BODY_BYTES // 256)
         answer = await call(await stage.start(), method="POST", body=body)
         assert answer.body == b"ok:" + body
         await stage.close()
@@ -114,8 +114,8 @@
         stage.backend.script = chunked
         caller = await Caller.connect(await stage.start())
         caller.write(b"POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n")
-        for piece in (b"abc", b"defg"):
-            caller.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+        for chunk in (b"abc", b"defg"):
+            caller.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             await asyncio.sleep(0.01)
         caller.write(b"0\r\n\r\n")
         raw = await caller.reader.readuntil(b"x-sum: 7\r\n\r\n")
@@ -196,7 +196,7 @@
     async def scene() -> None:
         stage = Stage("direct")
         data = b"POST / HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n"
-        answer = await _ask(stage, data + b"content-length: 99999999999\r\n\r\n")
+        answer = await _send_raw(stage, data + b"content-length: 99999999999\r\n\r\n")
         assert (answer.status, answer.outcome) == (413, "not-run")
 
     run(scene())
@@ -249,7 +249,9 @@
     run(scene())
 
 
-def test_streamed_answer_that_breaks_off_cuts_the_caller(stage: Stage) -> None:
+def test_streamed_answer_that_breaks_off_cuts_the_caller(
+    stage: Stage,
+) -> None:
     async def breaks_off(request: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n")
         await writer.drain()
@@ -291,7 +293,7 @@
     run(scene())
 
 
-def test_slow_reader_holds_the_back_end_back(stage: Stage) -> None:
+def test_slow_caller_applies_back_pressure_to_the_back_end(stage: Stage) -> None:
     written = 0
 
     async def endless(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -313,14 +315,14 @@
             if written == level > 0:
                 break
             level = written
-        assert 0 < written == level < MOST_BUFFERED
+        assert 0 < written == level < MAX_BUFFERED_BYTES
         caller.writer.transport.abort()
         await stage.close()
 
     run(scene())
 
 
-def test_slow_back_end_holds_the_caller_back(stage: Stage) -> None:
+def test_slow_back_end_applies_back_pressure_to_the_caller(stage: Stage) -> None:
     async def never_reads(request: Received, writer: asyncio.StreamWriter) -> None:
         request.reader._transport.pause_reading()
         await asyncio.sleep(60)
@@ -338,14 +340,16 @@
                     caller.write(b"x" * 65_536)
                     sent += 65_536
                 await asyncio.sleep(0.01)
-        assert 0 < sent < MOST_BUFFERED
+        assert 0 < sent < MAX_BUFFERED_BYTES
         caller.writer.transport.abort()
         await stage.close()
 
     run(scene())
 
 
-def test_caller_gone_closes_at_the_back_end_and_frees_the_slot(stage: Stage) -> None:
+def test_caller_gone_closes_at_the_back_end_and_frees_the_slot(
+    stage: Stage,
+) -> None:
     async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.reader.read(1)
         raise ConnectionError
--- a/tests/http/test_request_head.py
+++ b/tests/http/test_request_head.py
@@ -1,4 +1,4 @@
-"""The strict look at a request's raw head."""
+"""Strict checks of a request's raw head."""
 
 from __future__ import annotations
 
@@ -99,10 +99,10 @@
 
 
 @pytest.mark.parametrize("cut", [1, 20, 40])
-def test_a_partial_head_waits(cut: int) -> None:
-    whole = b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\n"
-    assert check_request_head(whole[:cut]) == Success(False)
-    assert check_request_head(whole) == Success(True)
+def test_a_partial_head_is_incomplete(cut: int) -> None:
+    complete = b"POST /pay HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\n"
+    assert check_request_head(complete[:cut]) == Success(False)
+    assert check_request_head(complete) == Success(True)
 
 
 @given(st.binary(max_size=200))
--- a/tests/keys/test_keys.py
+++ b/tests/keys/test_keys.py
@@ -1,4 +1,4 @@
-"""Certificates: made, renewed, listed; TLS contexts follow their files."""
+"""Certificates are created, renewed and listed; TLS contexts reload changed files."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 OPERATOR = PeerIdentity("refund", "operator", "anna")
 
 
-def make(folder: Path, *identities: PeerIdentity) -> None:
+def create_certificates(folder: Path, *identities: PeerIdentity) -> None:
     authority = certificates.make_authority(folder).unwrap()
     for identity in identities:
         certificates.issue(folder, authority, identity, days=30).unwrap()
@@ -50,7 +50,7 @@
 
 
 async def peer_identity(server: ssl.SSLContext, client: ssl.SSLContext) -> str:
-    """Give the client's identity as the server sees it, or why there is no link."""
+    """Return the client's identity as the server sees it, or why there is no link."""
     accepted: asyncio.Queue[Link] = asyncio.Queue()
     listener = LinkListener(accepted.put_nowait, server)
     port = await listener.start("127.0.0.1", 0)
@@ -60,14 +60,14 @@
             return link
         lost: asyncio.Queue[str] = asyncio.Queue()
         link.start(lambda message, _: lost.put_nowait("greeted"), lost.put_nowait)
-        welcome = asyncio.ensure_future(accepted.get())
+        accepting = asyncio.ensure_future(accepted.get())
         ended = asyncio.ensure_future(lost.get())
-        await asyncio.wait({welcome, ended}, return_when=asyncio.FIRST_COMPLETED)
-        if not welcome.done():
+        await asyncio.wait({accepting, ended}, return_when=asyncio.FIRST_COMPLETED)
+        if not accepting.done():
             return ended.result()
-        welcome.result().send(encode_message(Goodbye("test")))
+        accepting.result().send(encode_message(Goodbye("test")))
         assert await ended == "greeted"
-        return welcome.result().peer_identity
+        return accepting.result().peer_identity
     finally:
         await listener.close()
         if isinstance(link, Link):
@@ -75,7 +75,7 @@
 
 
 def test_link_knows_the_identity_in_the_certificate(tmp_path: Path) -> None:
-    make(tmp_path, CONTROL, NODE)
+    create_certificates(tmp_path, CONTROL, NODE)
     seen = asyncio.run(
         peer_identity(
             server_context(paths(tmp_path, "c1")).context,
@@ -86,8 +86,8 @@
 
 
 def test_certificate_of_another_authority_is_refused(tmp_path: Path) -> None:
-    make(tmp_path / "ours", CONTROL)
-    make(tmp_path / "theirs", NODE)
+    create_certificates(tmp_path / "ours", CONTROL)
+    create_certificates(tmp_path / "theirs", NODE)
     foreign = TlsPaths(
         str(tmp_path / "theirs" / "kassa-1.pem"),
         str(tmp_path / "theirs" / "kassa-1.pem"),
@@ -103,7 +103,7 @@
 
 
 def test_renewed_files_are_used_by_new_links_without_restart(tmp_path: Path) -> None:
-    make(tmp_path, CONTROL, NODE)
+    create_certificates(tmp_path, CONTROL, NODE)
     server = server_context(paths(tmp_path, "c1"))
     client = client_context(paths(tmp_path, "kassa-1"))
     assert not client.reload_if_changed().reloaded
@@ -119,7 +119,7 @@
 
 
 def test_damaged_files_leave_the_old_certificate_in_use(tmp_path: Path) -> None:
-    make(tmp_path, CONTROL, NODE)
+    create_certificates(tmp_path, CONTROL, NODE)
     server = server_context(paths(tmp_path, "c1"))
     client = client_context(paths(tmp_path, "kassa-1"))
     (tmp_path / "kassa-1.pem").write_text("damaged")
@@ -129,7 +129,7 @@
 
 
 def test_private_files_are_private_and_renewal_keeps_the_identity(tmp_path: Path) -> None:
-    make(tmp_path, NODE)
+    create_certificates(tmp_path, NODE)
     for name in (AUTHORITY_KEY, "kassa-1.pem"):
         assert stat.S_IMODE(os.stat(tmp_path / name).st_mode) == 0o600
     before = (tmp_path / "kassa-1.pem").read_bytes()
@@ -141,7 +141,7 @@
 
 
 def test_retired_authority_is_no_longer_trusted(tmp_path: Path) -> None:
-    make(tmp_path, CONTROL, NODE)
+    create_certificates(tmp_path, CONTROL, NODE)
     certificates.make_authority(tmp_path).unwrap()
     assert certificates.retire_authorities(tmp_path).unwrap() == 1
     seen = asyncio.run(
@@ -155,7 +155,7 @@
 
 def test_missing_and_damaged_authorities_are_problems(tmp_path: Path) -> None:
     assert isinstance(certificates.load_authority(tmp_path), Failure)
-    make(tmp_path)
+    create_certificates(tmp_path)
     (tmp_path / AUTHORITY_KEY).write_text("damaged")
     assert isinstance(certificates.load_authority(tmp_path), Failure)
     assert isinstance(certificates.read_issued(tmp_path / AUTHORITY_KEY), Failure)
--- a/tests/link/message_strategies.py
+++ b/tests/link/message_strategies.py
@@ -1,4 +1,4 @@
-"""Arbitrary messages of every type, with the integers that a frame can carry."""
+"""Hypothesis strategies for messages of every type, with integers that can be encoded."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def messages_of(kind: type[Message]) -> st.SearchStrategy[Message]:
-    """Give messages of one type; what they hold need not make sense."""
+    """Return a strategy for messages of one type; their content need not be valid."""
     return structures_of(kind)
 
 
@@ -28,7 +28,7 @@
 
 
 def values_of(hint: typing.Any) -> st.SearchStrategy[typing.Any]:
-    """Give values of a type; integers stay within what MessagePack encodes."""
+    """Return a strategy for values of a type; integers stay in the range of MessagePack."""
     if hint is int:
         return INTEGERS
     if hint is str:
--- a/tests/link/silent_peer.py
+++ b/tests/link/silent_peer.py
@@ -1,7 +1,8 @@
-"""Makes one end of an open TCP connection silent for good, without a reset.
+"""Makes one end of an open TCP connection silent permanently, without a reset.
 
-A filter on the socket drops every segment that comes for it, so the other end gets no
-acknowledgement, as behind a cut, while new connections between the two work.
+A filter on the socket drops every segment that it receives, so the other end gets no
+acknowledgement, as after an interruption of the network path, while new connections
+between the two work.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 DROP_ALL = 0
 
 
-def fall_silent(connection: socket.socket) -> None:
-    """Drop all that comes on this connection from now on."""
+def drop_incoming(connection: socket.socket) -> None:
+    """Drop everything that this connection receives from now on."""
     instruction = struct.pack("HBBI", RETURN_CONSTANT, 0, 0, DROP_ALL)
-    kept = ctypes.create_string_buffer(instruction)
-    program = struct.pack("HL", 1, ctypes.addressof(kept))
+    instructions = ctypes.create_string_buffer(instruction)
+    program = struct.pack("HL", 1, ctypes.addressof(instructions))
     connection.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
--- a/tests/link/test_decoders.py
+++ b/tests/link/test_decoders.py
@@ -1,4 +1,4 @@
-"""Frames and messages: what was sent comes back; anything else is a typed error."""
+"""Frames and messages survive a round trip; anything else gives a typed error."""
 
 from __future__ import annotations
 
--- a/tests/link/test_endpoint_packing.py
+++ b/tests/link/test_endpoint_packing.py
@@ -1,4 +1,4 @@
-"""Packed endpoints: whole again after unpacking, an error for anything else."""
+"""Packed endpoints survive a round trip; arbitrary bytes give an error."""
 
 from __future__ import annotations
 
--- a/tests/link/test_head_packing.py
+++ b/tests/link/test_head_packing.py
@@ -1,4 +1,4 @@
-"""Heads on one link are packed as a stream; garbage in it ends the link, no process."""
+"""Heads on one link are compressed as a stream; garbage in it closes the link only."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from peppershore.connection.call_link import CallLink
 from peppershore.connection.codec import encode_message
 from peppershore.connection.head_packing import (
-    MOST_UNPACKED_BYTES,
+    MAX_UNPACKED_BYTES,
     HeadPacker,
     HeadUnpacker,
     is_worth_it,
@@ -63,29 +63,32 @@
     HeadUnpacker().unpack(packed)
 
 
-def test_a_piece_that_grows_without_bound_is_refused() -> None:
-    packed = HeadPacker().pack(b"x" * (2 * MOST_UNPACKED_BYTES))
+def test_a_chunk_that_unpacks_to_too_much_is_refused() -> None:
+    packed = HeadPacker().pack(b"x" * (2 * MAX_UNPACKED_BYTES))
     assert isinstance(HeadUnpacker().unpack(packed), Failure)
 
 
 @pytest.mark.parametrize(
     ("link_megabits", "worth"), [(0.0, False), (1.0, True), (20.0, True), (1_000.0, False)]
 )
-def test_narrow_links_are_worth_it(link_megabits: float, worth: bool) -> None:
+def test_heads_are_packed_on_narrow_links_only(link_megabits: float, worth: bool) -> None:
     assert is_worth_it(link_megabits) == worth
 
 
-async def linked(packs: bool) -> tuple[CallLink, list[Message], list[str], LinkListener]:
-    """Give a link, the calls that its other end heard, and why that ended."""
-    heard: list[Message] = []
-    ends: list[str] = []
+async def connected_links(
+    packs: bool,
+) -> tuple[CallLink, list[Message], list[str], LinkListener]:
+    """Return a link, the messages its other end receives, why that end closes, and the
+    listener."""
+    received: list[Message] = []
+    close_reasons: list[str] = []
 
     def accepted(link: Link) -> None:
         other = CallLink(
             link,
-            lambda _, started: heard.append(started),
-            lambda _, message: heard.append(message),
-            lambda _, reason: ends.append(reason),
+            lambda _, started: received.append(started),
+            lambda _, message: received.append(message),
+            lambda _, reason: close_reasons.append(reason),
             lambda *_: True,
         )
         asyncio.get_running_loop().call_soon(other.start)
@@ -103,40 +106,40 @@
         packs_heads=packs,
     )
     link.start()
-    return link, heard, ends, listener
+    return link, received, close_reasons, listener
 
 
 @pytest.mark.parametrize("packs", [False, True])
 def test_the_other_end_reads_heads_packed_or_not(packs: bool) -> None:
     async def scene() -> None:
-        link, heard, _, listener = await linked(packs)
+        link, received, _, listener = await connected_links(packs)
         sent = [head(number) for number in range(1, 30)]
         for each in sent:
             assert link.send(each)
         async with asyncio.timeout(20):
-            while len(heard) < len(sent):  # noqa: ASYNC110
+            while len(received) < len(sent):  # noqa: ASYNC110
                 await asyncio.sleep(0.002)
-        assert heard == sent
+        assert received == sent
         link.close()
         await listener.close()
 
     asyncio.run(scene())
 
 
-def _twice() -> bytes:
+def _packed_twice() -> bytes:
     inner = encode_message(CallPacked(HeadPacker().pack(encode_message(head(1)))))
     return HeadPacker().pack(inner)
 
 
-@pytest.mark.parametrize("packed", [b"\xff" * 40, _twice()])
-def test_a_bad_piece_ends_the_link(packed: bytes) -> None:
+@pytest.mark.parametrize("packed", [b"\xff" * 40, _packed_twice()])
+def test_an_invalid_chunk_closes_the_link(packed: bytes) -> None:
     async def scene() -> None:
-        link, heard, ends, listener = await linked(packs=False)
+        link, received, close_reasons, listener = await connected_links(packs=False)
         link.send(CallPacked(packed))
         async with asyncio.timeout(20):
-            while not ends:  # noqa: ASYNC110
+            while not close_reasons:  # noqa: ASYNC110
                 await asyncio.sleep(0.002)
-        assert heard == []
+        assert received == []
         link.close()
         await listener.close()
 
--- a/tests/link/test_link.py
+++ b/tests/link/test_link.py
@@ -1,4 +1,4 @@
-"""Links over loopback: messages, bytes that are none, and peers that stand still."""
+"""Links over loopback: messages, undecodable bytes, and peers that do not read."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from peppershore.connection.messages.session import Goodbye
 
 HOST = "127.0.0.1"
-BOUND_SECONDS = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 POLLS = 1_000
 LARGE_BYTES = 32 * 1024 * 1024
 
 
 class Accepting:
-    """A listener that hands over its first link."""
+    """A listener with a queue of its accepted links."""
 
     def __init__(self) -> None:
         self.listener = LinkListener(self._take, None)
@@ -37,18 +37,18 @@
         return await self._links.get()
 
 
-def read_to_the_end(peer: socket.socket) -> int:
-    """Read all there is; give the bytes, also when the link was cut."""
+def count_bytes_until_end(peer: socket.socket) -> int:
+    """Read until the connection ends or is reset; return the number of bytes read."""
     total = 0
     try:
-        while piece := peer.recv(1 << 20):
-            total += len(piece)
+        while chunk := peer.recv(1 << 20):
+            total += len(chunk)
     except ConnectionResetError:
         pass
     return total
 
 
-def test_messages_sent_before_the_start_are_handed_on_in_order() -> None:
+def test_messages_received_before_the_start_are_delivered_in_order() -> None:
     async def check() -> list[Message]:
         accepting = Accepting()
         port = await accepting.start()
@@ -65,7 +65,7 @@
         await accepting.listener.close()
         return received
 
-    received = asyncio.run(asyncio.wait_for(check(), BOUND_SECONDS))
+    received = asyncio.run(asyncio.wait_for(check(), TEST_TIMEOUT_SECONDS))
     assert received == [Goodbye("one"), Goodbye("two")]
 
 
@@ -83,7 +83,7 @@
         await accepting.listener.close()
         return reason
 
-    assert asyncio.run(asyncio.wait_for(check(), BOUND_SECONDS))
+    assert asyncio.run(asyncio.wait_for(check(), TEST_TIMEOUT_SECONDS))
 
 
 def test_a_closed_link_whose_peer_reads_loses_nothing() -> None:
@@ -94,14 +94,14 @@
         accepted = await accepting.link()
         sent = accepted.send(bytes(LARGE_BYTES))
         accepted.close()
-        read = await asyncio.to_thread(read_to_the_end, peer)
+        read = await asyncio.to_thread(count_bytes_until_end, peer)
         await accepting.listener.close()
         return sent - read
 
-    assert asyncio.run(asyncio.wait_for(check(), BOUND_SECONDS)) == 0
+    assert asyncio.run(asyncio.wait_for(check(), TEST_TIMEOUT_SECONDS)) == 0
 
 
-def test_a_closed_link_whose_peer_stands_still_is_cut(
+def test_a_closed_link_whose_peer_does_not_read_is_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(link_module, "FLUSH_SECONDS", 0.05)
@@ -119,8 +119,8 @@
             if not accepted.queued_bytes:
                 break
         assert not accepted.queued_bytes
-        read = await asyncio.to_thread(read_to_the_end, peer)
+        read = await asyncio.to_thread(count_bytes_until_end, peer)
         await accepting.listener.close()
         return read
 
-    assert asyncio.run(asyncio.wait_for(check(), BOUND_SECONDS)) < LARGE_BYTES
+    assert asyncio.run(asyncio.wait_for(check(), TEST_TIMEOUT_SECONDS)) < LARGE_BYTES
--- a/tests/link/test_silent_links.py
+++ b/tests/link/test_silent_links.py
@@ -1,9 +1,9 @@
-"""Connections that fall silent for good, without a reset.
+"""Connections whose peer becomes silent permanently, without a reset, are closed.
 
-Seen by reading, in an incident about versions that came late: the node leaves a silent
-relay by its own clock, but links between replicas and between relays, and connections to
-back ends, had no sign of life.  A replica sent its entries into a silent link for as long
-as it ran, though a new link would have worked at once.
+Guards against a fault by which versions arrived late: a node leaves a silent relay by its
+own time-out, but links between replicas and between relays, and connections to back ends,
+had no liveness check. A replica kept sending its entries into a silent link for as long as
+it ran, although a new link would have worked at once.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import asyncio
 import socket
 
-from tests.link.silent_peer import fall_silent
+from tests.link.silent_peer import drop_incoming
 
 from peppershore.connection.codec import encode_message
 from peppershore.connection.http_pool import ConnectionPool
@@ -19,12 +19,12 @@
 from peppershore.connection.messages.session import Goodbye
 
 HOST = "127.0.0.1"
-HANG_SECONDS = 20.0
-TALK_SECONDS = 0.05
+TEST_TIMEOUT_SECONDS = 20.0
+SEND_INTERVAL_SECONDS = 0.05
 
 
 class SilentServer:
-    """Accepts connections, and can make those it has fall silent."""
+    """Accepts connections and keeps their sockets, so that tests can silence them."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server((HOST, 0))
@@ -52,34 +52,34 @@
     return opened
 
 
-def test_a_link_that_falls_silent_while_it_is_used_ends() -> None:
+def test_a_link_that_falls_silent_while_sending_is_closed() -> None:
     async def scene() -> None:
         server = SilentServer()
         ended = asyncio.get_running_loop().create_future()
         link = await _link_to(server, ended)
-        fall_silent(server.accepted[0])
+        drop_incoming(server.accepted[0])
         while not ended.done():
             link.send(encode_message(Goodbye("anyone there?")))
-            await asyncio.wait({ended}, timeout=TALK_SECONDS)
+            await asyncio.wait({ended}, timeout=SEND_INTERVAL_SECONDS)
         assert ended.result()
         server.close()
 
-    asyncio.run(asyncio.wait_for(scene(), HANG_SECONDS))
+    asyncio.run(asyncio.wait_for(scene(), TEST_TIMEOUT_SECONDS))
 
 
-def test_a_link_that_falls_silent_while_it_rests_ends() -> None:
+def test_a_link_that_falls_silent_while_idle_is_closed() -> None:
     async def scene() -> None:
         server = SilentServer()
         ended = asyncio.get_running_loop().create_future()
         await _link_to(server, ended)
-        fall_silent(server.accepted[0])
+        drop_incoming(server.accepted[0])
         assert await ended
         server.close()
 
-    asyncio.run(asyncio.wait_for(scene(), HANG_SECONDS))
+    asyncio.run(asyncio.wait_for(scene(), TEST_TIMEOUT_SECONDS))
 
 
-def test_a_kept_connection_that_fell_silent_is_not_given_to_a_call() -> None:
+def test_a_pooled_connection_that_fell_silent_is_not_reused() -> None:
     async def scene() -> None:
         server = SilentServer()
         pool = ConnectionPool(server.address, 4)
@@ -88,11 +88,11 @@
         await server.accept()
         connection = await opened
         pool.give_back(connection)
-        fall_silent(server.accepted[0])
+        drop_incoming(server.accepted[0])
         while connection.usable:  # noqa: ASYNC110
-            await asyncio.sleep(TALK_SECONDS)
+            await asyncio.sleep(SEND_INTERVAL_SECONDS)
         assert pool.take() is None
         pool.close()
         server.close()
 
-    asyncio.run(asyncio.wait_for(scene(), HANG_SECONDS))
+    asyncio.run(asyncio.wait_for(scene(), TEST_TIMEOUT_SECONDS))
--- a/tests/link/test_tls_admission.py
+++ b/tests/link/test_tls_admission.py
@@ -1,4 +1,4 @@
-"""Accepted TLS connections: so many handshakes at a time, the rest refused at once."""
+"""TLS handshakes are limited in number; connections above the limit are refused at once."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from peppershore.connection.tls_admission import TlsAdmission
 
 HOST = "127.0.0.1"
-BOUND_SECONDS = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 NODE = f"{SCHEME}site/node/kassa/pasila/kassa-1"
 RELAY = f"{SCHEME}site/relay/r1"
 
 
 class Site:
-    """A TLS listener that lets one handshake be under way."""
+    """A TLS listener that allows one handshake at a time."""
 
     def __init__(self, folder: Path) -> None:
         certificates.make_authority(folder).unwrap()
@@ -33,7 +33,7 @@
         server = server_context(self._paths(RELAY)).context
         self.accepted: asyncio.Queue[Link] = asyncio.Queue()
         self.admission = TlsAdmission(
-            server, lambda: Link(self.accepted.put_nowait), most=1
+            server, lambda: Link(self.accepted.put_nowait), max_handshakes=1
         )
         self.address = ""
 
@@ -47,7 +47,7 @@
         return await open_link(self.address, self.client)
 
     async def stall(self) -> asyncio.StreamWriter:
-        """Connect and never begin the handshake."""
+        """Connect without ever starting the handshake."""
         host, _, port = self.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
         return writer
@@ -55,13 +55,13 @@
     def run(self, check: Callable[[], Awaitable[None]]) -> None:
         async def with_server() -> None:
             loop = asyncio.get_running_loop()
-            server = await loop.create_server(self.admission.arriving, HOST, 0)
+            server = await loop.create_server(self.admission.initial_protocol, HOST, 0)
             self.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
             await check()
             server.close()
             self.admission.close()
 
-        asyncio.run(asyncio.wait_for(with_server(), BOUND_SECONDS))
+        asyncio.run(asyncio.wait_for(with_server(), TEST_TIMEOUT_SECONDS))
 
 
 @pytest.fixture
@@ -85,7 +85,9 @@
     site.run(check)
 
 
-def test_what_is_too_much_is_refused_at_once_and_served_later(site: Site) -> None:
+def test_connections_above_the_limit_are_refused_at_once_and_accepted_later(
+    site: Site,
+) -> None:
     async def check() -> None:
         stalled = await site.stall()
         refusal = await site.connect()
@@ -105,7 +107,7 @@
     site.run(check)
 
 
-def test_a_handshake_that_never_begins_ends_by_itself(
+def test_a_handshake_that_never_begins_times_out(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(tls_admission, "HANDSHAKE_SECONDS", 0.05)
--- a/tests/link/test_traffic.py
+++ b/tests/link/test_traffic.py
@@ -1,4 +1,4 @@
-"""What went over links is counted by kind of message, bodies under their own name."""
+"""Bytes on links are counted by kind of message; body bytes have a kind of their own."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from tests.link.test_head_packing import head, linked
+from tests.link.test_head_packing import connected_links, head
 
 from peppershore.connection import call_link as call_link_module
 from peppershore.connection import link as link_module
@@ -55,23 +55,23 @@
     assert not traffic.received
 
 
-def test_a_body_inside_a_packed_head_is_moved_out_of_no_other_tally(
+def test_a_body_inside_a_packed_head_is_subtracted_from_no_other_kind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its bytes were counted with the packed message: taken from the head's kind, they
-    left that kind with less than nothing."""
+    """The body's bytes were counted with the packed message. Subtracting them from the
+    count of the head's kind made that count negative."""
     traffic = Traffic()
     monkeypatch.setattr(link_module, "TRAFFIC", traffic)
     monkeypatch.setattr(call_link_module, "TRAFFIC", traffic)
 
     async def scene() -> None:
-        link, heard, _, listener = await linked(packs=True)
+        link, received, _, listener = await connected_links(packs=True)
         started = msgspec.structs.replace(head(1), data=b"x" * 300, content_length=300)
         link.send(started)
         async with asyncio.timeout(20):
-            while not heard:  # noqa: ASYNC110
+            while not received:  # noqa: ASYNC110
                 await asyncio.sleep(0.002)
-        assert heard == [started]
+        assert received == [started]
         link.close()
         await listener.close()
 
@@ -82,7 +82,7 @@
         assert packed.octets == sum(tally.octets for tally in tallies.values())
 
 
-def test_round_trips_are_given_once() -> None:
+def test_round_trips_are_returned_once() -> None:
     traffic = Traffic()
     traffic.note_round_trip(0.2)
     traffic.note_round_trip(0.1)
--- a/tests/link/test_update_packing.py
+++ b/tests/link/test_update_packing.py
@@ -1,4 +1,4 @@
-"""Packed updates: whole again after unpacking, an error for anything else."""
+"""Packed updates survive a round trip; anything else gives an error."""
 
 from __future__ import annotations
 
