--- a/src/peppershore/connection/authorization.py
+++ b/src/peppershore/connection/authorization.py
@@ -2,7 +2,8 @@
 
 A link without TLS has no identity and allows every message, so it is suitable only for
 trials on one machine. With TLS, a peer may send the messages of its role only, and the
-node, relay, service, zone and cluster that its messages name must match its certificate.
+node, relay, service, zone and cluster by which a message identifies its sender must match
+the sender's certificate.
 """
 
 from __future__ import annotations
--- a/src/peppershore/connection/call_link.py
+++ b/src/peppershore/connection/call_link.py
@@ -139,7 +139,7 @@
         self._lose_streams("closed")
 
     def abandon(self, reason: str) -> None:
-        """Treat the peer as dead: close the link and fail all streams with ``reason``."""
+        """Treat the peer as dead: close the link and fail all streams at once."""
         self.alive = False
         self._link.close()
         self._lose_streams(reason)
@@ -246,7 +246,7 @@
     def __init__(self, window: int = STREAM_WINDOW_BYTES, owed: int = 0) -> None:
         """Start with ``owed`` bytes of credit due.
 
-        Credit is returned once it amounts to a quarter of the window or more.
+        Credit is granted once it amounts to a quarter of the window or more.
         """
         self._window = window
         self._owed = owed
@@ -258,7 +258,7 @@
         return self._due()
 
     def pause(self) -> None:
-        """Accumulate credit without returning any until ``resume``."""
+        """Accumulate credit, but grant none until ``resume``."""
         self._paused = True
 
     def resume(self) -> int:
--- a/src/peppershore/connection/head_packing.py
+++ b/src/peppershore/connection/head_packing.py
@@ -1,8 +1,8 @@
 """Compression of the call heads on one link, as one Deflate stream per direction.
 
-A head is very similar to the one before it, so a small window suffices. The stream is
-flushed after each message, so that no message is delayed. Both ends keep the state of
-the stream while the link is open, and drop it with the link.
+One stream is used because a head is very similar to the one before it. Its window is small.
+The stream is flushed after each message, so that no message is delayed. Both ends keep the
+state of the stream while the link is open, and drop it with the link.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 MIN_PACKABLE_BYTES = 64
 MAX_PACKABLE_BYTES = 2_048
-"""Shorter messages gain nothing; longer ones carry bodies, which evict heads from the
-window."""
+"""Sizes between which a message is compressed. Messages below the minimum gain nothing;
+those above the maximum carry bodies, which would evict heads from the Deflate window."""
 
 MAX_UNPACKED_BYTES = 64 * 1024
 
@@ -45,7 +45,7 @@
     """Compressor at the sending end of one link's stream."""
 
     def __init__(self) -> None:
-        """Start with an empty window."""
+        """Start a new stream, with an empty Deflate window."""
         self._stream = zlib.compressobj(
             COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
         )
@@ -65,7 +65,7 @@
     """Decompressor at the receiving end of one link's stream."""
 
     def __init__(self) -> None:
-        """Start with an empty window."""
+        """Start a new stream, with an empty Deflate window."""
         self._stream = zlib.decompressobj(WINDOW_BITS)
 
     def unpack(self, packed: bytes) -> Result[bytes, UndecodableMessage]:
--- a/src/peppershore/connection/http_client.py
+++ b/src/peppershore/connection/http_client.py
@@ -2,9 +2,9 @@
 
 An answer is forwarded only as far as it is well-formed. An answer that ends before its
 declared length is a failure. So is one that declares no length, unless the rules allow
-it; if they do, the answer ends when the back end closes the connection in order, and a
-reset is a failure. A complete answer that carries the identifier of another request is
-skipped, because the expected answer may follow it.
+it; in that case the answer ends when the back end closes the connection without a reset,
+and a reset is a failure. A complete answer that carries the identifier of another request
+is skipped, because the expected answer may follow it.
 """
 
 from __future__ import annotations
--- a/src/peppershore/connection/http_head.py
+++ b/src/peppershore/connection/http_head.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 HeaderList = list[tuple[bytes, bytes]]
-"""Header fields as pairs of lower-case name and value, in the order received."""
+"""Header fields as pairs of lower-case name and value, in their original order."""
 
 MAX_HEAD_BYTES = 32 * 1024
 MAX_HEADER_FIELDS = 100
@@ -123,7 +123,7 @@
 
 
 def end_event(trailers: HeaderList) -> h11.EndOfMessage:
-    """Return the h11 event for the end of a body; one is shared without trailers."""
+    """Return the h11 event for the end of a body, a shared one if there are no trailers."""
     return h11.EndOfMessage(headers=trailers) if trailers else _END
 
 
--- a/src/peppershore/connection/http_pool.py
+++ b/src/peppershore/connection/http_pool.py
@@ -1,4 +1,4 @@
-"""Pool of persistent connections to one back end, reused most recent first."""
+"""Bounded pool of persistent connections to one back end, most recently used first."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
     def connect(self, outcome: ConnectOutcome) -> None:
         """Open a connection for the exclusive use of the requester.
 
-        ``outcome`` receives ``BOUND_REACHED`` if the pool is full; an idle connection is
-        closed first to make space.
+        If the pool is full, the connection that has been idle longest is closed to make
+        space; if none is idle, ``outcome`` receives ``BOUND_REACHED``.
         """
         if self.connections >= self.bound and self._idle:
             self._discard(self._idle.pop(0))
@@ -65,7 +65,10 @@
         self._opening.add(task)
 
     def give_back(self, connection: ClientConnection) -> None:
-        """Return a connection to the pool after its exchange; close it if unusable."""
+        """Return a connection to the pool after its exchange.
+
+        Close it instead if it is unusable, above the bound, or the pool is closed.
+        """
         if self._closed or self.connections > self.bound or not connection.usable:
             self._discard(connection)
             return
@@ -84,7 +87,7 @@
             self._discard(self._idle.pop(0))
 
     def close_idle(self) -> None:
-        """Close all idle connections, for example because their back end has exited."""
+        """Close all idle connections, as when their back end is known to have exited."""
         for connection in self._idle:
             self._discard(connection)
         self._idle.clear()
--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -46,7 +46,7 @@
     draining: bool
 
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
-        """Create a call and return its sink, which then receives the body and the start."""
+        """Create a call; return its sink, which receives the rest of the request."""
 
     def may_be_repeated(self, head: RequestHead) -> bool:
         """Report whether a request is safe to retry, so that it may be pipelined."""
@@ -115,7 +115,7 @@
         self._write_answers()
 
     def eof_received(self) -> bool:
-        """Close the connection when the caller closes its sending side."""
+        """Close the connection: a caller that closes its sending side has disconnected."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -148,7 +148,7 @@
         self._write_answers()
 
     def must_close_after(self, exchange: ServerExchange) -> bool:
-        """Report whether to close the connection after this answer, to drain it."""
+        """Report whether this request is the last one of a connection being drained."""
         if not self._owner.draining:
             return False
         return self._exchanges[-1] is exchange and not self._unparsed
@@ -180,7 +180,7 @@
         return bool(self._exchanges) or bool(self._unparsed)
 
     def idle_seconds(self, now: float) -> float:
-        """Return the seconds since the last call ended, 0.0 while busy."""
+        """Return the seconds since the last call, or since opening; 0.0 while busy."""
         return 0.0 if self.busy else now - self._idle_since
 
     def close(self) -> None:
@@ -332,7 +332,7 @@
             self.data_received(b"")
 
     def _close_after(self, exchange: ServerExchange) -> None:
-        """Close after this answer; later requests get none, and callers retry them."""
+        """Close after this answer; callers retry later requests, which stay unanswered."""
         self._abort_exchanges()
         if exchange.http.their_state in (h11.SEND_BODY, h11.ERROR):
             self._linger()
--- a/src/peppershore/connection/link.py
+++ b/src/peppershore/connection/link.py
@@ -51,7 +51,7 @@
         self._abort_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport, its peer's identity, and set the socket options."""
+        """Store the transport and the identity of its peer; set the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         peer = transport.get_extra_info("peername")
@@ -80,9 +80,9 @@
         """Start delivering messages, first those that were already received."""
         self._on_message = on_message
         self._on_closed = on_closed
-        early = self._undelivered
+        undelivered = self._undelivered
         self._undelivered = []
-        for data in early:
+        for data in undelivered:
             self._read_frames(data)
         if self._closed_reason is not None:
             on_closed(self._closed_reason)
@@ -120,11 +120,11 @@
         self._abort_timer = loop.call_later(FLUSH_SECONDS, self._transport.abort)
 
     def _read_frames(self, data: bytes) -> None:
-        cut = self._reader.feed(data)
-        if isinstance(cut, Failure):
-            self._abort(repr(cut.failure()))
+        payloads = self._reader.feed(data)
+        if isinstance(payloads, Failure):
+            self._abort(repr(payloads.failure()))
             return
-        for payload in cut.unwrap():
+        for payload in payloads.unwrap():
             self._deliver(payload)
 
     def _deliver(self, payload: bytes) -> None:
--- a/src/peppershore/connection/messages/calls.py
+++ b/src/peppershore/connection/messages/calls.py
@@ -7,7 +7,7 @@
 from peppershore.connection.messages.base import Message
 
 HeaderFields = list[tuple[bytes, bytes]]
-"""HTTP header fields as pairs of lower-case name and value, in the order received."""
+"""HTTP header fields as pairs of lower-case name and value, in their original order."""
 
 
 STREAM_WINDOW_BYTES = 256 * 1024
@@ -180,7 +180,7 @@
 
 
 class SlotsLent(Message, frozen=True, tag=150):
-    """Loan: the receiver may have ``slots`` calls that it sends directly to the back end.
+    """Loan: the receiver may have up to ``slots`` calls at the back end, sent directly.
 
     Replaces the previous loan. ``number`` is that of the request; the loan expires
     ``lease_milliseconds`` after that request was sent, unless requested again.
--- a/src/peppershore/connection/messages/claims.py
+++ b/src/peppershore/connection/messages/claims.py
@@ -63,7 +63,7 @@
 
 
 class ClaimCompleted(Message, frozen=True, tag=124):
-    """Request to store the answer of a finished attempt; None if it is too large."""
+    """Request to store a finished attempt's ``answer``, which is None if too large."""
 
     request: int
     key: str
@@ -72,7 +72,7 @@
 
 
 class ClaimReleased(Message, frozen=True, tag=125):
-    """Release of a claim whose attempt provably did not run; it may be claimed again."""
+    """Release of a claim whose attempt provably did not run: others may claim the call."""
 
     request: int
     key: str
--- a/src/peppershore/connection/messages/consensus.py
+++ b/src/peppershore/connection/messages/consensus.py
@@ -134,7 +134,7 @@
 
 
 class ElectNow(Message, frozen=True, tag=77):
-    """Leadership transfer by the leader of ``term``: the receiver starts an election."""
+    """Leadership transfer by the leader of ``term``: the receiver campaigns at once."""
 
     term: int
 
@@ -170,10 +170,13 @@
 
 
 class ProgressTableShared(Message, frozen=True, tag=82):
-    """The leader's progress reports of all relays, each listing only a few nodes."""
+    """The leader's progress reports of all relays, each naming only a few nodes."""
 
     shared: tuple[ProgressShared, ...]
 
 
 class ProgressWanted(Message, frozen=True, tag=83):
-    """Request to the leader, by a replica that operators watch, for prompt updates."""
+    """Request to the leader for prompt reports of progress.
+
+    It is sent by a replica at which operators watch the progress of a version.
+    """
--- a/src/peppershore/connection/messages/operators.py
+++ b/src/peppershore/connection/messages/operators.py
@@ -110,7 +110,10 @@
 
 
 class WatchRequest(Message, frozen=True, tag=99):
-    """Request for a ``StatusAnswered`` at every progress until ``version`` is in force."""
+    """Request for a ``StatusAnswered`` whenever progress changes.
+
+    The replies end when ``version`` is in force.
+    """
 
     version: Version
 
--- a/src/peppershore/connection/messages/relay.py
+++ b/src/peppershore/connection/messages/relay.py
@@ -18,7 +18,7 @@
 
 
 class TreeState(Message, frozen=True, tag=51):
-    """The complete tree, for a relay that needs edits older than the retained log."""
+    """The complete tree, in place of edits, for a relay that is too far behind."""
 
     tree: Tree
 
@@ -31,7 +31,7 @@
 
 
 class EditsCommitted(Message, frozen=True, tag=52):
-    """Accepted edits in log order, without gaps in effect."""
+    """Accepted edits in log order; no edit with an effect is missing between them."""
 
     edits: tuple[CommittedEdit, ...]
 
--- a/src/peppershore/connection/messages/rollouts.py
+++ b/src/peppershore/connection/messages/rollouts.py
@@ -15,7 +15,7 @@
 class RouteEvidence(msgspec.Struct, frozen=True, array_like=True):
     """Results of the calls of one route at one back end.
 
-    ``times`` alternates between a bucket of ``request.version_evidence`` and its count.
+    ``times`` is a flat list of pairs: a bucket of ``request.version_evidence``, its count.
     """
 
     route: str
--- a/src/peppershore/connection/packing.py
+++ b/src/peppershore/connection/packing.py
@@ -1,7 +1,8 @@
-"""Compression for the wire: Zstandard, with a dictionary known to both ends.
+"""Compression with Zstandard: messages with a dictionary, blocks without one.
 
-Small messages of the same kind resemble each other, so the dictionary gives most of the
-saving.
+The dictionary is known to both ends. Small messages of the same kind resemble each other,
+so it gives most of the saving. Blocks are MessagePack values of the control group: its
+commands and snapshots.
 """
 
 from __future__ import annotations
--- a/src/peppershore/connection/tls.py
+++ b/src/peppershore/connection/tls.py
@@ -88,7 +88,7 @@
 
 
 def _expiry(paths: TlsPaths) -> float:
-    from cryptography import x509  # noqa: PLC0415 -- costly where there is no TLS
+    from cryptography import x509  # noqa: PLC0415 -- costly import, not needed without TLS
 
     certificate = x509.load_pem_x509_certificate(Path(paths.certificate).read_bytes())
     return certificate.not_valid_after_utc.timestamp()
--- a/src/peppershore/connection/traffic.py
+++ b/src/peppershore/connection/traffic.py
@@ -24,11 +24,11 @@
 ARRAY_16 = 0xDC
 SHORT_TAGS = range(0x80)
 TAG_8 = 0xCC
-"""First bytes of arrays and of small integers in the MessagePack specification."""
+"""First bytes of the MessagePack arrays and integers with which messages begin."""
 
 
 class Tally(msgspec.Struct):
-    """Number of messages of one kind and of their bytes."""
+    """Number of messages of one kind, and of their bytes."""
 
     messages: int = 0
     octets: int = 0
@@ -38,7 +38,7 @@
 
 
 class RoundTrips(msgspec.Struct):
-    """Number of replies that peers sent at once, and the longest round trip in seconds."""
+    """Number of round trips without waiting at the peer, and the longest in seconds."""
 
     count: int = 0
     longest: float = 0.0
--- a/tests/http/test_http_exchanges.py
+++ b/tests/http/test_http_exchanges.py
@@ -249,9 +249,7 @@
     run(scene())
 
 
-def test_streamed_answer_that_breaks_off_cuts_the_caller(
-    stage: Stage,
-) -> None:
+def test_streamed_answer_that_breaks_off_cuts_the_caller(stage: Stage) -> None:
     async def breaks_off(request: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n")
         await writer.drain()
@@ -347,9 +345,7 @@
     run(scene())
 
 
-def test_caller_gone_closes_at_the_back_end_and_frees_the_slot(
-    stage: Stage,
-) -> None:
+def test_caller_gone_closes_at_the_back_end_and_frees_the_slot(stage: Stage) -> None:
     async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
         await request.reader.read(1)
         raise ConnectionError
