--- a/src/peppershore/process/endpoints/__init__.py
+++ b/src/peppershore/process/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The live endpoint table: leases, order and anti-entropy."""
+"""Live endpoint table of a relay: leases, ordering and anti-entropy."""
--- a/src/peppershore/process/endpoints/exchange.py
+++ b/src/peppershore/process/endpoints/exchange.py
@@ -1,10 +1,10 @@
-"""How relays keep one another's endpoint tables alike.
+"""Synchronization of the endpoint tables of all relays.
 
-Every relay vouches for the endpoints of its own sessions, and only for those,
-to all other relays.  A change is sent at once; a digest, sent with every
-heartbeat, renews the lease of all the sender's endpoints and finds what was missed:
-one number for all, then, where that differs, one for each bucket.  Endpoints nobody
-vouches for are hidden after a lease, unless it is this relay that is cut off.
+Each relay advertises the endpoints of its own sessions, and only those, to all other
+relays. It sends changes at once. Periodically it sends a digest, which renews the lease
+of all endpoints it advertises and reveals missed changes. The digest is a single number;
+if that differs, the relays compare one number per bucket. Endpoints that no relay
+advertises are hidden when their lease ends, unless this relay itself is cut off.
 """
 
 from __future__ import annotations
@@ -54,20 +54,20 @@
 
 DIGEST_SECONDS = 2.0
 HEARS_SECONDS = 8.0
-"""Which relays are heard is told when it changes, and again after so long."""
+"""The list of relays heard is sent when it changes, and again after this time."""
 LEASE_SECONDS = 8.0
-"""How long endpoints stay shown without anybody vouching for them."""
+"""How long an endpoint stays visible without being advertised by any relay."""
 STEADY_AGE_SECONDS = 1.5
-"""A relay confirmed no longer ago than this is confirmed without a break."""
+"""A relay counts as steadily confirmed while its confirmation is no older than this."""
 RESUME_GRACE_SECONDS = 4.0
-"""What is left of the lease, at least, when this relay goes on after a pause."""
+"""Least lease time that remains when this relay resumes after a suspension."""
 BACKOFF_BASE_SECONDS = 0.2
 BACKOFF_CEILING_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another relay and what it vouches for, as far as this one knows."""
+    """Another relay and the endpoints it advertises, as far as this relay knows."""
 
     name: str
     address: str
@@ -78,27 +78,27 @@
     lease_until: float = 0.0
     hears: frozenset[str] = frozenset()
     told_heard: tuple[str, ...] | None = None
-    """The relays that this one said it hears, on this link; None: nothing yet."""
+    """Relays last reported as heard on this link; None if none were reported yet."""
     told_heard_at: float = 0.0
     confirmed_at: float = -math.inf
-    """When a quorum confirmed its version, by this relay's clock."""
+    """When a quorum confirmed the peer's version, on this relay's clock."""
     steady_since: float = math.inf
-    """Since when each of its digests told of a recent confirmation."""
+    """Time since which every digest of the peer reported a recent confirmation."""
     failures: int = 0
     retry_at: float = 0.0
 
 
 class EndpointExchange:
-    """The endpoint table of a relay and its links to the other relays."""
+    """Maintains a relay's endpoint table and its links to the other relays."""
 
     def __init__(self, settings: RelaySettings, numbers: LinkNumbers) -> None:
-        """Know nothing yet; ``start`` begins to connect."""
+        """Start with an empty table; ``start`` connects to the other relays."""
         self.table = EndpointTable()
         self.own = VouchedNodes()
         self.confirmed_at: float | None = None
-        """When a quorum confirmed this relay's version; the other relays are told."""
+        """When a quorum confirmed this relay's version; sent to the other relays."""
         self.changed: dict[str, Endpoint] = {}
-        """What the nodes of this relay have yet to be told, by node."""
+        """Changed endpoints not yet sent to this relay's nodes, by the endpoint's node."""
         self._settings = settings
         self._numbers = numbers
         self._randomness = Randomness(0)
@@ -113,16 +113,16 @@
         self._by_link: dict[LinkId, Peer] = {}
 
     def start(self, randomness: Randomness, incarnation: int, now: float) -> list[Command]:
-        """Begin to connect to the other relays."""
+        """Connect to the other relays and start the periodic tick."""
         self._randomness = randomness
         self._incarnation = incarnation
         self._started_at = now
         return [*self._connect_missing(now), SetTimer(PEER_TIMER, DIGEST_SECONDS)]
 
     def use_relays(self, relays: tuple[PeerRelay, ...], now: float) -> list[Command]:
-        """Exchange endpoints with exactly these relays from now on.
+        """Replace the set of relays with which endpoints are exchanged.
 
-        What a relay that is gone vouched for runs out with its lease.
+        Endpoints that only a removed relay advertised expire with their lease.
         """
         wanted = {each.name: each for each in relays if each.name != self._settings.relay}
         out: list[Command] = []
@@ -139,18 +139,18 @@
         return [*out, *self._connect_missing(now)]
 
     def listed(self) -> tuple[RelayListed, ...]:
-        """Give the other relays for nodes to choose from."""
+        """Return the other relays, for the list that is sent to nodes."""
         return tuple(
             RelayListed(peer.name, peer.zone, peer.address) for peer in self._peers.values()
         )
 
     def owns(self, link: LinkId) -> bool:
-        """Tell whether a link belongs to another relay."""
+        """Return whether a link belongs to another relay."""
         return link in self._by_link
 
     @property
     def open_links(self) -> tuple[LinkId, ...]:
-        """The links to the other relays that have greeted."""
+        """Links to other relays on which a hello was received."""
         return tuple(
             peer.link
             for peer in self._peers.values()
@@ -158,23 +158,25 @@
         )
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether the table can be taken for complete.
+        """Return whether the table can be assumed to be complete.
 
-        All live nodes had a lease's time to register somewhere, and every relay
-        that is heard has its endpoints here.
+        It is complete one lease time after the start or the last suspension: by then all
+        live nodes had time to register at some relay, and every reachable relay had time
+        to send its endpoints.
         """
         return now - self._started_at >= LEASE_SECONDS
 
     def heard(self, now: float) -> tuple[str, ...]:
-        """Name this relay and those heard within the lease."""
+        """Return the names of this relay and of all relays with a valid lease."""
         others = (peer.name for peer in self._peers.values() if now <= peer.lease_until)
         return tuple(sorted((self._settings.relay, *others)))
 
     def confirmed_elsewhere(self) -> float:
-        """Tell when a quorum last confirmed the version of another relay.
+        """Return when a quorum last confirmed the version of another relay.
 
-        Counts only relays confirmed steadily since before this one last was: after
-        an outage of all, the first to be back proves nothing about the others.
+        Only relays that have been steadily confirmed since before this relay's last
+        confirmation count. After an outage of all relays, the first one to recover
+        does not show that the others are cut off. Return ``-inf`` if none counts.
         """
         if self.confirmed_at is None:
             return -math.inf
@@ -185,10 +187,10 @@
         )
         return max(steady, default=-math.inf)
 
-    # --- this relay's own sessions ---------------------------------------------
+    # --- sessions of this relay ------------------------------------------------
 
     def announced(self, endpoint: Endpoint, now: float) -> list[Command]:
-        """Take what a node of this relay says of its back end."""
+        """Handle the state that a node of this relay announced for its back end."""
         if not self.table.merge(endpoint, now):
             return self._announced_again(endpoint)
         self.changed[endpoint.node] = endpoint
@@ -200,22 +202,23 @@
         return self._to_peers(EndpointsChanged((endpoint,)))
 
     def newer_than(self, endpoint: Endpoint) -> Endpoint | None:
-        """Give the known state if it is newer than what a node announces."""
+        """Return the known state if it is newer than ``endpoint``, else None."""
         known = self.table.get(endpoint.node)
         if known is None or order_of(known) <= order_of(endpoint):
             return None
         return known
 
     def session_lost(self, node: str, now: float) -> None:
-        """Vouch no longer for a node whose session ended."""
+        """Stop advertising a node whose session ended."""
         if self.own.remove(node):
             self._note_unvouched(node, now)
 
     def resumed(self, nodes: Iterable[str], pause_seconds: float, now: float) -> None:
-        """Go on after a pause: vouch for none of these nodes until it is heard.
+        """Resume after a suspension: stop advertising these nodes until they send again.
 
-        The table is not complete until the other relays had time to correct it.
-        Nodes get time for a heartbeat, then what was missed counts as lease time.
+        The table counts as incomplete until the other relays had time to correct it.
+        The suspension counts as elapsed lease time, but at least
+        ``RESUME_GRACE_SECONDS`` of the lease remain, so that nodes can send a heartbeat.
         """
         self._started_at = now
         missed = min(pause_seconds, LEASE_SECONDS - RESUME_GRACE_SECONDS)
@@ -226,7 +229,7 @@
     # --- the other relays ------------------------------------------------------
 
     def opened(self, link: LinkId) -> list[Command]:
-        """Greet the relay at the other end of a link opened from here."""
+        """Send a hello on a newly opened link."""
         settings = self._settings
         hello = RelayHello(
             settings.cluster, settings.relay, self._incarnation, settings.zone
@@ -234,7 +237,7 @@
         return [SendMessage(link, hello)]
 
     def lost(self, link: LinkId, reason: str, now: float) -> list[Command]:
-        """Forget a link; try again after a wait."""
+        """Handle a closed link; reconnect after a backoff."""
         peer = self._by_link.pop(link)
         if peer.link != link:
             return []
@@ -249,13 +252,13 @@
         return [Report(RelayPeerLost(peer.name, reason)), again] if was_open else [again]
 
     def connect_again(self, now: float) -> list[Command]:
-        """Open the links whose wait is over; plan those that still wait."""
+        """Open the links whose backoff is over and set a timer for the next one."""
         out = self._connect_missing(now)
         wait = self._next_retry_seconds(now)
         return [*out, SetTimer(PEER_CONNECT_TIMER, wait)] if wait else out
 
     def greeted(self, link: LinkId, hello: RelayHello, now: float) -> list[Command]:
-        """Take another relay's greeting; answer it if it opened the link."""
+        """Handle another relay's hello; answer it if that relay opened the link."""
         peer = self._peers.get(hello.relay)
         if peer is None or hello.cluster != self._settings.cluster:
             return [CloseLink(link, "unknown relay")]
@@ -274,7 +277,7 @@
         ]
 
     def received(self, link: LinkId, message: Message, now: float) -> list[Command]:
-        """Take a message of another relay."""
+        """Handle a message from another relay."""
         peer = self._by_link[link]
         match message:
             case RelayHello():
@@ -295,7 +298,10 @@
         return []
 
     def tick(self, now: float, is_confirmed: bool) -> list[Command]:
-        """Send the digest, expire what is due, connect again."""
+        """Send digests, expire endpoints and tombstones, and open missing links.
+
+        Endpoints expire only if ``is_confirmed``: otherwise this relay may be cut off.
+        """
         out: list[Command] = [
             SendMessage(peer.link, self._digest(peer, now))
             for peer in self._peers.values()
@@ -338,7 +344,10 @@
         )
 
     def _is_held(self, peer: Peer, now: float) -> bool:
-        """Tell whether a peer's endpoints are kept: heard here or by others."""
+        """Return whether a peer is heard by this relay, or by another that it hears.
+
+        The endpoints of such a peer do not expire.
+        """
         if now <= peer.lease_until:
             return True
         return any(
@@ -360,7 +369,7 @@
         return math.ceil((now - self.confirmed_at) * 1_000)
 
     def _news_of_heard(self, peer: Peer, now: float) -> tuple[str, ...] | None:
-        """Give the relays heard where the peer should be told of them."""
+        """Return the relays heard if they are due to be sent to the peer, else None."""
         heard = tuple(each.name for each in self._peers.values() if now <= each.lease_until)
         is_known = heard == peer.told_heard and now - peer.told_heard_at < HEARS_SECONDS
         if is_known:
@@ -373,7 +382,10 @@
         return [SendMessage(link, message) for link in self.open_links]
 
     def _next_retry_seconds(self, now: float) -> float:
-        """Give the wait until the next link is due that is opened from here, or 0."""
+        """Return the seconds until the next link from this relay is due, or 0 if none.
+
+        Of two relays, the one whose name sorts first opens the link.
+        """
         waits = (
             peer.retry_at - now
             for peer in self._peers.values()
--- a/src/peppershore/process/endpoints/notices.py
+++ b/src/peppershore/process/endpoints/notices.py
@@ -1,4 +1,4 @@
-"""What the endpoint exchange between relays reports to logs and metrics."""
+"""Notices of the endpoint exchange between relays."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 
 
 class RelayPeerConnected(Notice, frozen=True):
-    """The link to another relay is up."""
+    """The link to another relay is established."""
 
     relay: str
 
 
 class RelayPeerLost(Notice, frozen=True):
-    """The link to another relay is down."""
+    """The link to another relay was lost."""
 
     relay: str
     reason: str
 
 
 class EndpointsExpired(Notice, frozen=True):
-    """Nobody vouched for this relay's endpoints for a whole lease."""
+    """The lease of a relay's endpoints ended without being renewed.
+
+    ``count`` is the number of endpoints hidden from nodes as a result.
+    """
 
     relay: str
     count: int
--- a/src/peppershore/process/endpoints/table.py
+++ b/src/peppershore/process/endpoints/table.py
@@ -1,7 +1,8 @@
 """The live endpoint table: the newest known state of every back end.
 
-Entries are ordered by (incarnation, sequence) of their owner.  A hidden entry
-is one nobody vouches for any more; it is shown as gone until somebody does.
+States of a back end are ordered by the (incarnation, sequence) of its node. A hidden
+entry is one that no relay advertises; nodes see it as gone until a relay advertises it
+again.
 """
 
 from __future__ import annotations
@@ -19,28 +20,29 @@
 STATE_GONE = "gone"
 
 TOMBSTONE_SECONDS = 600.0
-"""How long a gone or hidden endpoint is remembered, so that it can't come back."""
+"""How long a gone or hidden endpoint is remembered, so that an old state of it that
+arrives late can't restore it."""
 
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 def order_of(endpoint: Endpoint) -> tuple[int, int]:
-    """Give the pair that orders the states of one back end."""
+    """Return the (incarnation, sequence) that orders the states of a back end."""
     return (endpoint.incarnation, endpoint.sequence)
 
 
 def as_gone(endpoint: Endpoint) -> Endpoint:
-    """Give the same endpoint as one that takes no calls."""
+    """Return a copy of the endpoint in state gone, which receives no calls."""
     return msgspec.structs.replace(endpoint, state=STATE_GONE)
 
 
 def endpoint_digest(endpoint: Endpoint) -> int:
-    """Give the unsigned 64-bit digest of one endpoint's state."""
+    """Return an unsigned 64-bit digest of an endpoint's state."""
     return xxhash.xxh3_64_intdigest(_ENCODER.encode(endpoint))
 
 
 def endpoints_digest(endpoints: Iterable[Endpoint]) -> int:
-    """Give a digest of a set of endpoints that does not depend on their order."""
+    """Return a digest of a set of endpoints, independent of their order."""
     digest = 0
     for endpoint in endpoints:
         digest ^= endpoint_digest(endpoint)
@@ -48,10 +50,10 @@
 
 
 class EndpointTable:
-    """All endpoints a relay knows, by node and by service."""
+    """All endpoints that a relay knows, indexed by node and by service."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty table."""
         self._by_node: dict[str, Endpoint] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
         self._service_digests: dict[str, int] = {}
@@ -59,15 +61,15 @@
         self._tombstones: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Count the entries, hidden ones and tombstones included."""
+        """Return the number of entries, including hidden ones and tombstones."""
         return len(self._by_node)
 
     def get(self, node: str) -> Endpoint | None:
-        """Give the newest known state of a node's back end."""
+        """Return the newest known state of a node's back end, or None."""
         return self._by_node.get(node)
 
     def merge(self, endpoint: Endpoint, now: float) -> bool:
-        """Take a state if it is newer than what is known; tell whether it was."""
+        """Store a state if it is newer than the known one; return whether it was."""
         known = self._by_node.get(endpoint.node)
         if known is not None and order_of(endpoint) <= order_of(known):
             return False
@@ -82,7 +84,10 @@
         return True
 
     def hide(self, node: str, now: float) -> Endpoint | None:
-        """Show a node as gone until it is vouched for; give what to tell nodes."""
+        """Hide a node's endpoint; return its gone state to send to nodes.
+
+        Return None if the endpoint is unknown, gone or already hidden.
+        """
         endpoint = self._by_node.get(node)
         if endpoint is None or not self._is_shown(endpoint):
             return None
@@ -92,7 +97,10 @@
         return as_gone(endpoint)
 
     def reveal(self, node: str) -> Endpoint | None:
-        """Show a hidden node again; give what to tell nodes."""
+        """Show a hidden endpoint again; return its state to send to nodes.
+
+        Return None if the endpoint is not hidden.
+        """
         if node not in self._hidden:
             return None
         endpoint = self._by_node[node]
@@ -102,7 +110,7 @@
         return endpoint
 
     def shown(self, services: Iterable[str]) -> tuple[Endpoint, ...]:
-        """Give the endpoints of these services that are neither gone nor hidden."""
+        """Return the endpoints of these services that are neither gone nor hidden."""
         return tuple(
             endpoint
             for service in services
@@ -111,21 +119,24 @@
         )
 
     def digest(self, services: Iterable[str]) -> int:
-        """Give the digest of ``shown(services)``, at a cost that is independent of it."""
+        """Return the digest of ``shown(services)``.
+
+        The cost does not depend on the number of endpoints.
+        """
         digest = 0
         for service in services:
             digest ^= self._service_digests.get(service, 0)
         return digest
 
     def has_ready(self, service: str) -> bool:
-        """Tell whether a back end of the service is ready for calls."""
+        """Return whether any visible back end of the service is ready for calls."""
         return any(
             endpoint.state == STATE_READY and endpoint.node not in self._hidden
             for endpoint in self._by_service.get(service, {}).values()
         )
 
     def drop_old_tombstones(self, now: float) -> None:
-        """Forget endpoints gone or hidden for longer than the tombstone time."""
+        """Remove endpoints that have been gone or hidden for ``TOMBSTONE_SECONDS``."""
         while self._tombstones:
             node, since = next(iter(self._tombstones.items()))
             if now - since < TOMBSTONE_SECONDS:
--- a/src/peppershore/process/endpoints/vouched.py
+++ b/src/peppershore/process/endpoints/vouched.py
@@ -1,7 +1,7 @@
-"""The set of nodes one relay vouches for, with a digest in buckets.
+"""The set of nodes whose endpoints a relay advertises, with a digest per bucket.
 
-Two relays compare the digest of all, then the buckets, and exchange only those that
-differ.  Adding and removing a node costs the same whatever the size of the set.
+Two relays compare the digest of the complete set, then the digests of the buckets, and
+exchange only the buckets that differ. Adding or removing a node takes constant time.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 BUCKET_COUNT = 32
 
 Order = tuple[int, int]
-"""(incarnation, sequence) of a node's endpoint."""
+"""The (incarnation, sequence) of a node's endpoint."""
 
 
 def bucket_of(node: str) -> int:
-    """Give the bucket a node's name falls into."""
+    """Return the index of the bucket for a node name."""
     return xxhash.xxh3_64_intdigest(node.encode()) % BUCKET_COUNT
 
 
@@ -26,35 +26,35 @@
 
 
 class VouchedNodes:
-    """Nodes with the endpoint order vouched for."""
+    """Nodes that a relay advertises, each with the order of its endpoint state."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with an empty set."""
         self._orders: dict[str, Order] = {}
         self._buckets = [0] * BUCKET_COUNT
         self.total = 0
-        """Digest of all nodes: equal where every bucket is."""
+        """Digest of all nodes; equal for two sets whose buckets are all equal."""
 
     def __contains__(self, node: object) -> bool:
-        """Tell whether the node is vouched for."""
+        """Return whether the node is advertised."""
         return node in self._orders
 
     def __len__(self) -> int:
-        """Count the nodes."""
+        """Return the number of nodes."""
         return len(self._orders)
 
     @property
     def nodes(self) -> tuple[str, ...]:
-        """All nodes vouched for."""
+        """All nodes that are advertised."""
         return tuple(self._orders)
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """The digest of each bucket."""
+        """Digest of each bucket."""
         return tuple(self._buckets)
 
     def add(self, node: str, order: Order) -> None:
-        """Vouch for a node's endpoint; an older order is not taken."""
+        """Add a node or raise its order; an older or equal order is ignored."""
         known = self._orders.get(node)
         if known is not None and known >= order:
             return
@@ -63,7 +63,7 @@
         self._toggle(node, order)
 
     def remove(self, node: str) -> bool:
-        """Stop vouching for a node; tell whether it was vouched for."""
+        """Remove a node; return whether it was present."""
         order = self._orders.pop(node, None)
         if order is None:
             return False
@@ -76,12 +76,12 @@
         self.total ^= mark
 
     def in_buckets(self, buckets: Iterable[int]) -> tuple[str, ...]:
-        """Give the nodes that fall into these buckets."""
+        """Return the nodes that belong to these buckets."""
         wanted = frozenset(buckets)
         return tuple(node for node in self._orders if bucket_of(node) in wanted)
 
     def differing_buckets(self, other: tuple[int, ...]) -> tuple[int, ...]:
-        """Give the buckets whose digest differs from another's."""
+        """Return the indexes of the buckets whose digests differ from ``other``."""
         return tuple(
             index
             for index, digest in enumerate(self._buckets)
--- a/src/peppershore/process/quarantine/__init__.py
+++ b/src/peppershore/process/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""How all processes come to know of requests that end back ends, and do not forget."""
+"""Sharing and storage of records of requests under which back ends crashed."""
--- a/src/peppershore/process/quarantine/api.py
+++ b/src/peppershore/process/quarantine/api.py
@@ -1,7 +1,8 @@
-"""What operators see of the quarantine, and how they let a request go.
+"""HTTP API with which operators list the quarantine and release requests.
 
-``GET /quarantine`` lists the requests under which two back ends or more ended.
-``POST /quarantine/FINGERPRINT/release`` lets one run again: 200, or 404 if it is not known.
+``GET /quarantine`` lists the requests under which two or more back ends crashed.
+``POST /quarantine/FINGERPRINT/release`` allows a request to run again: 200, or 404 if the
+request is not known.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class QuarantinedRequest(msgspec.Struct, frozen=True):
-    """One request; ``hold_milliseconds`` is what is left of its hold."""
+    """A listed request; ``hold_milliseconds`` is the remaining time of its hold."""
 
     fingerprint: str
     standing: Standing
@@ -31,25 +32,25 @@
 
 
 class QuarantineList(msgspec.Struct, frozen=True):
-    """All of them, those with the most ends first."""
+    """All listed requests, those with the most crashes first."""
 
     requests: tuple[QuarantinedRequest, ...]
 
 
 class ReleasedRequest(msgspec.Struct, frozen=True):
-    """The request that may run again."""
+    """The request that was released."""
 
     fingerprint: str
 
 
 class QuarantineError(msgspec.Struct, frozen=True):
-    """Why nothing was done."""
+    """Body of an error answer: why the HTTP request failed."""
 
     error: str
 
 
 class QuarantineApi:
-    """Answers operators at one relay or hub."""
+    """Answers the HTTP requests of operators at a relay or hub."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         clock: Callable[[], float],
         release: Callable[[bytes], None],
     ) -> None:
-        """Show this table; ``release`` lets the request of a key go."""
+        """Serve ``table``; ``release`` allows the request with a given key to run again."""
         self._table = table
         self._clock = clock
         self._release = release
--- a/src/peppershore/process/quarantine/notices.py
+++ b/src/peppershore/process/quarantine/notices.py
@@ -1,4 +1,4 @@
-"""What is reported of requests that end back ends."""
+"""Notices about requests under which back ends crashed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestQuarantined(Notice, frozen=True):
-    """A request is held: these lives of back ends ended under it."""
+    """A request is held; ``lives`` are the back-end incarnations that crashed under it."""
 
     level: ClassVar[str] = "warning"
     fingerprint: str
@@ -24,7 +24,7 @@
 
 
 def notices_of(records: tuple[CrashRecord, ...]) -> tuple[Notice, ...]:
-    """Give what is to be reported of records that are news."""
+    """Return the notices to report for new or changed records."""
     found: list[Notice] = []
     for record in records:
         if len(record.lives) >= HELD_LIVES:
--- a/src/peppershore/process/quarantine/sharing.py
+++ b/src/peppershore/process/quarantine/sharing.py
@@ -1,8 +1,9 @@
-"""How relays and nodes come to know the same of requests that end back ends.
+"""Distribution of crash records between nodes and relays.
 
-A node tells its relay of each end beside it, the relay all other relays at once, and each
-relay its nodes, of what two back ends or more ended under.  A new link begins with all that
-is known, a node's first update follows that, and relays compare a digest with every tick.
+A node reports each crash of its local back end to its relay. The relay forwards the
+record to all other relays at once. Each relay sends its nodes the records of requests
+under which two or more back ends crashed. A new link starts with all known records, before
+a node's first update, and relays compare a digest at every tick.
 """
 
 from __future__ import annotations
@@ -23,20 +24,20 @@
 
 
 class PersistQuarantine(Command, frozen=True):
-    """Write what must outlive the process to disk, in place of what was written before."""
+    """Write these records to disk, replacing those written before."""
 
     records: tuple[CrashRecord, ...]
 
 
 class QuarantineSharing:
-    """The quarantine of a relay."""
+    """Maintains the quarantine table of a relay and shares its records."""
 
     def __init__(
         self, exchange: EndpointExchange, nodes: Collection[LinkId], is_kept: bool
     ) -> None:
-        """Know of nothing; where ``is_kept``, have changes written to disk.
+        """Start with an empty table; if ``is_kept``, changes are written to disk.
 
-        ``exchange`` has the links to the other relays, ``nodes`` are those of the sessions.
+        ``exchange`` holds the links to the other relays, ``nodes`` the links to nodes.
         """
         self.table = Quarantine()
         self._exchange = exchange
@@ -44,24 +45,24 @@
         self._is_kept = is_kept
 
     def remember(self, records: tuple[CrashRecord, ...], now: float) -> None:
-        """Begin with what was on disk."""
+        """Load the records that were stored on disk."""
         for record in records:
             self.table.merge(record, now)
 
     def welcome_node(self, link: LinkId, now: float) -> list[Command]:
-        """Tell a node that has just come, before it is told anything else."""
+        """Send the known records to a newly connected node, before anything else."""
         notable = self.table.notable(now)
         return [SendMessage(link, CrashesTold(notable))] if notable else []
 
     def welcome_relay(self, link: LinkId, now: float) -> list[Command]:
-        """Tell a relay on a new link all that is known."""
+        """Send all known records to a relay on a new link."""
         records = self.table.records(now)
         return [SendMessage(link, CrashesTold(records))] if records else []
 
     def received(
         self, link: LinkId, message: CrashesTold | CrashesDigest, now: float
     ) -> list[Command]:
-        """Take what a node or another relay knows; nobody else is heard."""
+        """Handle records or a digest from a node or relay; ignore all other peers."""
         is_node = link in self._nodes
         if not is_node and not self._exchange.owns(link):
             return []
@@ -71,20 +72,21 @@
         return self._spread(news, now, to_relays=is_node)
 
     def release(self, key: bytes, now: float) -> list[Command]:
-        """An operator lets a request go; nothing follows if it is not known."""
+        """Release a request for an operator; do nothing if it is not known."""
         cleared = self.table.cleared(key, now)
         return [] if cleared is None else self._spread((cleared,), now, to_relays=True)
 
     def _compared(self, link: LinkId, message: CrashesDigest, now: float) -> list[Command]:
-        """Tell a relay that knows something else what is known here."""
+        """Send all known records to a peer whose digest differs."""
         if message.digest == self.table.digest():
             return []
         return [SendMessage(link, CrashesTold(self.table.records(now)))]
 
     def tick(self, now: float) -> list[Command]:
-        """Forget what is old, and let the other relays compare.
+        """Remove old records and send a digest to the other relays.
 
-        One that knows of nothing says so too: whoever knows more tells it.
+        The digest is also sent when there are no records, so that relays with records
+        send them.
         """
         self.table.forget_old(now)
         payload = encode_message(CrashesDigest(self.table.digest()))
@@ -113,6 +115,6 @@
     def _as_known(
         self, records: tuple[CrashRecord, ...], now: float
     ) -> tuple[CrashRecord, ...]:
-        """Give all that is known of these requests, not only what was just told."""
+        """Return the complete known records of these requests, after merging."""
         known = (self.table.record(each.key, now) for each in records)
         return tuple(each for each in known if each is not None)
--- a/src/peppershore/process/quarantine/storage.py
+++ b/src/peppershore/process/quarantine/storage.py
@@ -1,8 +1,9 @@
-"""The quarantine on a hub's disk, so that it outlives the loss of power of all machines.
+"""Storage of the quarantine on a hub's disk, to survive a power loss of all machines.
 
-Only what two back ends or more ended under is kept; of one end nobody needs to know for
-long.  Ages are told by the time of day at the write, the only clock that goes on while a
-machine is without power: a step of it by seconds is nothing against a hold of minutes.
+Only requests under which two or more back ends crashed are stored; a single crash matters
+only for a short time. Ages are computed from the wall-clock time of the write, the only
+clock that advances while a machine has no power. A clock step of seconds does not matter
+because holds last minutes.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 FILE_NAME = "quarantine.state"
 MILLISECONDS = 1_000
 RETRY_SECONDS = 1.0
-"""A disk that refuses is asked again after so long; other hubs keep the same meanwhile."""
+"""Delay before a failed write is retried. Other hubs store the same data meanwhile."""
 
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
-    """What is stored, and the time of day at the write, Unix milliseconds."""
+    """Content of the file; ``saved_at`` is the time of the write in Unix milliseconds."""
 
     cluster: str
     saved_at: int
@@ -36,14 +37,14 @@
 
 
 class QuarantineNotKept(Notice, frozen=True):
-    """The disk refused the quarantine; it is written again later."""
+    """Writing the quarantine to disk failed; the write is retried."""
 
     level: ClassVar[str] = "warning"
     reason: str
 
 
 class QuarantineUnusable(Notice, frozen=True):
-    """The stored quarantine is not used; other hubs tell what they hold."""
+    """The stored quarantine cannot be used; other hubs send the records they hold."""
 
     level: ClassVar[str] = "warning"
     path: str
@@ -52,12 +53,12 @@
 
 
 class QuarantineKeeper:
-    """Reads the file of a hub, and has the newest state written, one write at a time."""
+    """Loads the quarantine file of a hub and writes new states, one at a time."""
 
     def __init__(
         self, data_folder: str, cluster: str, notice_sink: Callable[[Notice], None]
     ) -> None:
-        """Use the hub's folder."""
+        """Store the file in ``data_folder``; report problems to ``notice_sink``."""
         path = Path(data_folder) / FILE_NAME
         without = "the other hubs tell what they hold"
         self._file = WholeFile(path, StoredQuarantine, "quarantine", without)
@@ -69,7 +70,7 @@
         self._is_closing = False
 
     def load(self) -> tuple[CrashRecord, ...]:
-        """Give what was written, as old as it is by now."""
+        """Return the stored records, with ages advanced to the present."""
         loaded = self._file.load()
         if isinstance(loaded, Failure):
             problem = loaded.failure()
@@ -86,19 +87,19 @@
         )
 
     def keep(self, records: tuple[CrashRecord, ...]) -> None:
-        """Write these records in place of those before."""
+        """Write these records in the background, replacing the stored ones."""
         self._wanted = records
         if self._writing is None:
             self._writing = asyncio.get_running_loop().create_task(self._write())
 
     async def close(self) -> None:
-        """Wait for the write that is under way; one that a disk refuses is given up."""
+        """Wait for the current write; do not retry it if it fails."""
         self._is_closing = True
         if self._writing is not None:
             await self._writing
 
     async def _write(self) -> None:
-        """Write on a thread of its own: a slow disk must not hold up updates."""
+        """Write on a separate thread, so that a slow disk does not delay updates."""
         loop = asyncio.get_running_loop()
         while self._wanted is not None:
             records = self._wanted
--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -1,9 +1,9 @@
-"""The relay as a step function: replica in, nodes and other relays out.
+"""State machine of a relay: receives events, returns commands, does no I/O.
 
-The parts decide each on its own matter: ``source`` what is followed and how
-fresh it is, ``tree_follower`` the accepted tree, ``distribution`` and
-``node_service`` the nodes, ``endpoints.exchange`` the other relays.  This module
-routes events between them.
+This module routes events to the components that handle them. ``source`` follows a
+control replica and tracks how fresh its data is. ``tree_follower`` holds the accepted
+configuration tree. ``distribution`` and ``node_service`` serve the nodes, and
+``endpoints.exchange`` synchronizes the endpoint table with the other relays.
 """
 
 from __future__ import annotations
@@ -78,28 +78,29 @@
 
 HOLD_CHECK_SECONDS = 0.1
 PAUSE_SECONDS = 3.0
-"""Without any event for this long the process can't have been running."""
+"""If no event arrives for this long, the process must have been suspended."""
 CLOCKS_SECONDS = 0.5
-"""After so long without any event, many times the wait between two heartbeats, this
-clock may have gone on without its nodes': theirs are told anew first."""
+"""After this long without an event, this relay's clock may have advanced while its
+nodes' clocks did not. It then needs a new reading of each node's clock. The bound is
+several times the interval between two heartbeat slots."""
 HELLO_SECONDS = 10.0
-"""A link that has not said hello after this is closed."""
+"""A link on which no hello arrives within this time is closed."""
 
 
 class RelaysChanged(events.Event, frozen=True):
-    """These are the relays of the cluster from now on."""
+    """The set of relays in the cluster changed to this list."""
 
     relays: tuple[PeerRelay, ...]
 
 
 class RequestReleased(events.Event, frozen=True):
-    """An operator lets a request go that is held."""
+    """An operator released a quarantined request so that it may run again."""
 
     key: bytes
 
 
 class RelayCore:
-    """Decides everything a relay does; see ``process.core.Core``."""
+    """State machine of a relay; implements ``process.core.Core``."""
 
     def __init__(
         self,
@@ -107,9 +108,10 @@
         remembered: tuple[CrashRecord, ...] = (),
         keeps_quarantine: bool = False,
     ) -> None:
-        """Begin without a tree, with the requests that were held before the start.
+        """Start without a configuration tree.
 
-        ``keeps_quarantine``: the shell writes the quarantine to disk when it changes.
+        ``remembered`` holds the quarantine records stored before the start. If
+        ``keeps_quarantine``, the shell writes the quarantine to disk when it changes.
         """
         numbers = LinkNumbers()
         self._settings = settings
@@ -149,7 +151,7 @@
         self._out: list[Command] = []
 
     def step(self, event: events.Event, now: float) -> list[Command]:
-        """Take one event; give the commands it leads to."""
+        """Handle one event and return the commands to execute."""
         self._note_pause(now)
         self._now = now
         self._out = []
@@ -160,7 +162,7 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether a quorum confirmed the version recently, as of the last event."""
+        """Whether, as of the last event, a quorum recently confirmed the version."""
         return self._was_fresh
 
     # --- events ----------------------------------------------------------------
@@ -185,7 +187,7 @@
             case RelaysChanged():
                 self._do(self.exchange.use_relays(event.relays, self._now))
             case _:
-                raise AssertionError(f"a relay takes no {type(event).__name__}")
+                raise AssertionError(f"relay cannot handle event {type(event).__name__}")
 
     def _started(self, event: events.Started) -> None:
         randomness = Randomness(event.seed)
@@ -237,7 +239,7 @@
             self._first_message(link, message)
 
     def _pass_on(self, node: str, message: EvidenceTold) -> None:
-        """Let the replica hear what a node saw of its own back end."""
+        """Forward a node's evidence about its local back end to the replica."""
         if message.evidence.node == node and self.source.is_open:
             assert self.source.link is not None
             told = EvidenceShared(message.evidence)
@@ -284,7 +286,7 @@
         elif timer == PROGRESS_TIMER:
             self._report_progress()
         else:
-            raise AssertionError(f"a relay sets no timer {timer}")
+            raise AssertionError(f"unknown relay timer: {timer}")
 
     def _stop(self) -> None:
         if self._planned_stop is not None:
@@ -295,7 +297,7 @@
         self._continue_stop()
 
     def _send_nodes_away(self) -> None:
-        """Let nodes go to other relays once only this one is not confirmed."""
+        """Redirect nodes to other relays if only this relay lacks confirmations."""
         was_cut_off = self._is_cut_off
         elsewhere = self.exchange.confirmed_elsewhere()
         self._is_cut_off = self.source.is_cut_off(elsewhere, self._now)
@@ -321,7 +323,7 @@
                 self._out.append(CloseLink(link, "no hello"))
 
     def _note_pause(self, now: float) -> None:
-        """Notice that this process did not run, for instance while it was stopped."""
+        """Detect that this process was suspended, for instance stopped by a signal."""
         pause = now - self._now
         is_started = bool(self._timers_set)
         if not is_started or pause < CLOCKS_SECONDS:
@@ -333,7 +335,7 @@
         self._pause_milliseconds = round(pause * 1_000)
 
     def _after_event(self) -> None:
-        """Do what several kinds of events can make due."""
+        """Run the follow-up work that several kinds of events can trigger."""
         self._do(self.nodes.list_relays())
         self._note_freshness()
         if self._pause_milliseconds:
@@ -348,7 +350,7 @@
             self._set_timer(PROGRESS_TIMER, PROGRESS_SECONDS)
 
     def _endpoints_changed(self) -> None:
-        """Tell nodes: at once of what must not wait, of the rest after a window."""
+        """Send urgent endpoint changes at once and plan the others for a later batch."""
         changed = self.exchange.changed.values()
         if self.holds.held and any(each.state == STATE_READY for each in changed):
             self._do(self.rollout.release_held(self._now))
@@ -359,7 +361,7 @@
             self._set_timer(FANOUT_TIMER, wait)
 
     def _endpoints_due(self) -> None:
-        """Tell nodes of all changed endpoints, unless a storm makes them wait."""
+        """Send all changed endpoints to nodes, unless a burst of changes delays them."""
         changed = self.exchange.changed.values()
         if not changed:
             return
--- a/src/peppershore/process/relay/departures.py
+++ b/src/peppershore/process/relay/departures.py
@@ -1,9 +1,9 @@
-"""Nodes whose session ended and that have not come back yet.
+"""Nodes whose session ended and that have not reconnected yet.
 
-Such a node may still serve calls by what it held, so a change counts as in
-force only when the node is seen again, here or at another relay, or when it has
-been away for so long that it counts as gone.  The rotation of a secret waits for
-it much longer: a verifier that was silent for minutes may go on at any moment.
+Such a node may still serve calls with the configuration it held. A change therefore
+counts as in force only when the node is seen again, at this relay or another, or when
+it has been away so long that it counts as gone. The rotation of a secret waits much
+longer, because a node that verifies tokens may resume after minutes of silence.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 AWAY_SECONDS = 8.0
 HANDOVER_SECONDS = 1.5
-"""How long a node seen at another relay still counts here: that relay reports
-once a second, and its report must be known before this one counts the node no
-more."""
+"""How long a node seen at another relay still counts here. The other relay reports
+progress once a second, and that report must arrive before this relay stops counting
+the node."""
 VERIFIER_SECONDS = 120.0
-"""How long a node that left without a word holds up the rotation of a secret.
+"""How long a node that left without notice delays the rotation of a secret.
 
-Safety does not rest on it: a node whose configuration was not confirmed for
-``request.audience.REFUSAL_FRESHNESS_SECONDS`` refuses nobody for a key that it
-does not know.  The wait spares members the detour over another back end."""
+Safety does not depend on this delay: a node whose configuration was not confirmed for
+``request.audience.REFUSAL_FRESHNESS_SECONDS`` does not refuse callers because of an
+unknown key. The delay avoids retries at another back end."""
 MAX_AWAY = 20_000
 
 
 class Departure(msgspec.Struct, frozen=True):
     """What a node held when its session ended; times are monotonic seconds.
 
-    It counts for what is in force until ``until``, and for the rotation of secrets
-    until ``verifies_until``.
+    The node counts for the version in force until ``until``, and for the rotation of
+    secrets until ``verifies_until``.
     """
 
     node: str
@@ -44,21 +44,21 @@
 
 
 class Departures:
-    """The nodes that are away."""
+    """Nodes that disconnected from this relay and have not reconnected yet."""
 
     def __init__(self, catalog: ScopeCatalog) -> None:
-        """Judge what they hold by a catalog."""
+        """Compare what the nodes hold with the scopes of ``catalog``."""
         self._catalog = catalog
         self._away: dict[str, Departure] = {}
         self._ended: set[str] = set()
-        """Those that count no more for what is in force."""
+        """Nodes that no longer count for the version in force."""
 
     def __len__(self) -> int:
-        """Count the nodes that are away."""
+        """Return the number of disconnected nodes."""
         return len(self._away)
 
     def left(self, session: NodeSession, now: float) -> None:
-        """Note a node whose session ended, if it held anything."""
+        """Record a node whose session ended, if it held a configuration."""
         self._away.pop(session.node, None)
         if session.version == 0 or len(self._away) >= MAX_AWAY:
             return
@@ -72,11 +72,11 @@
         )
 
     def came_back(self, node: str) -> None:
-        """Forget a node that has a session here again."""
+        """Remove a node that reconnected to this relay."""
         self._away.pop(node, None)
 
     def seen_elsewhere(self, node: str, now: float) -> None:
-        """Count a node no more once the relay that has it now had time to report."""
+        """Stop counting a node after its new relay has had time to report it."""
         away = self._away.get(node)
         if away is None:
             return
@@ -88,7 +88,7 @@
         )
 
     def drop_old(self, now: float) -> bool:
-        """Forget nodes that count no more; tell whether a bound of any has passed."""
+        """Remove expired nodes; return whether a deadline of any node has passed."""
         ended = {node for node, each in self._away.items() if now >= each.until}
         has_changed = ended != self._ended
         over = [node for node, each in self._away.items() if now >= each.verifies_until]
@@ -98,11 +98,11 @@
         return has_changed or bool(over)
 
     def lagging(self, now: float) -> list[Departure]:
-        """Give the nodes away that lack a change and count for what is in force."""
+        """Return the nodes of ``silent`` that still count for the version in force."""
         return [each for each in self.silent() if now < each.until]
 
     def silent(self) -> list[Departure]:
-        """Give all nodes away that lack a change, the one furthest behind first."""
+        """Return all disconnected nodes that lack a change, lowest version first."""
         behind = [
             each
             for each in self._away.values()
--- a/src/peppershore/process/relay/distribution.py
+++ b/src/peppershore/process/relay/distribution.py
@@ -1,11 +1,12 @@
-"""Which session needs which update, and when it is sent.
+"""Decide which session needs which update, and when it is sent.
 
-At most one update is outstanding at a session: changes that come meanwhile are
-sent together once it is answered.  So a slow node costs no memory.
+At most one update per session is unanswered. Changes that arrive in the meantime are
+sent together after the answer, so a slow node uses no extra memory.
 
-A node may take versions from two relays while it moves, so its words can cross
-an update.  An older word does not answer a newer update, and a node counts as
-current only by a digest that it named together with a high enough version.
+While a node moves between two relays it may receive versions from both, so its messages
+and this relay's updates can be reordered. A message about an older version does not
+answer a newer update. A node counts as current only if it reported the right digest
+together with a high enough version.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 
 
 class Distributor:
-    """All sessions of a relay and what each of them is to be sent."""
+    """The node sessions of a relay and the updates each of them needs."""
 
     def __init__(
         self, catalog: ScopeCatalog, holds: HoldBook, fanout: EndpointFanout
     ) -> None:
-        """Serve the scopes of a catalog, except while they are held.
+        """Serve the scopes of ``catalog``, except those that ``holds`` delays.
 
-        ``fanout`` sends the endpoints of services that come with an update.
+        ``fanout`` sends the endpoints of services that an update adds to a node.
         """
         self.sessions: dict[LinkId, NodeSession] = {}
         self.sessions_by_scope: dict[Scope, dict[LinkId, NodeSession]] = {}
@@ -51,22 +52,23 @@
         self._holds = holds
         self._fanout = fanout
         self._ahead: dict[LinkId, NodeSession] = {}
-        """Those that hold a later version than this relay, from another one."""
+        """Sessions whose node has a later version than this relay, from another relay."""
         self._idle_scopes: dict[Scope, float] = {}
         self._by_node: dict[str, NodeSession] = {}
         self._version: Version = 0
 
     @property
     def version(self) -> Version:
-        """Version of the tree that is distributed."""
+        """Version of the tree being distributed."""
         return self._version
 
     def tree_changed(self, version: Version, affected: Iterable[Scope]) -> frozenset[Scope]:
-        """Note a new tree version; give the scopes that may need an update.
+        """Record a new tree version and return the scopes that may need an update.
 
-        Edits may have come together: what a scope lacks may be any since the last.  A
-        scope that is as this relay last knew it may have changed and changed back: a
-        node that was ahead may hold what was between.
+        Several edits may arrive together, so a node may lack any version since the
+        previous one. Nodes that were ahead of this relay are included even if their
+        scope is unchanged: it may have changed and changed back, and such a node may
+        hold the intermediate state.
         """
         for scope in affected:
             for session in self.sessions_of(scope):
@@ -78,15 +80,15 @@
         return frozenset(affected).union(session.scope for session in ahead)
 
     def sessions_of(self, scope: Scope) -> tuple[NodeSession, ...]:
-        """The sessions of one scope."""
+        """Return the sessions of one scope."""
         return tuple(self.sessions_by_scope.get(scope, {}).values())
 
     def has_node(self, node: str) -> bool:
-        """Tell whether a session of the node is open."""
+        """Return whether the node has an open session."""
         return node in self._by_node
 
     def add(self, session: NodeSession) -> None:
-        """Take a session after its hello; nothing is sent yet."""
+        """Register a session after its hello, without sending anything yet."""
         self.sessions[session.link] = session
         self.sessions_by_scope.setdefault(session.scope, {})[session.link] = session
         self._by_node[session.node] = session
@@ -98,7 +100,10 @@
             self.unconfirmed[session.link] = session
 
     def remove(self, link: LinkId, now: float) -> NodeSession | None:
-        """Forget a session; its scope is kept for a while."""
+        """Remove a session; its scope stays in the catalog for ``IDLE_SCOPE_SECONDS``.
+
+        Return the session, or None if the link has none.
+        """
         session = self.sessions.pop(link, None)
         if session is None:
             return None
@@ -115,7 +120,10 @@
         return session
 
     def drop_idle_scopes(self, now: float) -> list[Scope]:
-        """Forget the scopes that had no node for long, so deltas need no room."""
+        """Remove and return scopes that were idle too long, to free memory for deltas.
+
+        A scope is idle if it has no node; the bound is ``IDLE_SCOPE_SECONDS``.
+        """
         dropped = [
             scope
             for scope, since in self._idle_scopes.items()
@@ -128,7 +136,10 @@
         return dropped
 
     def confirm(self, confirmed_at: float) -> list[NodeSession]:
-        """Give the sessions whose wait for a confirmation is over."""
+        """Return the sessions whose hello is no later than this confirmation.
+
+        They need not wait for a confirmation any longer.
+        """
         ready = [
             session
             for session in self.unconfirmed.values()
@@ -140,15 +151,15 @@
         return ready
 
     def unanswered(self) -> list[NodeSession]:
-        """Give the sessions whose hello could not be answered so far."""
+        """Return the sessions whose hello has not been answered yet."""
         return [session for session in self.behind.values() if not session.answered]
 
     def offer_all(
         self, sessions: Iterable[NodeSession], confirmed_at: float | None
     ) -> list[Command]:
-        """Send to each of these sessions what it needs; equal updates are packed once.
+        """Send each session the update it needs; pack identical updates only once.
 
-        ``confirmed_at``: when a quorum confirmed the version, monotonic seconds.
+        ``confirmed_at`` is when a quorum confirmed the version, in monotonic seconds.
         """
         packed: dict[tuple[Scope, Digest], bytes] = {}
         out: list[Command] = []
@@ -158,7 +169,7 @@
         return out
 
     def applied(self, session: NodeSession, message: UpdateApplied) -> bool:
-        """Take a node's word that it holds a version; tell whether more is due."""
+        """Handle a node's report of an applied version; return whether it needs more."""
         is_older = message.version < session.outstanding_version
         session.version = max(session.version, message.version)
         if is_older:
@@ -175,9 +186,9 @@
     def refused(
         self, session: NodeSession, version: Version, is_unconfirmed: bool, now: float
     ) -> bool:
-        """Take a node's refusal; tell whether full state is due now.
+        """Handle a refused update; return whether to send the full state now.
 
-        ``is_unconfirmed``: the node asks for one confirmed after this moment.
+        If ``is_unconfirmed``, the node needs an update confirmed after ``now``.
         """
         if version != session.outstanding_version:
             return False
@@ -191,7 +202,7 @@
         return False
 
     def in_force(self) -> Version:
-        """Every session that holds anything holds all changes up to this version."""
+        """Return the version up to which each configured node has all changes."""
         lowest = self._version
         for session in self.behind.values():
             if session.version:
@@ -199,13 +210,16 @@
         return lowest
 
     def effective_version(self, session: NodeSession) -> Version:
-        """Give the highest version that is in effect at a node."""
+        """Return the highest version that is in effect at a node."""
         if session.behind_since:
             return session.version
         return max(session.version, self._version)
 
     def freshness(self, session: NodeSession, confirmed_at: float | None) -> Freshness:
-        """Give the heartbeat of a session; it confirms nothing to a node that is behind."""
+        """Return the heartbeat of a session.
+
+        Its digest is 0 for a node that is behind, so that it confirms nothing.
+        """
         digest = 0 if session.behind_since else session.digest
         version = self.effective_version(session)
         return Freshness(version, session.confirmed_at(confirmed_at), digest)
@@ -241,10 +255,11 @@
         return session.scope in self._holds.held and not session.holds_nothing
 
     def _is_current(self, session: NodeSession) -> bool:
-        """Tell whether the node holds all that this relay knows, by its own word.
+        """Return whether the node reported all that this relay knows.
 
-        An equal digest is not enough: a node that holds what the scope went back
-        to may yet take the version between from another relay.
+        An equal digest alone is not enough. If a scope changed and changed back, a
+        node with the original state may still receive the intermediate version from
+        another relay.
         """
         if session.version > self._version:
             return True
@@ -255,7 +270,10 @@
     def _answer_current(
         self, session: NodeSession, confirmed_at: float | None
     ) -> list[Command]:
-        """Tell a node that lacks nothing; it counts as current once it agrees."""
+        """Report to a node that it lacks no change.
+
+        The node counts as current once its own reports show the same.
+        """
         is_current = self._is_current(session)
         version = max(session.version, self._version)
         if is_current:
--- a/src/peppershore/process/relay/endpoint_fanout.py
+++ b/src/peppershore/process/relay/endpoint_fanout.py
@@ -1,7 +1,7 @@
-"""Which nodes are told of which endpoints, and in what form.
+"""Encode endpoint messages and select the nodes that receive them.
 
-A node is told of the services its snapshot holds.  Changes that go out together
-(see ``fanout_pace``) are encoded once per scope.
+A node receives the endpoints of the services in its snapshot. Changes that are sent
+together (see ``fanout_pace``) are encoded once per scope.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 
 class NewServices(NamedTuple):
-    """Encoded endpoints of services that a scope's nodes come to hold.
+    """Encoded endpoints of services that are new to the nodes of a scope.
 
-    ``digest`` is that of these endpoints at the time.
+    ``digest`` is the digest of these endpoints when they were encoded.
     """
 
     services: frozenset[str]
@@ -44,7 +44,7 @@
     """Encodes endpoint messages for the nodes of a relay."""
 
     def __init__(self, catalog: ScopeCatalog, table: EndpointTable) -> None:
-        """Tell of the endpoints in a table."""
+        """Send the endpoints of ``table`` to nodes, by the services of their scope."""
         self.bytes_sent = 0
         self._catalog = catalog
         self._table = table
@@ -52,19 +52,19 @@
         self._of_new: dict[Scope, NewServices] = {}
 
     def forget_scope(self, scope: Scope) -> None:
-        """Drop what is kept for a scope that no node of this relay has."""
+        """Drop the cached messages of a scope that has no nodes at this relay."""
         self._complete.pop(scope, None)
         self._of_new.pop(scope, None)
 
     def digest_for(self, session: NodeSession) -> Command:
-        """Give the message that tells a node which endpoints it should hold."""
+        """Return a message with the digest of the endpoints a node should hold."""
         digest = self._table.digest(self._catalog.services_held(session.scope))
         return self._send(session, encode_message(EndpointsHeld(digest)))
 
     def answer_held(
         self, session: NodeSession, held: EndpointsHeld, is_settled: bool
     ) -> list[Command]:
-        """Send a node all endpoints of its services if it holds others."""
+        """Send a node all endpoints of its services if its digest differs."""
         services = self._catalog.services_held(session.scope)
         digest = self._table.digest(services)
         if held.digest == digest:
@@ -74,9 +74,10 @@
         ]
 
     def before_update(self, session: NodeSession, update: Update) -> list[Command]:
-        """Send the endpoints of the services that a node comes to hold by an update.
+        """Return messages with the endpoints of services that an update adds to a node.
 
-        They go first: a route must not begin before the endpoints of its target.
+        They are sent before the update, because a route must not become active before
+        the node knows the endpoints of its target.
         """
         held = self._catalog.services_held(session.scope)
         missing = _missing_services(held, session.services_told, update)
@@ -86,7 +87,7 @@
         return [self._send(session, self._encode_new(session.scope, missing))]
 
     def told_all(self, session: NodeSession) -> None:
-        """Note that a node which is current compares its endpoints by itself."""
+        """Record that a current node compares its endpoints by digest itself."""
         session.services_told = self._catalog.services_held(session.scope)
 
     def changes(
@@ -94,7 +95,7 @@
         changed: Iterable[Endpoint],
         sessions_by_scope: dict[Scope, dict[LinkId, NodeSession]],
     ) -> list[Command]:
-        """Send changed endpoints to the sessions of the scopes that may use them."""
+        """Send changed endpoints to the sessions whose scopes may use them."""
         endpoints = tuple(changed)
         out: list[Command] = []
         for scope, sessions in sessions_by_scope.items():
@@ -134,7 +135,10 @@
 def _missing_services(
     held: frozenset[str], told: frozenset[str] | None, update: Update
 ) -> frozenset[str]:
-    """Services new to a node; for one that just came, all that its update names."""
+    """Return the services that are new to a node.
+
+    For a node that just connected, return the services named in its update.
+    """
     if told is not None:
         return held - told
     named = frozenset(resource.name for resource in update.changed)
@@ -146,5 +150,5 @@
 
 
 def is_urgent(endpoint: Endpoint) -> bool:
-    """Tell whether nodes must hear of an endpoint's state without delay."""
+    """Return whether nodes must learn of an endpoint's state without delay."""
     return endpoint.state in URGENT_STATES
--- a/src/peppershore/process/relay/fanout_pace.py
+++ b/src/peppershore/process/relay/fanout_pace.py
@@ -1,7 +1,8 @@
-"""When changed endpoints go out to nodes: few soon, many together, urgent ones first.
+"""Schedule when endpoint changes are sent to nodes.
 
-In a storm each node would otherwise hear of nearly every endpoint in a message
-of its own.  Times are seconds of the monotonic clock.
+A few changes are sent soon, a burst of changes is batched, and urgent changes are sent
+first. Without batching, a burst would send each node nearly one message per endpoint.
+Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,25 +10,27 @@
 import math
 
 WINDOW_SECONDS = 0.05
-"""Changes within this time go out together; urgent ones that follow others wait for it."""
+"""Changes within this time are sent together; an urgent change waits until this
+long after the previous message."""
 
 STORM_WINDOW_SECONDS = 0.5
 STORM_ENDPOINTS = 10
-"""So many changes in one window are a storm: only urgent ones then go out sooner."""
+"""This many changes in one window count as a burst, which is sent later unless a
+change is urgent."""
 
 
 class FanoutPace:
-    """Decides when the next message of changed endpoints is due."""
+    """Decides when the next message with changed endpoints is due."""
 
     def __init__(self) -> None:
-        """Start with nothing sent and nothing due."""
+        """Start with nothing sent and nothing planned."""
         self._sent_at = -math.inf
         self._due_at = math.inf
 
     def plan(self, is_urgent: bool, now: float) -> float | None:
-        """Take note that endpoints wait; give the seconds until they are due.
+        """Plan a message for waiting changes; return the seconds until it is due.
 
-        0 means now, None that the time planned before stands.
+        Return 0 to send now, or None if the time planned earlier still applies.
         """
         is_planned = self._due_at < math.inf
         if is_planned and not is_urgent:
@@ -41,7 +44,7 @@
         return due_at - now
 
     def postponed(self, waiting: int, is_urgent: bool, now: float) -> float:
-        """Give the seconds for which what is due waits longer; 0: it goes out now."""
+        """Return the seconds by which to delay a due message, or 0 to send it now."""
         storm_ends_at = self._sent_at + STORM_WINDOW_SECONDS
         if is_urgent or waiting < STORM_ENDPOINTS or now >= storm_ends_at:
             return 0.0
@@ -49,6 +52,6 @@
         return storm_ends_at - now
 
     def sent(self, now: float) -> None:
-        """Take note that everything went out."""
+        """Record that all waiting changes were sent."""
         self._sent_at = now
         self._due_at = math.inf
--- a/src/peppershore/process/relay/heartbeats.py
+++ b/src/peppershore/process/relay/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats to nodes, spread over the period, and nodes that fell silent.
+"""Heartbeats to nodes, spread over the period, and detection of silent nodes.
 
-A period is cut into slots and each session has a turn in one of them, so that a
-relay with thousands of sessions never sends to all of them at once.
+The period is divided into slots and each session is assigned to one, so that a relay
+with thousands of sessions never sends to all of them at once.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 SLOTS = 16
 SILENT_PERIODS = 3
-"""A node that says nothing for this many periods is gone."""
+"""The session of a node that sends nothing for this many periods is closed."""
 
 
 class Heartbeats:
-    """Whose turn it is, and what they are told."""
+    """Assigns sessions to heartbeat slots and encodes their heartbeats."""
 
     def __init__(
         self,
         period_seconds: float,
         freshness: Callable[[NodeSession, float | None], Freshness],
     ) -> None:
-        """Tell each session its ``freshness`` once a period."""
+        """Send each session the result of ``freshness`` once per period."""
         self.bytes_sent = 0
         self._period_seconds = period_seconds
         self._freshness = freshness
@@ -36,19 +36,19 @@
 
     @property
     def slot_seconds(self) -> float:
-        """Time between two turns."""
+        """Time between two slots, in seconds."""
         return self._period_seconds / SLOTS
 
     def add(self, session: NodeSession) -> None:
-        """Give a session its slot."""
+        """Assign a session to its slot."""
         self._slots[_slot_of(session)][session.link] = session
 
     def remove(self, session: NodeSession) -> None:
-        """Take a session out."""
+        """Remove a session from its slot."""
         self._slots[_slot_of(session)].pop(session.link, None)
 
     def next_slot(self, now: float) -> tuple[list[NodeSession], list[NodeSession]]:
-        """Give the sessions whose turn it is: those alive, and those silent."""
+        """Advance to the next slot; return its live sessions and its silent ones."""
         self._slot = (self._slot + 1) % SLOTS
         silent_before = now - SILENT_PERIODS * self._period_seconds
         alive: list[NodeSession] = []
@@ -60,7 +60,7 @@
     def tell(
         self, sessions: list[NodeSession], confirmed_at: float | None
     ) -> list[Command]:
-        """Send each of these sessions its heartbeat, by its own clock."""
+        """Send each session its heartbeat, with times on the clock of its node."""
         out: list[Command] = []
         for session in sessions:
             payload = encode_message(self._freshness(session, confirmed_at))
--- a/src/peppershore/process/relay/hold.py
+++ b/src/peppershore/process/relay/hold.py
@@ -1,9 +1,9 @@
-"""Changes that wait because a route's new target has nobody ready.
+"""Delay changes whose routes point to a target without a ready endpoint.
 
-A scope is held as a whole: a snapshot goes out whole or not at all.  It is
-released when every target it waits for has a ready endpoint, or when the bound
-has passed.  Nodes that hold nothing are never made to wait, nor is anything when
-the relay has its first tree.
+A scope is held as a whole, because a snapshot is sent completely or not at all. It is
+released when every awaited target has a ready endpoint, or after a maximum time. Nodes
+without a configuration never wait, and nothing is held when the relay loads its first
+tree.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class HeldScope(msgspec.Struct, frozen=True):
-    """A scope whose newest version waits.  ``since`` is monotonic seconds."""
+    """A scope whose newest version is held back; ``since`` is monotonic seconds."""
 
     scope: Scope
     version: Version
@@ -44,13 +44,13 @@
 
     @property
     def reason(self) -> str:
-        """Tell operators what is waited for."""
+        """Description for operators of what the scope waits for."""
         first = self.awaited[0]
         return f"{first.route} waits for a ready endpoint of {first.target}"
 
 
 class ReleasedScope(msgspec.Struct, frozen=True):
-    """A scope that waited and now goes out."""
+    """A scope that was held and is now sent to its nodes."""
 
     held: HeldScope
     became_ready: bool
@@ -58,7 +58,7 @@
 
 
 class _Released(msgspec.Struct):
-    """What the nodes of a scope may hold: digest, version, each route's target."""
+    """Latest state released to the nodes of a scope; ``targets`` is keyed by route."""
 
     digest: Digest
     version: Version
@@ -66,12 +66,12 @@
 
 
 class HoldBook:
-    """Which scopes are held, and what was released before."""
+    """Tracks which scopes are held and the state last released for each scope."""
 
     def __init__(
         self, catalog: ScopeCatalog, table: EndpointTable, hold_seconds: float
     ) -> None:
-        """Hold scopes for up to ``hold_seconds``; 0 holds nothing."""
+        """Hold scopes for at most ``hold_seconds``; 0 disables holding."""
         self.held: dict[Scope, HeldScope] = {}
         self._catalog = catalog
         self._table = table
@@ -79,7 +79,7 @@
         self._released: dict[Scope, _Released] = {}
 
     def use(self, scope: Scope) -> None:
-        """Take a scope's present state for released when its first node comes."""
+        """Treat a scope's current state as released when its first node connects."""
         if scope in self._released:
             return
         snapshot = self._catalog.snapshot(scope)
@@ -91,12 +91,12 @@
         )
 
     def forget(self, scope: Scope) -> None:
-        """Drop what is kept of a scope without nodes."""
+        """Remove the state of a scope that has no nodes."""
         self._released.pop(scope, None)
         self.held.pop(scope, None)
 
     def changed(self, scopes: Iterable[Scope], now: float) -> list[HeldScope]:
-        """Decide for changed scopes; give those that begin to wait."""
+        """Hold or release each changed scope; return those newly held."""
         begun: list[HeldScope] = []
         for scope in scopes:
             if scope not in self._released:
@@ -114,7 +114,7 @@
         return begun
 
     def due(self, now: float) -> list[ReleasedScope]:
-        """Release the scopes whose targets are ready or whose bound has passed."""
+        """Release and return scopes whose targets are ready or whose time is up."""
         released: list[ReleasedScope] = []
         for held in list(self.held.values()):
             is_ready = all(self._table.has_ready(each.target) for each in held.awaited)
@@ -161,12 +161,12 @@
 
 
 def route_target(route: RouteResource) -> str:
-    """Give the service whose back ends take a route's calls."""
+    """Return the service whose back ends receive a route's calls."""
     return route.settings.target or route.service
 
 
 def _targets(resources: Iterable[Resource]) -> dict[str, RouteResource]:
-    """Give the routes among resources, by name."""
+    """Return the routes among ``resources``, keyed by resource name."""
     routes: dict[str, RouteResource] = {}
     for resource in resources:
         if not resource.name.startswith(ROUTE_PREFIX):
--- a/src/peppershore/process/relay/node_clock.py
+++ b/src/peppershore/process/relay/node_clock.py
@@ -1,8 +1,8 @@
-"""A node's own clock as its relay knows it: times are told to the node by it.
+"""Conversion of relay times to the clock of a node.
 
-An age told by the relay would be as of the sending, and the node could not tell how
-long the message then waited on a full link.  A time of the node's own clock says the
-same whenever it arrives.
+If the relay sent the age of a confirmation, the node could not know how long the
+message then waited on a congested link. A time on the node's own clock stays correct
+however late the message arrives.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeClock:
-    """What a node's clock showed when it spoke last, and when that was heard.
+    """Last known reading of a node's clock, and when the relay received it.
 
-    ``heard_at`` is monotonic seconds of the relay.  The node's word was under way for a
-    while, so its clock has gone on further than this by now, never less.
+    ``heard_at`` is monotonic seconds of the relay. The message took some time to
+    arrive, so the node's clock is never behind the time computed from this reading.
     """
 
     shown_milliseconds: int
     heard_at: float
 
     def at(self, relay_time: float | None) -> int | None:
-        """Give what the node's clock showed at least at a time of the relay."""
+        """Return a lower bound, in milliseconds, of the node's clock at a relay time."""
         if relay_time is None:
             return None
         passed = (relay_time - self.heard_at) * MILLISECONDS
--- a/src/peppershore/process/relay/node_service.py
+++ b/src/peppershore/process/relay/node_service.py
@@ -1,4 +1,4 @@
-"""How a relay serves its nodes: hello, updates, heartbeats, endpoints."""
+"""Serve the nodes of a relay: hello, updates, heartbeats and endpoints."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
 
 
 class NodeService:
-    """The sessions of a relay's nodes.
+    """Handles the sessions of a relay's nodes.
 
-    Every method gives the commands it leads to; ``progress_changed`` tells the
-    core that there is something new to report.
+    Most methods return the commands to execute. ``progress_changed`` is set when there
+    is new progress for the core to report.
     """
 
     def __init__(
@@ -62,10 +62,10 @@
         exchange: EndpointExchange,
         fanout: EndpointFanout,
     ) -> None:
-        """Serve nodes from these parts."""
+        """Serve nodes with the given components."""
         self.progress_changed = False
         self.deferred_until = 0.0
-        """When the last node that was told to come back later is due (monotonic)."""
+        """Latest monotonic time, in seconds, at which a deferred node is to return."""
         self.heartbeats = Heartbeats(
             settings.freshness_milliseconds / 1_000, distributor.freshness
         )
@@ -89,7 +89,7 @@
         )
 
     def list_relays(self) -> list[Command]:
-        """Tell every node of the relays there are, where they change with the cluster."""
+        """Send every node the list of relays, if that is enabled and the list changed."""
         if not self._settings.lists_relays:
             return []
         listed = self._listed()
@@ -99,7 +99,7 @@
         return [SendMessage(link, listed) for link in self._distributor.sessions]
 
     def first_message(self, link: LinkId, message: Message, now: float) -> list[Command]:
-        """Take what a link says first: only a hello begins a session."""
+        """Handle the first message on a link; only a hello starts a session."""
         if not isinstance(message, NodeHello):
             return _refuse(link, "hello_expected", type(message).__name__)
         if message.cluster != self._settings.cluster:
@@ -109,7 +109,7 @@
         return self._welcome(link, message, now)
 
     def received(self, session: NodeSession, message: Message, now: float) -> list[Command]:
-        """Take a message of a node."""
+        """Handle a message from a node that has a session."""
         session.last_heard = now
         out = self._vouch_again(session, now)
         match message:
@@ -131,25 +131,25 @@
         return out
 
     def closed(self, link: LinkId, reason: str, now: float) -> list[Command]:
-        """Forget the session of a link that is gone."""
+        """Remove the session of a closed link."""
         session = self._end(link, now)
         if session is None:
             return []
         return [Report(notices.NodeDisconnected(session.node, reason))]
 
     def offer(self, sessions: Iterable[NodeSession]) -> list[Command]:
-        """Send these sessions what they need."""
+        """Send each session the update it needs."""
         return self._distributor.offer_all(sessions, self._source.confirmed_at)
 
     def release_confirmed(self) -> list[Command]:
-        """Serve the nodes that waited for a confirmation after their hello."""
+        """Send updates to nodes whose wait for a confirmation is over."""
         confirmed_at = self._source.confirmed_at
         if confirmed_at is None or not self._distributor.unconfirmed:
             return []
         return self.offer(self._distributor.confirm(confirmed_at))
 
     def heartbeat(self, now: float) -> list[Command]:
-        """Tell the sessions whose turn it is how fresh their version is."""
+        """Send the heartbeats of the next slot and close its silent sessions."""
         alive, silent = self.heartbeats.next_slot(now)
         out = self.heartbeats.tell(alive, self._source.confirmed_at)
         for session in silent:
@@ -160,7 +160,7 @@
         return out + self._settle(now)
 
     def send_away(self) -> list[Command]:
-        """Tell every node to use another relay; this one goes on serving until then."""
+        """Redirect every node to another relay, and serve each until it leaves."""
         links = list(self._distributor.sessions)
         if not links:
             return []
@@ -168,7 +168,7 @@
         return [Report(notices.NodesSentAway(len(links))), *goodbyes]
 
     def endpoint_changes(self, now: float) -> list[Command]:
-        """Tell nodes of all endpoints that changed since the last call."""
+        """Send nodes all endpoints that changed since the previous call."""
         changed = tuple(self._exchange.changed.values())
         self._exchange.changed.clear()
         for endpoint in changed:
@@ -177,7 +177,7 @@
         return self._fanout.changes(changed, self._distributor.sessions_by_scope)
 
     def resumed(self, pause_seconds: float, now: float) -> None:
-        """Go on after a pause: no node is vouched for until it is heard again."""
+        """Resume after a suspension; advertise no node until it sends a message again."""
         sessions = self._distributor.sessions.values()
         for session in sessions:
             session.is_vouched = False
@@ -187,15 +187,17 @@
         self._was_settled = False
 
     def clocks_unknown(self) -> None:
-        """Tell no node of confirmations before its clock is heard again."""
+        """Send a node no confirmation times until a new clock reading arrives from it."""
         for session in self._distributor.sessions.values():
             session.clock = None
 
     # --- hello -----------------------------------------------------------------
 
     def _welcome(self, link: LinkId, hello: NodeHello, now: float) -> list[Command]:
-        """Answer at once: a whole configuration takes a second on a link of 1 Mbit/s,
-        and a node leaves a relay that says nothing for half of that.
+        """Start a session and send a heartbeat before any update.
+
+        A complete configuration takes one second on a 1 Mbit/s link, but a node leaves
+        a relay that sends nothing for half a second.
         """
         session = _session(link, hello, now)
         self._distributor.add(session)
@@ -276,7 +278,7 @@
     # --- internals -------------------------------------------------------------
 
     def _settle(self, now: float) -> list[Command]:
-        """Once the table can be taken for complete, let every node compare its own."""
+        """Send every node the endpoint digest once, when the table becomes complete."""
         if self._was_settled or not self._exchange.is_settled(now):
             return []
         self._was_settled = True
--- a/src/peppershore/process/relay/notices.py
+++ b/src/peppershore/process/relay/notices.py
@@ -1,4 +1,4 @@
-"""What a relay reports to logs and metrics."""
+"""Notices that a relay reports to logs and metrics."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 
 
 class ReplicaFollowed(Notice, frozen=True):
-    """The relay follows this replica now."""
+    """The relay now follows this control replica."""
 
     replica: str
     after_version: Version
 
 
 class ReplicaLost(Notice, frozen=True):
-    """The relay no longer follows this replica and tries another."""
+    """The relay lost or left this control replica and will try another."""
 
     replica: str
     reason: str
 
 
 class TreeLoaded(Notice, frozen=True):
-    """The relay took a whole tree from its replica."""
+    """The relay loaded a complete tree from its replica."""
 
     version: Version
 
 
 class TreeAdvanced(Notice, frozen=True):
-    """The relay took accepted edits; ``affected_scopes`` of those in use changed."""
+    """The relay applied accepted edits.
+
+    ``affected_scopes`` is the number of scopes in use that changed.
+    """
 
     version: Version
     edits: int
@@ -37,7 +40,10 @@
 
 
 class ConfirmationStale(Notice, frozen=True):
-    """No quorum confirmed this relay's version for too long; nodes are told."""
+    """No quorum confirmed this relay's version within the stale limit.
+
+    Heartbeats report the time of the last confirmation to nodes.
+    """
 
     level: ClassVar[str] = "warning"
     age_milliseconds: int
@@ -50,7 +56,7 @@
 
 
 class NodeConnected(Notice, frozen=True):
-    """A node said hello."""
+    """A node connected and its hello was accepted."""
 
     node: str
     service: str
@@ -67,7 +73,7 @@
 
 
 class HelloRejected(Notice, frozen=True):
-    """A peer's first message was refused."""
+    """A peer's hello, or an unexpected message, was rejected and its link closed."""
 
     level: ClassVar[str] = "warning"
     peer: str
@@ -75,14 +81,17 @@
 
 
 class HelloDeferred(Notice, frozen=True):
-    """Admission control told a node to come back later."""
+    """Admission control asked a node to reconnect later."""
 
     node: str
     retry_after_milliseconds: int
 
 
 class UpdateRejected(Notice, frozen=True):
-    """A node kept what it had; it is sent full state."""
+    """A node refused an update and retains its previous configuration.
+
+    The relay sends it the full state next.
+    """
 
     level: ClassVar[str] = "warning"
     node: str
@@ -91,7 +100,7 @@
 
 
 class ScopeHeld(Notice, frozen=True):
-    """A change waits because a route's target has no ready endpoint."""
+    """A change is held because a route's target has no ready endpoint."""
 
     service: str
     zone: str
@@ -101,7 +110,10 @@
 
 
 class ScopeReleased(Notice, frozen=True):
-    """A change that waited goes out; ``ready`` tells whether the target became ready."""
+    """A held change is sent to nodes.
+
+    ``ready`` is true if the targets became ready, false if the wait timed out.
+    """
 
     service: str
     zone: str
@@ -111,20 +123,23 @@
 
 
 class ProcessPaused(Notice, frozen=True):
-    """This relay did not run for a while; it vouches again only for nodes it hears."""
+    """This relay was suspended.
+
+    It advertises the endpoint of a node again only after a message from that node.
+    """
 
     level: ClassVar[str] = "warning"
     milliseconds: int
 
 
 class NodesSentAway(Notice, frozen=True):
-    """Other relays are confirmed and this one is not: its nodes are to use those."""
+    """Only this relay lacks confirmations, so its nodes were redirected to others."""
 
     level: ClassVar[str] = "warning"
     nodes: int
 
 
 class RelayStopping(Notice, frozen=True):
-    """A planned stop began."""
+    """A planned stop began; ``nodes`` is the number of connected nodes."""
 
     nodes: int
--- a/src/peppershore/process/relay/packed_updates.py
+++ b/src/peppershore/process/relay/packed_updates.py
@@ -1,7 +1,7 @@
-"""Packed updates, shared by all sessions that need the same one.
+"""Cache of packed updates, shared by all sessions that need the same one.
 
-An update is packed once per (scope, base, result).  The memory taken is bounded;
-the entry unused for longest goes first.
+An update is packed once per scope, base and result. The cache has a maximum size and
+evicts the least recently used entry first.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class UpdateKey(NamedTuple):
-    """What a packed update depends on."""
+    """Cache key: everything that determines a packed update."""
 
     scope: Scope
     base_digest: Digest
@@ -25,10 +25,10 @@
 
 
 class PackedUpdates:
-    """A bounded cache of packed updates."""
+    """LRU cache of packed updates with a size limit in bytes."""
 
     def __init__(self, max_bytes: int = MAX_CACHE_BYTES) -> None:
-        """Start empty."""
+        """Start with an empty cache of at most ``max_bytes``."""
         self.packed_count = 0
         self._max_bytes = max_bytes
         self._bytes = 0
@@ -36,11 +36,11 @@
 
     @property
     def held_bytes(self) -> int:
-        """Bytes of all packed updates held."""
+        """Total size of the cached updates in bytes."""
         return self._bytes
 
     def packed(self, update: Update) -> bytes:
-        """Give the packed update, from the cache if it is there."""
+        """Return the packed update, from the cache if present."""
         key = UpdateKey(update.scope, update.base_digest, update.digest, update.version)
         found = self._entries.get(key)
         if found is not None:
--- a/src/peppershore/process/relay/planned_stop.py
+++ b/src/peppershore/process/relay/planned_stop.py
@@ -1,4 +1,4 @@
-"""A relay's planned stop: its nodes move away, a few at a time, then it ends."""
+"""Planned stop of a relay: redirect its nodes in small batches, then exit."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 STOP_TIMER = "relay.stop"
 TURN_SECONDS = 0.05
 SPREAD_SECONDS = 2.0
-"""All nodes are told to move within this time, whatever their number."""
+"""All nodes are told to move within this time, regardless of their number."""
 BOUND_SECONDS = 10.0
-"""After this the relay ends, even with sessions open."""
+"""After this time the relay exits, even if sessions are still open."""
 STOPPING = "stopping"
 
 
 class PlannedStop:
-    """Who has yet to be told to move."""
+    """Tracks the nodes that have not been told to move yet."""
 
     def __init__(self, links: list[LinkId], now: float) -> None:
-        """Begin to stop with these sessions open."""
+        """Begin the stop; ``links`` are the open sessions."""
         self._untold = links
         self._turn_size = max(1, round(len(links) * TURN_SECONDS / SPREAD_SECONDS))
         self._ends_at = now + BOUND_SECONDS
 
     def turn(self) -> list[Command]:
-        """Tell the next few nodes."""
+        """Send a goodbye to the next batch of nodes."""
         told = self._untold[: self._turn_size]
         del self._untold[: self._turn_size]
         return [SendMessage(link, Goodbye(STOPPING)) for link in told]
 
     def is_over(self, open_sessions: int, now: float) -> bool:
-        """Tell whether the relay may end."""
+        """Return whether the relay may exit."""
         return open_sessions == 0 or now >= self._ends_at
--- a/src/peppershore/process/relay/progress.py
+++ b/src/peppershore/process/relay/progress.py
@@ -1,4 +1,4 @@
-"""What a relay tells its replica of how far its nodes are."""
+"""Reports of a relay to its control replica on the versions its nodes hold."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 PROGRESS_TIMER = "relay.progress"
 PROGRESS_SECONDS = 0.01
-"""Changes of progress within this time are reported together."""
+"""Progress changes within this time are reported together."""
 PROGRESS_IDLE_SECONDS = 1.0
-"""A report is sent at least this often."""
+"""Longest time between two reports."""
 MAX_LAGGING_NODES = 20
 
 
 class RelayLife(msgspec.Struct, frozen=True):
-    """What a report tells of the relay itself; see ``ProgressReported``.
+    """State of the relay itself that goes into a ``ProgressReported`` message.
 
     ``at`` is the monotonic time of the report, in seconds.
     """
@@ -43,7 +43,7 @@
     holds: HoldBook,
     control_bytes: int,
 ) -> ProgressReported:
-    """Give the report of this moment."""
+    """Return a progress report as of ``life.at``."""
     away = departures.lagging(life.at)
     lagging = _lagging_nodes(distributor, holds)
     lagging += [_away(each) for each in away[: MAX_LAGGING_NODES - len(lagging)]]
@@ -65,9 +65,11 @@
 
 
 def _lagging_nodes(distributor: Distributor, holds: HoldBook) -> list[LaggingNode]:
-    """Give a sample in which each held scope shows, however many nodes are slow.
+    """Return a sample of at most ``MAX_LAGGING_NODES`` lagging nodes.
 
-    Before anything is accepted no node lacks anything.
+    It starts with one node of each held scope, so that held scopes are reported however
+    many other nodes are slow. It is empty before the first version, when no node lacks
+    anything.
     """
     if distributor.version == 0:
         return []
@@ -79,7 +81,7 @@
 
 
 def _first_behind(distributor: Distributor, scope: Scope) -> list[NodeSession]:
-    """Give a node of the scope that waits, if there is one."""
+    """Return the first session of the scope that is behind, or an empty list."""
     sessions = distributor.sessions_of(scope)
     return list(islice(filter(lambda each: each.link in distributor.behind, sessions), 1))
 
--- a/src/peppershore/process/relay/rollout.py
+++ b/src/peppershore/process/relay/rollout.py
@@ -1,4 +1,4 @@
-"""How a change of the tree goes out to the nodes: batched, held, or at once."""
+"""Send tree changes to nodes: immediately, in batches, or after being held."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Rollout:
-    """Scopes whose newest state is yet to be sent."""
+    """Tracks scopes whose newest state has not been sent yet."""
 
     def __init__(
         self, distributor: Distributor, holds: HoldBook, nodes: NodeService
     ) -> None:
-        """Send through ``nodes``."""
+        """Send through ``nodes`` the updates that ``holds`` does not delay."""
         self._distributor = distributor
         self._holds = holds
         self._nodes = nodes
@@ -25,11 +25,14 @@
 
     @property
     def is_holding(self) -> bool:
-        """Whether some scope waits for a target to become ready."""
+        """Whether any scope is held until a target becomes ready."""
         return bool(self._holds.held)
 
     def tree_changed(self, change: TreeChange, now: float) -> list[Command]:
-        """Note a change; nothing is sent before ``flush``."""
+        """Record a tree change and report newly held scopes.
+
+        No update is sent before ``flush``.
+        """
         self._unsent |= self._distributor.tree_changed(change.version, change.affected)
         out: list[Command] = []
         for held in self._holds.changed(sorted(change.affected), now):
@@ -41,7 +44,7 @@
         return out
 
     def flush(self) -> list[Command]:
-        """Send what is not held, and answer hellos that had to wait for a tree."""
+        """Send changes that are not held, and answer hellos that waited for a tree."""
         scopes = sorted(self._unsent)
         self._unsent = set()
         out: list[Command] = []
@@ -50,7 +53,7 @@
         return out + self._nodes.offer(self._distributor.unanswered())
 
     def release_held(self, now: float) -> list[Command]:
-        """Send the scopes whose targets are ready or whose bound has passed."""
+        """Send the held scopes whose targets are ready or whose wait timed out."""
         out: list[Command] = []
         for released in self._holds.due(now):
             out.append(Report(_released(released)))
--- a/src/peppershore/process/relay/session.py
+++ b/src/peppershore/process/relay/session.py
@@ -1,4 +1,4 @@
-"""One node's session at a relay."""
+"""Session of a node at a relay."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(slots=True)
 class NodeSession:
-    """What a relay knows of one connected node.
+    """What a relay knows about one connected node.
 
-    ``version`` is in effect at the node and ``digest`` is what it holds, by its
-    own last word; 0 after it refused an update, so that it is sent full state.
-    Times are monotonic seconds of the relay.
+    ``version`` is in effect at the node and ``digest`` is that of its configuration,
+    as the node last reported. ``digest`` is 0 after a refused update, so that the full
+    state is sent next. Times are monotonic seconds of the relay.
     """
 
     link: LinkId
@@ -29,36 +29,39 @@
     hello_at: float
     last_heard: float
     clock: NodeClock | None
-    """The node's clock by its last word; None while it can't be trusted."""
+    """Last reading of the node's clock; None while it can't be trusted."""
     needs_confirmation: bool
-    """Holds nothing and has no floor: takes only what was confirmed after its hello."""
+    """Whether to send only a version confirmed after ``hello_at``.
+
+    True for a node with no configuration and no floor, or after it refused an update
+    as unconfirmed; ``hello_at`` is then the time of that refusal."""
     outstanding_version: Version = 0
-    """Version of the update sent and not yet answered; 0 when there is none."""
+    """Version of the unanswered update; 0 if there is none."""
     current_told: Version = 0
-    """Version up to which the node was last told that what it holds is right."""
+    """Version in the last message that reported the node as current."""
     behind_since: Version = 0
-    """First version whose change the node lacks; 0 when it lacks none."""
+    """First version whose change the node lacks; 0 if it lacks none."""
     answered: bool = False
-    """The hello was answered by ``Current`` or ``UpdateOffered``."""
+    """Whether the hello was answered with ``Current`` or ``UpdateOffered``."""
     endpoint: Endpoint | None = None
-    """The back end as the node announced it last."""
+    """Endpoint that the node last announced for its back end."""
     services_told: frozenset[str] | None = None
-    """Services whose endpoints the node was told of; None while nobody knows."""
+    """Services whose endpoints were sent to the node; None if not known."""
     is_leaving: bool = False
-    """The node said that its back end is leaving: a planned stop."""
+    """Whether the node reported a planned stop of its back end."""
     is_vouched: bool = True
-    """Whether the node was heard since this relay last went on after a pause."""
+    """Whether a message arrived from the node since this relay was last suspended."""
 
     @property
     def holds_nothing(self) -> bool:
-        """Tell whether the node has no configuration at all."""
+        """Whether the node has no configuration at all."""
         return self.version == 0
 
     def confirmed_at(self, relay_time: float | None) -> int | None:
-        """Give a time of the relay by the node's clock, if that is known."""
+        """Convert a relay time to milliseconds of the node's clock; None if unknown."""
         return None if self.clock is None else self.clock.at(relay_time)
 
     @property
     def lowest_acceptable(self) -> Version:
-        """The version below which nothing may be offered."""
+        """Lowest version that may be sent to the node."""
         return max(self.version, self.floor)
--- a/src/peppershore/process/relay/shell.py
+++ b/src/peppershore/process/relay/shell.py
@@ -19,7 +19,7 @@
 async def run_relay(
     settings: RelaySettings, on_ready: Callable[[int], None] | None = None
 ) -> None:
-    """Run a relay until its planned stop; tell ``on_ready`` the port bound."""
+    """Run a relay until its planned stop; call ``on_ready`` with the bound port."""
     metrics = ProcessMetrics(LogIdentity("relay", settings.relay))
     security = LinkSecurity("relay", settings.tls)
     core = RelayCore(settings)
@@ -45,7 +45,7 @@
 
 
 def quarantine_api(core: RelayCore, shell: Shell) -> QuarantineApi:
-    """Let operators see the quarantine of a relay, and let requests go there."""
+    """Return the API that lists a relay's quarantine and releases requests."""
 
     def release(key: bytes) -> None:
         shell.dispatch(RequestReleased(key))
@@ -55,9 +55,9 @@
 
 def _readiness(core: RelayCore) -> Readiness:
     if core.distributor.version == 0:
-        return Readiness(False, "no configuration was had from a control replica yet")
+        return Readiness(False, "no configuration received from a control replica yet")
     if not core.is_fresh:
-        return Readiness(False, "no quorum has confirmed the version lately")
+        return Readiness(False, "no quorum has confirmed the version recently")
     return Readiness(True)
 
 
--- a/src/peppershore/process/relay/source.py
+++ b/src/peppershore/process/relay/source.py
@@ -1,8 +1,8 @@
-"""How a relay follows the control replicas and learns how fresh it is.
+"""Follow the control replicas and track how fresh the relay's version is.
 
-One replica is followed at a time.  Confirmations are asked for all the time;
-the age of the newest one, measured from when it was asked for, is what the
-relay tells its nodes.  A replica that stays silent is left for another.
+The relay follows one replica at a time and regularly requests confirmations from it. A
+confirmation dates from its request: the relay reports that time to its nodes. If a
+replica stays silent, the relay switches to another one.
 """
 
 from __future__ import annotations
@@ -34,30 +34,32 @@
 RECONNECT_TIMER = "source.reconnect"
 
 CONFIRM_SECONDS = 0.25
-"""How often a relay asks, and at least twice between two heartbeats: with a heartbeat each
-half second a node's confirmation is then 0.75 s old at the most while all is well, and it
-looks for another relay at 1.2 s, where the bound on changes is 2 s."""
+"""Interval of confirmation requests; shorter if needed for two requests per heartbeat.
+
+With a heartbeat every 0.5 s, the confirmation that a node holds is at most 0.75 s old in
+normal operation. A node looks for another relay at 1.2 s, and changes must be in force
+within 2 s."""
 UNCONFIRMED_SECONDS = 0.1
-"""How often a relay asks whose newest confirmation is missing or late: a replica that
-knows no leader yet may know one a moment later."""
+"""Request interval while the newest confirmation is missing or late. A replica that
+knows no leader yet may find one within moments."""
 LATE_SECONDS = 2 * CONFIRM_SECONDS
 SILENCE_SECONDS = 2.0
-"""A replica that confirms nothing for this long is left for another."""
+"""A relay leaves a replica that confirms nothing for this long."""
 CUT_OFF_SECONDS = 3.0
-"""Without confirmation for so long, a relay asks itself whether only it is cut off;
-longer than it takes to leave a dead replica for another."""
+"""After this long without a confirmation, a relay checks whether only it is cut off.
+This is longer than the time to replace a dead replica."""
 CUT_OFF_LEAD_SECONDS = 1.5
-"""So much newer must another relay's confirmation be."""
+"""A relay is cut off only if another's confirmation is newer by at least this."""
 BACKOFF_BASE_SECONDS = 0.1
 BACKOFF_CEILING_SECONDS = 3.0
 MAX_REQUESTS_IN_FLIGHT = 64
 
 
 class SourceFollower:
-    """The relay's link to one control replica."""
+    """Manages the relay's link to a control replica and its confirmations."""
 
     def __init__(self, settings: RelaySettings, numbers: LinkNumbers) -> None:
-        """Follow nothing until ``start``."""
+        """Create without a link; ``start`` opens one."""
         self.link: LinkId | None = None
         self.is_open = False
         self.confirmed_at: float | None = None
@@ -76,17 +78,17 @@
 
     @property
     def open_link(self) -> LinkId | None:
-        """The link to the replica, once it is open."""
+        """Link to the replica, or None while it is not open."""
         return self.link if self.is_open else None
 
     def start(self, randomness: Randomness, now: float) -> list[Command]:
-        """Begin with a replica chosen at random."""
+        """Connect to a replica chosen at random."""
         self._randomness = randomness
         self._next_replica = int(randomness.below(len(self._settings.replicas)))
         return [*self._connect(now), SetTimer(CONFIRM_TIMER, UNCONFIRMED_SECONDS)]
 
     def opened(self, after_version: Version, now: float) -> list[Command]:
-        """Ask the replica for everything after a version."""
+        """Follow the replica on an open link, starting after ``after_version``."""
         assert self.link is not None
         assert self._replica is not None
         self.is_open = True
@@ -104,7 +106,7 @@
         ]
 
     def lost(self, reason: str) -> list[Command]:
-        """Forget the link and try another replica after a wait."""
+        """Handle the loss of the link; try the next replica after a backoff."""
         name = self._replica.name if self._replica else ""
         self.link = None
         self.is_open = False
@@ -116,17 +118,17 @@
         return [Report(ReplicaLost(name, reason)), SetTimer(RECONNECT_TIMER, wait)]
 
     def leave(self, reason: str) -> list[Command]:
-        """Close the link, then go on as if it had been lost."""
+        """Close the link and try the next replica after a backoff."""
         if self.link is None:
             return []
         return [CloseLink(self.link, reason), *self.lost(reason)]
 
     def reconnect(self, now: float) -> list[Command]:
-        """Open a link to the next replica, unless there is one."""
+        """Open a link to the next replica, unless a link exists."""
         return [] if self.link is not None else self._connect(now)
 
     def confirm_tick(self, now: float) -> list[Command]:
-        """Ask again; leave a replica that has confirmed nothing for too long."""
+        """Request a confirmation, or leave a replica that confirmed nothing too long."""
         again: list[Command] = [SetTimer(CONFIRM_TIMER, self._until_next(now))]
         if not self.is_open:
             return again
@@ -135,7 +137,10 @@
         return [*self.ask_confirmation(now), *again]
 
     def ask_confirmation(self, now: float) -> list[Command]:
-        """Ask which version a quorum confirms."""
+        """Request the version that a quorum confirms.
+
+        Send nothing if no link is open or too many requests are unanswered.
+        """
         if self.link is None or not self.is_open:
             return []
         if len(self._asked_at) >= MAX_REQUESTS_IN_FLIGHT:
@@ -145,7 +150,7 @@
         return [SendMessage(self.link, ConfirmRequest(self._nonce))]
 
     def confirmed(self, reply: ConfirmReply, tree_version: Version, now: float) -> None:
-        """Take a confirmation; it counts once the tree has reached its version."""
+        """Handle a confirmation; it counts once the tree has reached its version."""
         asked_at = self._asked_at.pop(reply.nonce, None)
         if asked_at is None:
             return
@@ -157,7 +162,7 @@
         self.tree_reached(tree_version)
 
     def tree_reached(self, tree_version: Version) -> None:
-        """Let the confirmations count that the tree has caught up with."""
+        """Count the waiting confirmations whose version the tree has reached."""
         still_waiting: list[tuple[float, Version]] = []
         for asked_at, version in self._waiting:
             if version > tree_version:
@@ -167,26 +172,27 @@
         self._waiting = still_waiting[-MAX_REQUESTS_IN_FLIGHT:]
 
     def age_milliseconds(self, now: float) -> int:
-        """Tell how long ago the newest confirmation was asked for."""
+        """Return the milliseconds since the newest confirmation was requested."""
         if self.confirmed_at is None:
             return NEVER_CONFIRMED_MILLISECONDS
         return math.ceil((now - self.confirmed_at) * 1_000)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the newest confirmation is younger than the stale bound."""
+        """Return whether the newest confirmation is within the stale limit."""
         return self.age_milliseconds(now) <= self._settings.stale_after_milliseconds
 
     def is_cut_off(self, confirmed_elsewhere: float, now: float) -> bool:
-        """Tell whether only this relay gets no confirmations.
+        """Return whether this relay lacks confirmations while another has them.
 
-        ``confirmed_elsewhere``: when the newest one of other relays was asked for.
+        ``confirmed_elsewhere`` is when the newest confirmation of another relay was
+        requested, in monotonic seconds.
         """
         if self.confirmed_at is None or now - self.confirmed_at < CUT_OFF_SECONDS:
             return False
         return confirmed_elsewhere - self.confirmed_at >= CUT_OFF_LEAD_SECONDS
 
     def _until_next(self, now: float) -> float:
-        """Give the seconds until a confirmation is asked for again."""
+        """Return the seconds until the next confirmation request."""
         confirmed_at = self.confirmed_at
         late = confirmed_at is None or now - confirmed_at > LATE_SECONDS
         usual = self._confirm_seconds
--- a/src/peppershore/process/relay/tree_follower.py
+++ b/src/peppershore/process/relay/tree_follower.py
@@ -1,4 +1,4 @@
-"""The relay's copy of the accepted tree and the catalog made from it."""
+"""The relay's copy of the accepted tree and the catalog derived from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class TreeChange(msgspec.Struct, frozen=True):
-    """The tree moved on: how, and which scopes in use differ from before."""
+    """A change of the tree: new version, number of edits, changed scopes in use.
+
+    ``edits`` is 0 if a complete tree was loaded.
+    """
 
     version: Version
     edits: int
@@ -21,20 +24,23 @@
 
 
 class TreeFollower:
-    """Takes accepted edits and whole trees in order; never goes back."""
+    """Applies accepted edits and complete trees in order; never to a lower version."""
 
     def __init__(self, cluster: str) -> None:
-        """Begin with the empty tree at version 0."""
+        """Start with an empty tree at version 0."""
         self.tree: Tree = empty_tree(cluster)
         self.catalog = ScopeCatalog()
 
     @property
     def version(self) -> Version:
-        """Version of the newest edit taken."""
+        """Version of the newest edit applied."""
         return self.tree.version
 
     def load(self, tree: Tree) -> TreeChange | None:
-        """Take a whole tree, unless it is of another cluster or not newer."""
+        """Load a complete tree.
+
+        Return None if it belongs to another cluster or is not newer.
+        """
         if tree.cluster != self.tree.cluster or tree.version <= self.version:
             return None
         self.tree = tree
@@ -42,9 +48,10 @@
         return TreeChange(tree.version, 0, frozenset(affected))
 
     def advance(self, edits: Iterable[CommittedEdit]) -> TreeChange | None:
-        """Take accepted edits in order; those taken before are passed over.
+        """Apply accepted edits in order, skipping those already applied.
 
-        An accepted edit that does not apply is a broken invariant.
+        Return None if there was nothing new. An accepted edit that cannot be applied
+        is a broken invariant.
         """
         affected: set[Scope] = set()
         count = 0
