--- a/src/peppershore/process/endpoints/vouched.py
+++ b/src/peppershore/process/endpoints/advertised.py
@@ -25,7 +25,7 @@
     return xxhash.xxh3_64_intdigest(f"{node}\x00{order[0]}\x00{order[1]}".encode())
 
 
-class VouchedNodes:
+class AdvertisedNodes:
     """Nodes that a relay advertises, each with the order of its endpoint state."""
 
     def __init__(self) -> None:
--- a/src/peppershore/process/endpoints/exchange.py
+++ b/src/peppershore/process/endpoints/exchange.py
@@ -33,6 +33,7 @@
     SendMessage,
     SetTimer,
 )
+from peppershore.process.endpoints.advertised import AdvertisedNodes
 from peppershore.process.endpoints.notices import (
     EndpointsExpired,
     RelayPeerConnected,
@@ -43,7 +44,6 @@
     EndpointTable,
     order_of,
 )
-from peppershore.process.endpoints.vouched import VouchedNodes
 from peppershore.process.events import LinkId
 from peppershore.process.link_numbers import LinkNumbers
 from peppershore.process.randomness import Randomness
@@ -53,7 +53,7 @@
 PEER_CONNECT_TIMER = "exchange.connect"
 
 DIGEST_SECONDS = 2.0
-HEARS_SECONDS = 8.0
+HEARD_REPORT_SECONDS = 8.0
 """The list of relays heard is sent when it changes, and again after this time."""
 LEASE_SECONDS = 8.0
 """How long an endpoint stays visible without being advertised by any relay."""
@@ -74,12 +74,12 @@
     zone: str = ""
     link: LinkId | None = None
     is_open: bool = False
-    view: VouchedNodes = field(default_factory=VouchedNodes)
+    view: AdvertisedNodes = field(default_factory=AdvertisedNodes)
     lease_until: float = 0.0
     hears: frozenset[str] = frozenset()
-    told_heard: tuple[str, ...] | None = None
+    reported_heard: tuple[str, ...] | None = None
     """Relays last reported as heard on this link; None if none were reported yet."""
-    told_heard_at: float = 0.0
+    reported_heard_at: float = 0.0
     confirmed_at: float = -math.inf
     """When a quorum confirmed the peer's version, on this relay's clock."""
     steady_since: float = math.inf
@@ -94,7 +94,7 @@
     def __init__(self, settings: RelaySettings, numbers: LinkNumbers) -> None:
         """Start with an empty table; ``start`` connects to the other relays."""
         self.table = EndpointTable()
-        self.own = VouchedNodes()
+        self.own = AdvertisedNodes()
         self.confirmed_at: float | None = None
         """When a quorum confirmed this relay's version; sent to the other relays."""
         self.changed: dict[str, Endpoint] = {}
@@ -104,7 +104,7 @@
         self._randomness = Randomness(0)
         self._incarnation = 0
         self._started_at = 0.0
-        self._unvouched: dict[str, float] = {}
+        self._unadvertised: dict[str, float] = {}
         self._peers = {
             relay.name: Peer(relay.name, relay.address, relay.zone)
             for relay in settings.relays
@@ -129,7 +129,7 @@
         for name in [name for name in self._peers if name not in wanted]:
             peer = self._peers.pop(name)
             for node in peer.view.nodes:
-                self._note_unvouched(node, now)
+                self._note_unadvertised(node, now)
             if peer.link is not None:
                 self._by_link.pop(peer.link, None)
                 out.append(CloseLink(peer.link, "no longer a relay"))
@@ -194,7 +194,7 @@
         if not self.table.merge(endpoint, now):
             return self._announced_again(endpoint)
         self.changed[endpoint.node] = endpoint
-        self._unvouched.pop(endpoint.node, None)
+        self._unadvertised.pop(endpoint.node, None)
         if endpoint.state == STATE_GONE:
             self.own.remove(endpoint.node)
         else:
@@ -211,7 +211,7 @@
     def session_lost(self, node: str, now: float) -> None:
         """Stop advertising a node whose session ended."""
         if self.own.remove(node):
-            self._note_unvouched(node, now)
+            self._note_unadvertised(node, now)
 
     def resumed(self, nodes: Iterable[str], pause_seconds: float, now: float) -> None:
         """Resume after a suspension: stop advertising these nodes until they send again.
@@ -223,8 +223,8 @@
         self._started_at = now
         missed = min(pause_seconds, LEASE_SECONDS - RESUME_GRACE_SECONDS)
         for node in nodes:
-            if self.own.remove(node) and not self._is_vouched(node, now):
-                self._unvouched.setdefault(node, now - missed)
+            if self.own.remove(node) and not self._is_advertised(node, now):
+                self._unadvertised.setdefault(node, now - missed)
 
     # --- the other relays ------------------------------------------------------
 
@@ -269,7 +269,7 @@
         peer.is_open = True
         peer.failures = 0
         peer.zone = hello.zone or peer.zone
-        peer.told_heard = None
+        peer.reported_heard = None
         return [
             *replies,
             Report(RelayPeerConnected(peer.name)),
@@ -283,7 +283,7 @@
             case RelayHello():
                 return self.greeted(link, message, now)
             case EndpointsChanged():
-                self._take_endpoints(peer, message, now)
+                self._merge_endpoints(peer, message, now)
             case EndpointDigest():
                 return self._compare(peer, message, now)
             case EndpointDigestWanted():
@@ -292,7 +292,7 @@
             case EndpointBucketsWanted():
                 return self._send_buckets(link, message.buckets)
             case LeaseRenewed():
-                self._drop_unnamed(peer, message, now)
+                self._drop_unlisted(peer, message, now)
             case _:
                 return [CloseLink(link, "unexpected message")]
         return []
@@ -323,20 +323,20 @@
         if known.state == STATE_GONE:
             return []
         self.own.add(endpoint.node, order_of(endpoint))
-        self._vouched_again(endpoint.node)
+        self._reveal_advertised(endpoint.node)
         return []
 
-    def _vouched_again(self, node: str) -> None:
-        self._unvouched.pop(node, None)
+    def _reveal_advertised(self, node: str) -> None:
+        self._unadvertised.pop(node, None)
         revealed = self.table.reveal(node)
         if revealed is not None:
             self.changed[node] = revealed
 
-    def _note_unvouched(self, node: str, now: float) -> None:
-        if not self._is_vouched(node, now):
-            self._unvouched.setdefault(node, now)
+    def _note_unadvertised(self, node: str, now: float) -> None:
+        if not self._is_advertised(node, now):
+            self._unadvertised.setdefault(node, now)
 
-    def _is_vouched(self, node: str, now: float) -> bool:
+    def _is_advertised(self, node: str, now: float) -> bool:
         if node in self.own:
             return True
         return any(
@@ -359,7 +359,7 @@
         return EndpointDigest(
             self.own.total,
             self.own.buckets if with_buckets else (),
-            self._news_of_heard(peer, now),
+            self._heard_if_due(peer, now),
             self._confirmed_age_milliseconds(now),
         )
 
@@ -368,14 +368,17 @@
             return NEVER_CONFIRMED_MILLISECONDS
         return math.ceil((now - self.confirmed_at) * 1_000)
 
-    def _news_of_heard(self, peer: Peer, now: float) -> tuple[str, ...] | None:
+    def _heard_if_due(self, peer: Peer, now: float) -> tuple[str, ...] | None:
         """Return the relays heard if they are due to be sent to the peer, else None."""
         heard = tuple(each.name for each in self._peers.values() if now <= each.lease_until)
-        is_known = heard == peer.told_heard and now - peer.told_heard_at < HEARS_SECONDS
+        is_known = (
+            heard == peer.reported_heard
+            and now - peer.reported_heard_at < HEARD_REPORT_SECONDS
+        )
         if is_known:
             return None
-        peer.told_heard = heard
-        peer.told_heard_at = now
+        peer.reported_heard = heard
+        peer.reported_heard_at = now
         return heard
 
     def _to_peers(self, message: Message) -> list[Command]:
@@ -413,7 +416,7 @@
         self._by_link.pop(old, None)
         return [CloseLink(old, "replaced")]
 
-    def _take_endpoints(self, peer: Peer, message: EndpointsChanged, now: float) -> None:
+    def _merge_endpoints(self, peer: Peer, message: EndpointsChanged, now: float) -> None:
         for endpoint in message.endpoints:
             if self.table.merge(endpoint, now):
                 self.changed[endpoint.node] = endpoint
@@ -423,7 +426,7 @@
             peer.view.add(endpoint.node, order_of(endpoint))
             known = self.table.get(endpoint.node)
             if known is not None and order_of(known) == order_of(endpoint):
-                self._vouched_again(endpoint.node)
+                self._reveal_advertised(endpoint.node)
 
     def _compare(self, peer: Peer, message: EndpointDigest, now: float) -> list[Command]:
         if message.hears is not None:
@@ -452,22 +455,22 @@
             SendMessage(link, LeaseRenewed(self._settings.relay, nodes, buckets)),
         ]
 
-    def _drop_unnamed(self, peer: Peer, message: LeaseRenewed, now: float) -> None:
+    def _drop_unlisted(self, peer: Peer, message: LeaseRenewed, now: float) -> None:
         peer.lease_until = now + LEASE_SECONDS
         named = frozenset(message.nodes_alive)
         for node in peer.view.in_buckets(message.buckets):
             if node not in named:
                 peer.view.remove(node)
-                self._note_unvouched(node, now)
+                self._note_unadvertised(node, now)
 
     def _expire(self, now: float) -> list[Command]:
         out: list[Command] = []
         for peer in self._peers.values():
             if len(peer.view) and not self._is_held(peer, now):
                 out.extend(self._expire_peer(peer, now))
-        for node, since in list(self._unvouched.items()):
+        for node, since in list(self._unadvertised.items()):
             if now - since >= LEASE_SECONDS:
-                del self._unvouched[node]
+                del self._unadvertised[node]
                 self._hide(node, now)
         return out
 
@@ -479,7 +482,7 @@
         return [Report(EndpointsExpired(peer.name, hidden))]
 
     def _hide(self, node: str, now: float) -> bool:
-        if self._is_vouched(node, now):
+        if self._is_advertised(node, now):
             return False
         hidden = self.table.hide(node, now)
         if hidden is None:
--- a/src/peppershore/process/quarantine/sharing.py
+++ b/src/peppershore/process/quarantine/sharing.py
@@ -67,16 +67,18 @@
         if not is_node and not self._exchange.owns(link):
             return []
         if isinstance(message, CrashesDigest):
-            return self._compared(link, message, now)
-        news = tuple(each for each in message.records if self.table.merge(each, now))
-        return self._spread(news, now, to_relays=is_node)
+            return self._answer_digest(link, message, now)
+        changes = tuple(each for each in message.records if self.table.merge(each, now))
+        return self._broadcast(changes, now, to_relays=is_node)
 
     def release(self, key: bytes, now: float) -> list[Command]:
         """Release a request for an operator; do nothing if it is not known."""
         cleared = self.table.cleared(key, now)
-        return [] if cleared is None else self._spread((cleared,), now, to_relays=True)
+        return [] if cleared is None else self._broadcast((cleared,), now, to_relays=True)
 
-    def _compared(self, link: LinkId, message: CrashesDigest, now: float) -> list[Command]:
+    def _answer_digest(
+        self, link: LinkId, message: CrashesDigest, now: float
+    ) -> list[Command]:
         """Send all known records to a peer whose digest differs."""
         if message.digest == self.table.digest():
             return []
@@ -92,17 +94,17 @@
         payload = encode_message(CrashesDigest(self.table.digest()))
         return [SendEncoded(link, payload) for link in self._exchange.open_links]
 
-    def _spread(
-        self, news: tuple[CrashRecord, ...], now: float, *, to_relays: bool
+    def _broadcast(
+        self, changes: tuple[CrashRecord, ...], now: float, *, to_relays: bool
     ) -> list[Command]:
-        if not news:
+        if not changes:
             return []
         out: list[Command] = []
         if to_relays:
-            payload = encode_message(CrashesTold(news))
+            payload = encode_message(CrashesTold(changes))
             relays = self._exchange.open_links
             out.extend(SendEncoded(link, payload) for link in relays)
-        notable = self._as_known(self.table.notable_among(news), now)
+        notable = self._merged_records(self.table.notable_among(changes), now)
         if not notable:
             return out
         payload = encode_message(CrashesTold(notable))
@@ -112,7 +114,7 @@
         out.extend(Report(notice) for notice in notices_of(notable))
         return out
 
-    def _as_known(
+    def _merged_records(
         self, records: tuple[CrashRecord, ...], now: float
     ) -> tuple[CrashRecord, ...]:
         """Return the complete known records of these requests, after merging."""
--- a/src/peppershore/process/quarantine/storage.py
+++ b/src/peppershore/process/quarantine/storage.py
@@ -60,12 +60,12 @@
     ) -> None:
         """Store the file in ``data_folder``; report problems to ``notice_sink``."""
         path = Path(data_folder) / FILE_NAME
-        without = "the other hubs tell what they hold"
-        self._file = WholeFile(path, StoredQuarantine, "quarantine", without)
+        fallback = "the other hubs send the records that they hold"
+        self._file = WholeFile(path, StoredQuarantine, "quarantine", fallback)
         self._cluster = cluster
         self._notice_sink = notice_sink
         self._disk = ThreadPoolExecutor(max_workers=1)
-        self._wanted: tuple[CrashRecord, ...] | None = None
+        self._pending: tuple[CrashRecord, ...] | None = None
         self._writing: asyncio.Task[None] | None = None
         self._is_closing = False
 
@@ -88,7 +88,7 @@
 
     def keep(self, records: tuple[CrashRecord, ...]) -> None:
         """Write these records in the background, replacing the stored ones."""
-        self._wanted = records
+        self._pending = records
         if self._writing is None:
             self._writing = asyncio.get_running_loop().create_task(self._write())
 
@@ -101,9 +101,9 @@
     async def _write(self) -> None:
         """Write on a separate thread, so that a slow disk does not delay updates."""
         loop = asyncio.get_running_loop()
-        while self._wanted is not None:
-            records = self._wanted
-            self._wanted = None
+        while self._pending is not None:
+            records = self._pending
+            self._pending = None
             stored = StoredQuarantine(self._cluster, _time_of_day(), records)
             try:
                 await loop.run_in_executor(self._disk, self._file.save, stored)
@@ -112,7 +112,7 @@
                 if self._is_closing:
                     break
                 await asyncio.sleep(RETRY_SECONDS)
-                self._wanted = records if self._wanted is None else self._wanted
+                self._pending = records if self._pending is None else self._pending
         self._writing = None
 
 
--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -48,19 +48,19 @@
     is_urgent,
 )
 from peppershore.process.relay.fanout_pace import FanoutPace
-from peppershore.process.relay.hold import HoldBook
+from peppershore.process.relay.hold import HoldTracker
 from peppershore.process.relay.node_service import NodeService
 from peppershore.process.relay.planned_stop import (
+    STOP_BATCH_SECONDS,
     STOP_TIMER,
     STOPPING,
-    TURN_SECONDS,
     PlannedStop,
 )
 from peppershore.process.relay.progress import (
     PROGRESS_IDLE_SECONDS,
     PROGRESS_SECONDS,
     PROGRESS_TIMER,
-    RelayLife,
+    RelayStatus,
     make_report,
 )
 from peppershore.process.relay.rollout import Rollout
@@ -77,9 +77,9 @@
 HOLD_TIMER = "relay.hold"
 
 HOLD_CHECK_SECONDS = 0.1
-PAUSE_SECONDS = 3.0
+SUSPENSION_SECONDS = 3.0
 """If no event arrives for this long, the process must have been suspended."""
-CLOCKS_SECONDS = 0.5
+CLOCK_READING_MAX_GAP_SECONDS = 0.5
 """After this long without an event, this relay's clock may have advanced while its
 nodes' clocks did not. It then needs a new reading of each node's clock. The bound is
 several times the interval between two heartbeat slots."""
@@ -120,7 +120,7 @@
         self.exchange = EndpointExchange(settings, numbers)
         catalog, table = self.follower.catalog, self.exchange.table
         self._remembered = remembered
-        self.holds = HoldBook(catalog, table, settings.hold_milliseconds / 1_000)
+        self.holds = HoldTracker(catalog, table, settings.hold_milliseconds / 1_000)
         self._fanout = EndpointFanout(catalog, table)
         self.distributor = Distributor(catalog, self.holds, self._fanout)
         self.quarantine = QuarantineSharing(
@@ -136,14 +136,14 @@
             exchange=self.exchange,
             fanout=self._fanout,
         )
-        self._unnamed_links: dict[events.LinkId, float] = {}
+        self._links_without_hello: dict[events.LinkId, float] = {}
         self._planned_stop: PlannedStop | None = None
         self.rollout = Rollout(self.distributor, self.holds, self.nodes)
         self._fanout_pace = FanoutPace()
         self._timers_set: set[str] = set()
         self._was_fresh = False
         self._is_cut_off = False
-        self._pause_milliseconds = 0
+        self._suspension_milliseconds = 0
         self._incarnation = 0
         self._reports = 0
         self._report_soon = False
@@ -152,10 +152,10 @@
 
     def step(self, event: events.Event, now: float) -> list[Command]:
         """Handle one event and return the commands to execute."""
-        self._note_pause(now)
+        self._detect_suspension(now)
         self._now = now
         self._out = []
-        self._take(event)
+        self._dispatch(event)
         self.exchange.confirmed_at = self.source.confirmed_at
         self._after_event()
         return self._out
@@ -167,7 +167,7 @@
 
     # --- events ----------------------------------------------------------------
 
-    def _take(self, event: events.Event) -> None:
+    def _dispatch(self, event: events.Event) -> None:
         match event:
             case events.MessageReceived():
                 self._message(event)
@@ -183,9 +183,9 @@
             case events.StopRequested():
                 self._stop()
             case RequestReleased():
-                self._do(self.quarantine.release(event.key, self._now))
+                self._emit(self.quarantine.release(event.key, self._now))
             case RelaysChanged():
-                self._do(self.exchange.use_relays(event.relays, self._now))
+                self._emit(self.exchange.use_relays(event.relays, self._now))
             case _:
                 raise AssertionError(f"relay cannot handle event {type(event).__name__}")
 
@@ -194,95 +194,97 @@
         self.quarantine.remember(self._remembered, self._now)
         self._incarnation = int(randomness.below(2**53))
         self.quotas.life = self._incarnation
-        self._do(self.source.start(randomness, self._now))
-        self._do(self.exchange.start(randomness, self._incarnation, self._now))
+        self._emit(self.source.start(randomness, self._now))
+        self._emit(self.exchange.start(randomness, self._incarnation, self._now))
         self._set_timer(HEARTBEAT_TIMER, self.nodes.heartbeats.slot_seconds)
         self._set_timer(PROGRESS_TIMER, PROGRESS_IDLE_SECONDS)
 
     def _opened(self, event: events.LinkOpened) -> None:
         if event.link == self.source.link:
-            self._do(self.source.opened(self.follower.version, self._now))
+            self._emit(self.source.opened(self.follower.version, self._now))
         elif self.exchange.owns(event.link):
-            self._do(self.exchange.opened(event.link))
+            self._emit(self.exchange.opened(event.link))
         else:
-            self._unnamed_links[event.link] = self._now
+            self._links_without_hello[event.link] = self._now
 
     def _closed(self, event: events.LinkClosed) -> None:
-        self._unnamed_links.pop(event.link, None)
+        self._links_without_hello.pop(event.link, None)
         if event.link == self.source.link:
-            self._do(self.source.lost(event.reason))
+            self._emit(self.source.lost(event.reason))
         elif self.exchange.owns(event.link):
-            self._do(self.exchange.lost(event.link, event.reason, self._now))
+            self._emit(self.exchange.lost(event.link, event.reason, self._now))
         else:
-            self._do(self.nodes.closed(event.link, event.reason, self._now))
+            self._emit(self.nodes.closed(event.link, event.reason, self._now))
             self.quotas.link_closed(event.link)
 
     def _message(self, event: events.MessageReceived) -> None:
         link, message = event.link, event.message
         session = self.distributor.sessions.get(link)
         if isinstance(message, CrashesTold | CrashesDigest):
-            self._do(self.quarantine.received(link, message, self._now))
+            self._emit(self.quarantine.received(link, message, self._now))
         elif session is not None and isinstance(message, EvidenceTold):
-            self._pass_on(session.node, message)
+            self._forward_evidence(session.node, message)
         elif session is not None and isinstance(message, QuotaAsked):
-            asked = self.quotas.node_asked(link, message, self.source.open_link, self._now)
-            self._do(asked)
+            commands = self.quotas.node_asked(
+                link, message, self.source.open_link, self._now
+            )
+            self._emit(commands)
         elif session is not None:
-            self._do(self.nodes.received(session, message, self._now))
+            self._emit(self.nodes.received(session, message, self._now))
         elif link == self.source.link:
             self._from_replica(message)
         elif self.exchange.owns(link):
-            self._do(self.exchange.received(link, message, self._now))
+            self._emit(self.exchange.received(link, message, self._now))
             if isinstance(message, RelayHello):
-                self._do(self.quarantine.welcome_relay(link, self._now))
+                self._emit(self.quarantine.welcome_relay(link, self._now))
         else:
             self._first_message(link, message)
 
-    def _pass_on(self, node: str, message: EvidenceTold) -> None:
+    def _forward_evidence(self, node: str, message: EvidenceTold) -> None:
         """Forward a node's evidence about its local back end to the replica."""
         if message.evidence.node == node and self.source.is_open:
             assert self.source.link is not None
-            told = EvidenceShared(message.evidence)
-            self._out.append(SendMessage(self.source.link, told))
+            shared = EvidenceShared(message.evidence)
+            self._out.append(SendMessage(self.source.link, shared))
 
     def _first_message(self, link: events.LinkId, message: Message) -> None:
-        if self._unnamed_links.pop(link, None) is None:
+        if self._links_without_hello.pop(link, None) is None:
             return
         if isinstance(message, RelayHello):
-            self._do(self.exchange.greeted(link, message, self._now))
-            self._do(self.quarantine.welcome_relay(link, self._now))
+            self._emit(self.exchange.greeted(link, message, self._now))
+            self._emit(self.quarantine.welcome_relay(link, self._now))
         elif self._planned_stop is not None:
             self._out.append(SendMessage(link, Goodbye(STOPPING)))
             self._out.append(CloseLink(link, STOPPING))
         else:
             welcome = self.nodes.first_message(link, message, self._now)
             if link in self.distributor.sessions:
-                self._do(self.quarantine.welcome_node(link, self._now))
-            self._do(welcome)
+                self._emit(self.quarantine.welcome_node(link, self._now))
+            self._emit(welcome)
 
     def _timer(self, timer: str) -> None:
         if timer == HEARTBEAT_TIMER:
-            self._do(self.nodes.heartbeat(self._now))
-            self._send_nodes_away()
+            self._emit(self.nodes.heartbeat(self._now))
+            self._redirect_nodes_if_cut_off()
             self._set_timer(HEARTBEAT_TIMER, self.nodes.heartbeats.slot_seconds)
         elif timer == CONFIRM_TIMER:
-            self._do(self.source.confirm_tick(self._now))
+            self._emit(self.source.confirm_tick(self._now))
         elif timer == RECONNECT_TIMER:
-            self._do(self.source.reconnect(self._now))
+            self._emit(self.source.reconnect(self._now))
         elif timer == PEER_TIMER:
             self._peer_tick()
         elif timer == PEER_CONNECT_TIMER:
-            self._do(self.exchange.connect_again(self._now))
+            self._emit(self.exchange.connect_again(self._now))
         elif timer == HOLD_TIMER:
-            self._do(self.rollout.release_held(self._now))
+            self._emit(self.rollout.release_held(self._now))
         elif timer == STOP_TIMER:
             self._continue_stop()
         elif timer == FLUSH_TIMER:
-            self._do(self.rollout.flush())
+            self._emit(self.rollout.flush())
         elif timer == FANOUT_TIMER:
-            self._endpoints_due()
+            self._send_due_endpoints()
         elif timer == QUOTA_TIMER:
-            self._do(self.quotas.timer(self.source.open_link, self._now))
+            self._emit(self.quotas.timer(self.source.open_link, self._now))
         elif timer == PROGRESS_TIMER:
             self._report_progress()
         else:
@@ -296,51 +298,51 @@
         self._planned_stop = PlannedStop(links, self._now)
         self._continue_stop()
 
-    def _send_nodes_away(self) -> None:
+    def _redirect_nodes_if_cut_off(self) -> None:
         """Redirect nodes to other relays if only this relay lacks confirmations."""
         was_cut_off = self._is_cut_off
         elsewhere = self.exchange.confirmed_elsewhere()
         self._is_cut_off = self.source.is_cut_off(elsewhere, self._now)
         if self._is_cut_off and not was_cut_off:
-            self._do(self.nodes.send_away())
+            self._emit(self.nodes.redirect_nodes())
 
     def _continue_stop(self) -> None:
         assert self._planned_stop is not None
-        self._do(self._planned_stop.turn())
+        self._emit(self._planned_stop.next_batch())
         if self._planned_stop.is_over(len(self.distributor.sessions), self._now):
             self._out.append(Exit("stopped"))
         else:
-            self._set_timer(STOP_TIMER, TURN_SECONDS)
+            self._set_timer(STOP_TIMER, STOP_BATCH_SECONDS)
 
     def _peer_tick(self) -> None:
-        self._do(self.exchange.tick(self._now, self.source.is_fresh(self._now)))
-        self._do(self.quarantine.tick(self._now))
+        self._emit(self.exchange.tick(self._now, self.source.is_fresh(self._now)))
+        self._emit(self.quarantine.tick(self._now))
         for scope in self.distributor.drop_idle_scopes(self._now):
             self._fanout.forget_scope(scope)
-        for link, opened_at in list(self._unnamed_links.items()):
+        for link, opened_at in list(self._links_without_hello.items()):
             if self._now - opened_at > HELLO_SECONDS:
-                del self._unnamed_links[link]
+                del self._links_without_hello[link]
                 self._out.append(CloseLink(link, "no hello"))
 
-    def _note_pause(self, now: float) -> None:
+    def _detect_suspension(self, now: float) -> None:
         """Detect that this process was suspended, for instance stopped by a signal."""
         pause = now - self._now
         is_started = bool(self._timers_set)
-        if not is_started or pause < CLOCKS_SECONDS:
+        if not is_started or pause < CLOCK_READING_MAX_GAP_SECONDS:
             return
-        self.nodes.clocks_unknown()
-        if pause < PAUSE_SECONDS:
+        self.nodes.invalidate_clocks()
+        if pause < SUSPENSION_SECONDS:
             return
         self.nodes.resumed(pause, now)
-        self._pause_milliseconds = round(pause * 1_000)
+        self._suspension_milliseconds = round(pause * 1_000)
 
     def _after_event(self) -> None:
         """Run the follow-up work that several kinds of events can trigger."""
-        self._do(self.nodes.list_relays())
+        self._emit(self.nodes.list_relays())
         self._note_freshness()
-        if self._pause_milliseconds:
-            self._report(notices.ProcessPaused(self._pause_milliseconds))
-            self._pause_milliseconds = 0
+        if self._suspension_milliseconds:
+            self._report(notices.ProcessPaused(self._suspension_milliseconds))
+            self._suspension_milliseconds = 0
         if self.exchange.changed:
             self._endpoints_changed()
         if self.rollout.is_holding:
@@ -353,14 +355,14 @@
         """Send urgent endpoint changes at once and plan the others for a later batch."""
         changed = self.exchange.changed.values()
         if self.holds.held and any(each.state == STATE_READY for each in changed):
-            self._do(self.rollout.release_held(self._now))
+            self._emit(self.rollout.release_held(self._now))
         wait = self._fanout_pace.plan(any(map(is_urgent, changed)), self._now)
         if wait == 0.0:
             self._send_endpoint_changes()
         elif wait is not None:
             self._set_timer(FANOUT_TIMER, wait)
 
-    def _endpoints_due(self) -> None:
+    def _send_due_endpoints(self) -> None:
         """Send all changed endpoints to nodes, unless a burst of changes delays them."""
         changed = self.exchange.changed.values()
         if not changed:
@@ -374,7 +376,7 @@
 
     def _send_endpoint_changes(self) -> None:
         self._fanout_pace.sent(self._now)
-        self._do(self.nodes.endpoint_changes(self._now))
+        self._emit(self.nodes.endpoint_changes(self._now))
 
     # --- the replica -----------------------------------------------------------
 
@@ -384,7 +386,7 @@
                 self._edits(message)
             case ConfirmReply():
                 self.source.confirmed(message, self.follower.version, self._now)
-                self._do(self.nodes.release_confirmed())
+                self._emit(self.nodes.release_confirmed())
             case TreeState():
                 change = self.follower.load(message.tree)
                 if change is not None:
@@ -392,11 +394,11 @@
                     self._tree_changed(change)
             case QuotaGranted():
                 link = self.source.open_link
-                self._do(self.quotas.granted(message, link, self._now))
+                self._emit(self.quotas.granted(message, link, self._now))
             case Refused() | Goodbye():
-                self._do(self.source.leave(message.reason))
+                self._emit(self.source.leave(message.reason))
             case _:
-                self._do(self.source.leave(f"unexpected {type(message).__name__}"))
+                self._emit(self.source.leave(f"unexpected {type(message).__name__}"))
 
     def _edits(self, message: EditsCommitted) -> None:
         change = self.follower.advance(message.edits)
@@ -408,15 +410,15 @@
         self._tree_changed(change)
 
     def _tree_changed(self, change: TreeChange) -> None:
-        self._do(self.rollout.tree_changed(change, self._now))
+        self._emit(self.rollout.tree_changed(change, self._now))
         self.nodes.progress_changed = True
         self.source.tree_reached(change.version)
         if self._settings.batching_milliseconds:
             seconds = self._settings.batching_milliseconds / 1_000
             self._set_timer_once(FLUSH_TIMER, seconds)
         else:
-            self._do(self.rollout.flush())
-        self._do(self.nodes.release_confirmed())
+            self._emit(self.rollout.flush())
+        self._emit(self.nodes.release_confirmed())
 
     def _report_progress(self) -> None:
         self._report_soon = False
@@ -425,7 +427,7 @@
         if self.source.link is None or not self.source.is_open:
             return
         report = make_report(
-            self._life(),
+            self._relay_status(),
             self.distributor,
             self.departures,
             self.holds,
@@ -433,12 +435,12 @@
         )
         self._out.append(SendMessage(self.source.link, report))
 
-    def _life(self) -> RelayLife:
+    def _relay_status(self) -> RelayStatus:
         self._reports += 1
         now = self._now
         settled = self.exchange.is_settled(now) and now >= self.nodes.deferred_until
         heard = self.exchange.heard(now)
-        return RelayLife(
+        return RelayStatus(
             self._settings.relay,
             self._settings.zone,
             self._incarnation,
@@ -461,7 +463,7 @@
 
     # --- helpers ---------------------------------------------------------------
 
-    def _do(self, commands: list[Command]) -> None:
+    def _emit(self, commands: list[Command]) -> None:
         self._out.extend(commands)
 
     def _report(self, notice: Notice) -> None:
--- a/src/peppershore/process/relay/departures.py
+++ b/src/peppershore/process/relay/departures.py
@@ -57,7 +57,7 @@
         """Return the number of disconnected nodes."""
         return len(self._away)
 
-    def left(self, session: NodeSession, now: float) -> None:
+    def session_ended(self, session: NodeSession, now: float) -> None:
         """Record a node whose session ended, if it held a configuration."""
         self._away.pop(session.node, None)
         if session.version == 0 or len(self._away) >= MAX_AWAY:
@@ -71,7 +71,7 @@
             now + VERIFIER_SECONDS,
         )
 
-    def came_back(self, node: str) -> None:
+    def node_reconnected(self, node: str) -> None:
         """Remove a node that reconnected to this relay."""
         self._away.pop(node, None)
 
@@ -87,15 +87,15 @@
             verifies_until=min(away.verifies_until, handed_over),
         )
 
-    def drop_old(self, now: float) -> bool:
+    def drop_expired(self, now: float) -> bool:
         """Remove expired nodes; return whether a deadline of any node has passed."""
         ended = {node for node, each in self._away.items() if now >= each.until}
         has_changed = ended != self._ended
-        over = [node for node, each in self._away.items() if now >= each.verifies_until]
-        for node in over:
+        expired = [node for node, each in self._away.items() if now >= each.verifies_until]
+        for node in expired:
             del self._away[node]
-        self._ended = ended.difference(over)
-        return has_changed or bool(over)
+        self._ended = ended.difference(expired)
+        return has_changed or bool(expired)
 
     def lagging(self, now: float) -> list[Departure]:
         """Return the nodes of ``silent`` that still count for the version in force."""
--- a/src/peppershore/process/relay/distribution.py
+++ b/src/peppershore/process/relay/distribution.py
@@ -23,7 +23,7 @@
 from peppershore.process.commands import Command, SendEncoded
 from peppershore.process.events import LinkId
 from peppershore.process.relay.endpoint_fanout import EndpointFanout
-from peppershore.process.relay.hold import HoldBook
+from peppershore.process.relay.hold import HoldTracker
 from peppershore.process.relay.packed_updates import PackedUpdates
 from peppershore.process.relay.session import NodeSession
 from peppershore.version.catalog import ScopeCatalog
@@ -36,7 +36,7 @@
     """The node sessions of a relay and the updates each of them needs."""
 
     def __init__(
-        self, catalog: ScopeCatalog, holds: HoldBook, fanout: EndpointFanout
+        self, catalog: ScopeCatalog, holds: HoldTracker, fanout: EndpointFanout
     ) -> None:
         """Serve the scopes of ``catalog``, except those that ``holds`` delays.
 
@@ -279,13 +279,15 @@
         if is_current:
             self._mark_current(session)
             session.version = version
-        is_told = session.answered and (is_current or session.current_told == version)
-        if is_told:
+        is_reported = session.answered and (
+            is_current or session.current_reported == version
+        )
+        if is_reported:
             return []
         session.answered = True
-        session.current_told = version
-        if session.services_told is None:
-            self._fanout.told_all(session)
+        session.current_reported = version
+        if session.services_sent is None:
+            self._fanout.mark_services_sent(session)
         current = Current(version, session.confirmed_at(confirmed_at), session.digest)
         return [self._send(session, encode_message(current))]
 
--- a/src/peppershore/process/relay/endpoint_fanout.py
+++ b/src/peppershore/process/relay/endpoint_fanout.py
@@ -49,12 +49,12 @@
         self._catalog = catalog
         self._table = table
         self._complete: dict[Scope, tuple[int, bytes]] = {}
-        self._of_new: dict[Scope, NewServices] = {}
+        self._new_services: dict[Scope, NewServices] = {}
 
     def forget_scope(self, scope: Scope) -> None:
         """Drop the cached messages of a scope that has no nodes at this relay."""
         self._complete.pop(scope, None)
-        self._of_new.pop(scope, None)
+        self._new_services.pop(scope, None)
 
     def digest_for(self, session: NodeSession) -> Command:
         """Return a message with the digest of the endpoints a node should hold."""
@@ -80,15 +80,15 @@
         the node knows the endpoints of its target.
         """
         held = self._catalog.services_held(session.scope)
-        missing = _missing_services(held, session.services_told, update)
-        session.services_told = held
+        missing = _missing_services(held, session.services_sent, update)
+        session.services_sent = held
         if not missing:
             return []
         return [self._send(session, self._encode_new(session.scope, missing))]
 
-    def told_all(self, session: NodeSession) -> None:
+    def mark_services_sent(self, session: NodeSession) -> None:
         """Record that a current node compares its endpoints by digest itself."""
-        session.services_told = self._catalog.services_held(session.scope)
+        session.services_sent = self._catalog.services_held(session.scope)
 
     def changes(
         self,
@@ -120,11 +120,11 @@
 
     def _encode_new(self, scope: Scope, services: frozenset[str]) -> bytes:
         digest = self._table.digest(services)
-        known = self._of_new.get(scope)
+        known = self._new_services.get(scope)
         if known is None or (known.services, known.digest) != (services, digest):
             shown = self._table.shown(sorted(services))
             known = NewServices(services, digest, _encode(EndpointsChanged(shown)))
-            self._of_new[scope] = known
+            self._new_services[scope] = known
         return known.payload
 
     def _send(self, session: NodeSession, payload: bytes) -> Command:
@@ -133,14 +133,14 @@
 
 
 def _missing_services(
-    held: frozenset[str], told: frozenset[str] | None, update: Update
+    held: frozenset[str], sent: frozenset[str] | None, update: Update
 ) -> frozenset[str]:
     """Return the services that are new to a node.
 
     For a node that just connected, return the services named in its update.
     """
-    if told is not None:
-        return held - told
+    if sent is not None:
+        return held - sent
     named = frozenset(resource.name for resource in update.changed)
     return frozenset(service for service in held if service_name(service) in named)
 
--- a/src/peppershore/process/relay/heartbeats.py
+++ b/src/peppershore/process/relay/heartbeats.py
@@ -57,7 +57,7 @@
             (silent if session.last_heard < silent_before else alive).append(session)
         return alive, silent
 
-    def tell(
+    def send_to(
         self, sessions: list[NodeSession], confirmed_at: float | None
     ) -> list[Command]:
         """Send each session its heartbeat, with times on the clock of its node."""
--- a/src/peppershore/process/relay/hold.py
+++ b/src/peppershore/process/relay/hold.py
@@ -65,7 +65,7 @@
     targets: dict[str, str]
 
 
-class HoldBook:
+class HoldTracker:
     """Tracks which scopes are held and the state last released for each scope."""
 
     def __init__(
--- a/src/peppershore/process/relay/node_service.py
+++ b/src/peppershore/process/relay/node_service.py
@@ -111,7 +111,7 @@
     def received(self, session: NodeSession, message: Message, now: float) -> list[Command]:
         """Handle a message from a node that has a session."""
         session.last_heard = now
-        out = self._vouch_again(session, now)
+        out = self._advertise_again(session, now)
         match message:
             case NodeAlive():
                 session.clock = NodeClock(message.sent_at_milliseconds, now)
@@ -151,15 +151,15 @@
     def heartbeat(self, now: float) -> list[Command]:
         """Send the heartbeats of the next slot and close its silent sessions."""
         alive, silent = self.heartbeats.next_slot(now)
-        out = self.heartbeats.tell(alive, self._source.confirmed_at)
+        out = self.heartbeats.send_to(alive, self._source.confirmed_at)
         for session in silent:
             out += self.closed(session.link, "silent", now)
             out.append(CloseLink(session.link, "silent"))
-        if self._departures.drop_old(now):
+        if self._departures.drop_expired(now):
             self.progress_changed = True
         return out + self._settle(now)
 
-    def send_away(self) -> list[Command]:
+    def redirect_nodes(self) -> list[Command]:
         """Redirect every node to another relay, and serve each until it leaves."""
         links = list(self._distributor.sessions)
         if not links:
@@ -180,13 +180,13 @@
         """Resume after a suspension; advertise no node until it sends a message again."""
         sessions = self._distributor.sessions.values()
         for session in sessions:
-            session.is_vouched = False
+            session.heard_since_resume = False
             session.clock = None
         nodes = [session.node for session in sessions]
         self._exchange.resumed(nodes, pause_seconds, now)
         self._was_settled = False
 
-    def clocks_unknown(self) -> None:
+    def invalidate_clocks(self) -> None:
         """Send a node no confirmation times until a new clock reading arrives from it."""
         for session in self._distributor.sessions.values():
             session.clock = None
@@ -201,17 +201,17 @@
         """
         session = _session(link, hello, now)
         self._distributor.add(session)
-        self._departures.came_back(hello.node)
+        self._departures.node_reconnected(hello.node)
         self.heartbeats.add(session)
         self.progress_changed = True
         out: list[Command] = [Report(_connected(session))]
         if self._settings.lists_relays:
             out.append(SendMessage(link, self._listed()))
         if session.needs_confirmation:
-            out += self._source.ask_confirmation(now)
+            out += self._source.request_confirmation(now)
         answer = self.offer((session,))
         if session.outstanding_version or not session.answered:
-            out += self.heartbeats.tell([session], self._source.confirmed_at)
+            out += self.heartbeats.send_to([session], self._source.confirmed_at)
         return out + answer
 
     def _listed(self) -> RelaysListed:
@@ -232,10 +232,10 @@
 
     # --- messages of a node ----------------------------------------------------
 
-    def _vouch_again(self, session: NodeSession, now: float) -> list[Command]:
-        if session.is_vouched:
+    def _advertise_again(self, session: NodeSession, now: float) -> list[Command]:
+        if session.heard_since_resume:
             return []
-        session.is_vouched = True
+        session.heard_since_resume = True
         if session.endpoint is None:
             return []
         return self._exchange.announced(session.endpoint, now)
@@ -258,7 +258,7 @@
         if self._distributor.refused(session, message.version, is_unconfirmed, now):
             out += self.offer((session,))
         elif is_unconfirmed:
-            out += self._source.ask_confirmation(now)
+            out += self._source.request_confirmation(now)
         return out
 
     def _announced(
@@ -295,7 +295,7 @@
             return session
         self._exchange.session_lost(session.node, now)
         if not session.is_leaving:
-            self._departures.left(session, now)
+            self._departures.session_ended(session, now)
         return session
 
 
--- a/src/peppershore/process/relay/progress.py
+++ b/src/peppershore/process/relay/progress.py
@@ -9,7 +9,7 @@
 from peppershore.connection.messages.relay import LaggingNode, ProgressReported
 from peppershore.process.relay.departures import Departure, Departures
 from peppershore.process.relay.distribution import Distributor
-from peppershore.process.relay.hold import HoldBook
+from peppershore.process.relay.hold import HoldTracker
 from peppershore.process.relay.session import NodeSession
 from peppershore.version.model import Scope, Version
 
@@ -21,7 +21,7 @@
 MAX_LAGGING_NODES = 20
 
 
-class RelayLife(msgspec.Struct, frozen=True):
+class RelayStatus(msgspec.Struct, frozen=True):
     """State of the relay itself that goes into a ``ProgressReported`` message.
 
     ``at`` is the monotonic time of the report, in seconds.
@@ -37,34 +37,34 @@
 
 
 def make_report(
-    life: RelayLife,
+    status: RelayStatus,
     distributor: Distributor,
     departures: Departures,
-    holds: HoldBook,
+    holds: HoldTracker,
     control_bytes: int,
 ) -> ProgressReported:
-    """Return a progress report as of ``life.at``."""
-    away = departures.lagging(life.at)
+    """Return a progress report as of ``status.at``."""
+    away = departures.lagging(status.at)
     lagging = _lagging_nodes(distributor, holds)
     lagging += [_away(each) for each in away[: MAX_LAGGING_NODES - len(lagging)]]
     lowest_away = min((each.version for each in away), default=distributor.version)
     return ProgressReported(
-        relay=life.relay,
-        zone=life.zone,
+        relay=status.relay,
+        zone=status.zone,
         version=distributor.version,
         in_force=min(distributor.in_force(), lowest_away),
         nodes=len(distributor.sessions),
         lagging=tuple(lagging),
         control_bytes=control_bytes,
-        incarnation=life.incarnation,
-        settled=life.settled,
-        relays=life.relays,
-        number=life.reports,
+        incarnation=status.incarnation,
+        settled=status.settled,
+        relays=status.relays,
+        number=status.reports,
         silent=tuple(_away(each) for each in departures.silent()[:MAX_LAGGING_NODES]),
     )
 
 
-def _lagging_nodes(distributor: Distributor, holds: HoldBook) -> list[LaggingNode]:
+def _lagging_nodes(distributor: Distributor, holds: HoldTracker) -> list[LaggingNode]:
     """Return a sample of at most ``MAX_LAGGING_NODES`` lagging nodes.
 
     It starts with one node of each held scope, so that held scopes are reported however
@@ -87,7 +87,7 @@
 
 
 def _lagging(
-    session: NodeSession, distributor: Distributor, holds: HoldBook
+    session: NodeSession, distributor: Distributor, holds: HoldTracker
 ) -> LaggingNode:
     return LaggingNode(
         node=session.node,
@@ -108,7 +108,7 @@
     )
 
 
-def _reason(session: NodeSession, version: Version, holds: HoldBook) -> str:
+def _reason(session: NodeSession, version: Version, holds: HoldTracker) -> str:
     if session.outstanding_version:
         return f"version {session.outstanding_version} was sent and not yet answered"
     if session.needs_confirmation:
--- a/src/peppershore/process/relay/rollout.py
+++ b/src/peppershore/process/relay/rollout.py
@@ -5,7 +5,7 @@
 from peppershore.process.commands import Command, Report
 from peppershore.process.relay import notices
 from peppershore.process.relay.distribution import Distributor
-from peppershore.process.relay.hold import HoldBook, ReleasedScope
+from peppershore.process.relay.hold import HoldTracker, ReleasedScope
 from peppershore.process.relay.node_service import NodeService
 from peppershore.process.relay.tree_follower import TreeChange
 from peppershore.version.model import Scope
@@ -15,7 +15,7 @@
     """Tracks scopes whose newest state has not been sent yet."""
 
     def __init__(
-        self, distributor: Distributor, holds: HoldBook, nodes: NodeService
+        self, distributor: Distributor, holds: HoldTracker, nodes: NodeService
     ) -> None:
         """Send through ``nodes`` the updates that ``holds`` does not delay."""
         self._distributor = distributor
--- a/src/peppershore/process/relay/session.py
+++ b/src/peppershore/process/relay/session.py
@@ -37,7 +37,7 @@
     as unconfirmed; ``hello_at`` is then the time of that refusal."""
     outstanding_version: Version = 0
     """Version of the unanswered update; 0 if there is none."""
-    current_told: Version = 0
+    current_reported: Version = 0
     """Version in the last message that reported the node as current."""
     behind_since: Version = 0
     """First version whose change the node lacks; 0 if it lacks none."""
@@ -45,11 +45,11 @@
     """Whether the hello was answered with ``Current`` or ``UpdateOffered``."""
     endpoint: Endpoint | None = None
     """Endpoint that the node last announced for its back end."""
-    services_told: frozenset[str] | None = None
+    services_sent: frozenset[str] | None = None
     """Services whose endpoints were sent to the node; None if not known."""
     is_leaving: bool = False
     """Whether the node reported a planned stop of its back end."""
-    is_vouched: bool = True
+    heard_since_resume: bool = True
     """Whether a message arrived from the node since this relay was last suspended."""
 
     @property
--- a/src/peppershore/process/relay/source.py
+++ b/src/peppershore/process/relay/source.py
@@ -72,7 +72,7 @@
         self._replica: PeerReplica | None = None
         self._failures = 0
         self._nonce = 0
-        self._asked_at: dict[int, float] = {}
+        self._requested_at: dict[int, float] = {}
         self._waiting: list[tuple[float, Version]] = []
         self._heard_at = 0.0
 
@@ -101,7 +101,7 @@
         )
         return [
             SendMessage(self.link, follow),
-            *self.ask_confirmation(now),
+            *self.request_confirmation(now),
             Report(ReplicaFollowed(self._replica.name, after_version)),
         ]
 
@@ -110,7 +110,7 @@
         name = self._replica.name if self._replica else ""
         self.link = None
         self.is_open = False
-        self._asked_at.clear()
+        self._requested_at.clear()
         wait = self._randomness.backoff_seconds(
             self._failures, BACKOFF_BASE_SECONDS, BACKOFF_CEILING_SECONDS
         )
@@ -129,46 +129,48 @@
 
     def confirm_tick(self, now: float) -> list[Command]:
         """Request a confirmation, or leave a replica that confirmed nothing too long."""
-        again: list[Command] = [SetTimer(CONFIRM_TIMER, self._until_next(now))]
+        next_request: list[Command] = [
+            SetTimer(CONFIRM_TIMER, self._seconds_until_request(now))
+        ]
         if not self.is_open:
-            return again
+            return next_request
         if now - self._heard_at > SILENCE_SECONDS:
-            return [*self.leave("no confirmation"), *again]
-        return [*self.ask_confirmation(now), *again]
+            return [*self.leave("no confirmation"), *next_request]
+        return [*self.request_confirmation(now), *next_request]
 
-    def ask_confirmation(self, now: float) -> list[Command]:
+    def request_confirmation(self, now: float) -> list[Command]:
         """Request the version that a quorum confirms.
 
         Send nothing if no link is open or too many requests are unanswered.
         """
         if self.link is None or not self.is_open:
             return []
-        if len(self._asked_at) >= MAX_REQUESTS_IN_FLIGHT:
+        if len(self._requested_at) >= MAX_REQUESTS_IN_FLIGHT:
             return []
         self._nonce += 1
-        self._asked_at[self._nonce] = now
+        self._requested_at[self._nonce] = now
         return [SendMessage(self.link, ConfirmRequest(self._nonce))]
 
     def confirmed(self, reply: ConfirmReply, tree_version: Version, now: float) -> None:
         """Handle a confirmation; it counts once the tree has reached its version."""
-        asked_at = self._asked_at.pop(reply.nonce, None)
-        if asked_at is None:
+        requested_at = self._requested_at.pop(reply.nonce, None)
+        if requested_at is None:
             return
-        for nonce in [nonce for nonce in self._asked_at if nonce < reply.nonce]:
-            del self._asked_at[nonce]
+        for nonce in [nonce for nonce in self._requested_at if nonce < reply.nonce]:
+            del self._requested_at[nonce]
         self._heard_at = now
         self._failures = 0
-        self._waiting.append((asked_at, reply.version))
+        self._waiting.append((requested_at, reply.version))
         self.tree_reached(tree_version)
 
     def tree_reached(self, tree_version: Version) -> None:
         """Count the waiting confirmations whose version the tree has reached."""
         still_waiting: list[tuple[float, Version]] = []
-        for asked_at, version in self._waiting:
+        for requested_at, version in self._waiting:
             if version > tree_version:
-                still_waiting.append((asked_at, version))
-            elif self.confirmed_at is None or asked_at > self.confirmed_at:
-                self.confirmed_at = asked_at
+                still_waiting.append((requested_at, version))
+            elif self.confirmed_at is None or requested_at > self.confirmed_at:
+                self.confirmed_at = requested_at
         self._waiting = still_waiting[-MAX_REQUESTS_IN_FLIGHT:]
 
     def age_milliseconds(self, now: float) -> int:
@@ -191,7 +193,7 @@
             return False
         return confirmed_elsewhere - self.confirmed_at >= CUT_OFF_LEAD_SECONDS
 
-    def _until_next(self, now: float) -> float:
+    def _seconds_until_request(self, now: float) -> float:
         """Return the seconds until the next confirmation request."""
         confirmed_at = self.confirmed_at
         late = confirmed_at is None or now - confirmed_at > LATE_SECONDS
