--- a/src/peppershore/process/endpoints/exchange.py
+++ b/src/peppershore/process/endpoints/exchange.py
@@ -74,7 +74,7 @@
     zone: str = ""
     link: LinkId | None = None
     is_open: bool = False
-    view: AdvertisedNodes = field(default_factory=AdvertisedNodes)
+    advertised: AdvertisedNodes = field(default_factory=AdvertisedNodes)
     lease_until: float = 0.0
     hears: frozenset[str] = frozenset()
     reported_heard: tuple[str, ...] | None = None
@@ -94,7 +94,7 @@
     def __init__(self, settings: RelaySettings, numbers: LinkNumbers) -> None:
         """Start with an empty table; ``start`` connects to the other relays."""
         self.table = EndpointTable()
-        self.own = AdvertisedNodes()
+        self.local_nodes = AdvertisedNodes()
         self.confirmed_at: float | None = None
         """When a quorum confirmed this relay's version; sent to the other relays."""
         self.changed: dict[str, Endpoint] = {}
@@ -128,7 +128,7 @@
         out: list[Command] = []
         for name in [name for name in self._peers if name not in wanted]:
             peer = self._peers.pop(name)
-            for node in peer.view.nodes:
+            for node in peer.advertised.nodes:
                 self._note_unadvertised(node, now)
             if peer.link is not None:
                 self._by_link.pop(peer.link, None)
@@ -196,9 +196,9 @@
         self.changed[endpoint.node] = endpoint
         self._unadvertised.pop(endpoint.node, None)
         if endpoint.state == STATE_GONE:
-            self.own.remove(endpoint.node)
+            self.local_nodes.remove(endpoint.node)
         else:
-            self.own.add(endpoint.node, order_of(endpoint))
+            self.local_nodes.add(endpoint.node, order_of(endpoint))
         return self._to_peers(EndpointsChanged((endpoint,)))
 
     def newer_than(self, endpoint: Endpoint) -> Endpoint | None:
@@ -210,7 +210,7 @@
 
     def session_lost(self, node: str, now: float) -> None:
         """Stop advertising a node whose session ended."""
-        if self.own.remove(node):
+        if self.local_nodes.remove(node):
             self._note_unadvertised(node, now)
 
     def resumed(self, nodes: Iterable[str], pause_seconds: float, now: float) -> None:
@@ -223,7 +223,7 @@
         self._started_at = now
         missed = min(pause_seconds, LEASE_SECONDS - RESUME_GRACE_SECONDS)
         for node in nodes:
-            if self.own.remove(node) and not self._is_advertised(node, now):
+            if self.local_nodes.remove(node) and not self._is_advertised(node, now):
                 self._unadvertised.setdefault(node, now - missed)
 
     # --- the other relays ------------------------------------------------------
@@ -322,7 +322,7 @@
             return []
         if known.state == STATE_GONE:
             return []
-        self.own.add(endpoint.node, order_of(endpoint))
+        self.local_nodes.add(endpoint.node, order_of(endpoint))
         self._reveal_advertised(endpoint.node)
         return []
 
@@ -337,10 +337,11 @@
             self._unadvertised.setdefault(node, now)
 
     def _is_advertised(self, node: str, now: float) -> bool:
-        if node in self.own:
+        if node in self.local_nodes:
             return True
         return any(
-            node in peer.view and self._is_held(peer, now) for peer in self._peers.values()
+            node in peer.advertised and self._is_held(peer, now)
+            for peer in self._peers.values()
         )
 
     def _is_held(self, peer: Peer, now: float) -> bool:
@@ -357,8 +358,8 @@
 
     def _digest(self, peer: Peer, now: float, with_buckets: bool = False) -> EndpointDigest:
         return EndpointDigest(
-            self.own.total,
-            self.own.buckets if with_buckets else (),
+            self.local_nodes.total,
+            self.local_nodes.buckets if with_buckets else (),
             self._heard_if_due(peer, now),
             self._confirmed_age_milliseconds(now),
         )
@@ -421,9 +422,9 @@
             if self.table.merge(endpoint, now):
                 self.changed[endpoint.node] = endpoint
             if endpoint.state == STATE_GONE:
-                peer.view.remove(endpoint.node)
+                peer.advertised.remove(endpoint.node)
                 continue
-            peer.view.add(endpoint.node, order_of(endpoint))
+            peer.advertised.add(endpoint.node, order_of(endpoint))
             known = self.table.get(endpoint.node)
             if known is not None and order_of(known) == order_of(endpoint):
                 self._reveal_advertised(endpoint.node)
@@ -437,17 +438,17 @@
             peer.steady_since = math.inf
         else:
             peer.steady_since = min(peer.steady_since, peer.confirmed_at)
-        if peer.view.total == message.total:
+        if peer.advertised.total == message.total:
             peer.lease_until = now + LEASE_SECONDS
             return []
         assert peer.link is not None
         if not message.buckets:
             return [SendMessage(peer.link, EndpointDigestWanted())]
-        differing = peer.view.differing_buckets(message.buckets)
+        differing = peer.advertised.differing_buckets(message.buckets)
         return [SendMessage(peer.link, EndpointBucketsWanted(differing))]
 
     def _send_buckets(self, link: LinkId, buckets: tuple[int, ...]) -> list[Command]:
-        nodes = self.own.in_buckets(buckets)
+        nodes = self.local_nodes.in_buckets(buckets)
         known = (self.table.get(node) for node in nodes)
         endpoints = tuple(endpoint for endpoint in known if endpoint is not None)
         return [
@@ -458,15 +459,15 @@
     def _drop_unlisted(self, peer: Peer, message: LeaseRenewed, now: float) -> None:
         peer.lease_until = now + LEASE_SECONDS
         named = frozenset(message.nodes_alive)
-        for node in peer.view.in_buckets(message.buckets):
+        for node in peer.advertised.in_buckets(message.buckets):
             if node not in named:
-                peer.view.remove(node)
+                peer.advertised.remove(node)
                 self._note_unadvertised(node, now)
 
     def _expire(self, now: float) -> list[Command]:
         out: list[Command] = []
         for peer in self._peers.values():
-            if len(peer.view) and not self._is_held(peer, now):
+            if len(peer.advertised) and not self._is_held(peer, now):
                 out.extend(self._expire_peer(peer, now))
         for node, since in list(self._unadvertised.items()):
             if now - since >= LEASE_SECONDS:
@@ -475,9 +476,9 @@
         return out
 
     def _expire_peer(self, peer: Peer, now: float) -> list[Command]:
-        nodes = peer.view.nodes
+        nodes = peer.advertised.nodes
         for node in nodes:
-            peer.view.remove(node)
+            peer.advertised.remove(node)
         hidden = sum(self._hide(node, now) for node in nodes)
         return [Report(EndpointsExpired(peer.name, hidden))]
 
--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -47,7 +47,7 @@
     EndpointFanout,
     is_urgent,
 )
-from peppershore.process.relay.fanout_pace import FanoutPace
+from peppershore.process.relay.fanout_scheduler import FanoutScheduler
 from peppershore.process.relay.hold import HoldTracker
 from peppershore.process.relay.node_service import NodeService
 from peppershore.process.relay.planned_stop import (
@@ -139,7 +139,7 @@
         self._links_without_hello: dict[events.LinkId, float] = {}
         self._planned_stop: PlannedStop | None = None
         self.rollout = Rollout(self.distributor, self.holds, self.nodes)
-        self._fanout_pace = FanoutPace()
+        self._fanout_scheduler = FanoutScheduler()
         self._timers_set: set[str] = set()
         self._was_fresh = False
         self._is_cut_off = False
@@ -356,7 +356,7 @@
         changed = self.exchange.changed.values()
         if self.holds.held and any(each.state == STATE_READY for each in changed):
             self._emit(self.rollout.release_held(self._now))
-        wait = self._fanout_pace.plan(any(map(is_urgent, changed)), self._now)
+        wait = self._fanout_scheduler.plan(any(map(is_urgent, changed)), self._now)
         if wait == 0.0:
             self._send_endpoint_changes()
         elif wait is not None:
@@ -368,14 +368,14 @@
         if not changed:
             return
         is_any_urgent = any(map(is_urgent, changed))
-        wait = self._fanout_pace.postponed(len(changed), is_any_urgent, self._now)
+        wait = self._fanout_scheduler.postpone(len(changed), is_any_urgent, self._now)
         if wait:
             self._set_timer(FANOUT_TIMER, wait)
         else:
             self._send_endpoint_changes()
 
     def _send_endpoint_changes(self) -> None:
-        self._fanout_pace.sent(self._now)
+        self._fanout_scheduler.sent(self._now)
         self._emit(self.nodes.endpoint_changes(self._now))
 
     # --- the replica -----------------------------------------------------------
--- a/src/peppershore/process/relay/endpoint_fanout.py
+++ b/src/peppershore/process/relay/endpoint_fanout.py
@@ -1,7 +1,7 @@
 """Encode endpoint messages and select the nodes that receive them.
 
 A node receives the endpoints of the services in its snapshot. Changes that are sent
-together (see ``fanout_pace``) are encoded once per scope.
+together (see ``fanout_scheduler``) are encoded once per scope.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/relay/fanout_pace.py
+++ b/src/peppershore/process/relay/fanout_scheduler.py
@@ -13,13 +13,13 @@
 """Changes within this time are sent together; an urgent change waits until this
 long after the previous message."""
 
-STORM_WINDOW_SECONDS = 0.5
-STORM_ENDPOINTS = 10
+BURST_WINDOW_SECONDS = 0.5
+BURST_ENDPOINTS = 10
 """This many changes in one window count as a burst, which is sent later unless a
 change is urgent."""
 
 
-class FanoutPace:
+class FanoutScheduler:
     """Decides when the next message with changed endpoints is due."""
 
     def __init__(self) -> None:
@@ -43,13 +43,13 @@
         self._due_at = due_at
         return due_at - now
 
-    def postponed(self, waiting: int, is_urgent: bool, now: float) -> float:
+    def postpone(self, waiting: int, is_urgent: bool, now: float) -> float:
         """Return the seconds by which to delay a due message, or 0 to send it now."""
-        storm_ends_at = self._sent_at + STORM_WINDOW_SECONDS
-        if is_urgent or waiting < STORM_ENDPOINTS or now >= storm_ends_at:
+        burst_ends_at = self._sent_at + BURST_WINDOW_SECONDS
+        if is_urgent or waiting < BURST_ENDPOINTS or now >= burst_ends_at:
             return 0.0
-        self._due_at = storm_ends_at
-        return storm_ends_at - now
+        self._due_at = burst_ends_at
+        return burst_ends_at - now
 
     def sent(self, now: float) -> None:
         """Record that all waiting changes were sent."""
--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Order, digests and forgetting of endpoints, at a relay and at a node."""
+"""Ordering, digests and removal of endpoints, at a relay and at a node."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         assert table.digest(["kuitti"]) == endpoints_digest(table.shown(["kuitti"]))
 
 
-def test_what_is_gone_does_not_come_back_and_is_forgotten_in_the_end() -> None:
+def test_a_gone_endpoint_is_not_restored_and_is_removed_in_the_end() -> None:
     table = EndpointTable()
     table.merge(endpoint("a", 1, 3, "gone"), 0.0)
     assert not table.merge(endpoint("a", 1, 2), 10.0)
@@ -71,7 +71,7 @@
     assert len(table) == 0
 
 
-def test_a_hidden_endpoint_is_shown_again_when_it_is_vouched_for() -> None:
+def test_a_hidden_endpoint_is_shown_again_when_it_is_revealed() -> None:
     table = EndpointTable()
     table.merge(endpoint("a", 1, 1), 0.0)
     assert table.hide("a", 5.0) == as_gone(endpoint("a", 1, 1))
@@ -99,7 +99,7 @@
     assert one.differing_buckets(other.buckets) == ()
 
 
-def test_a_node_never_takes_an_older_state_even_of_what_is_gone() -> None:
+def test_a_node_never_accepts_an_older_state_even_of_a_gone_endpoint() -> None:
     known = KnownEndpoints()
     assert known.take(EndpointsChanged((endpoint("a", 1, 2),)))
     assert not known.take(EndpointsChanged((endpoint("a", 1, 1, "leaving"),)))
--- a/tests/relay/scripted_replica.py
+++ b/tests/relay/scripted_replica.py
@@ -1,4 +1,4 @@
-"""A control replica that accepts edits at once, for the tests of relay and node."""
+"""Fake control replica that accepts every edit at once, for relay and node tests."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class AcceptEdit(events.Event, frozen=True):
-    """Accept an edit of these operations."""
+    """Make the replica accept an edit with these operations."""
 
     operations: tuple[Operation, ...]
 
 
 class ScriptedReplica:
-    """Holds the log and the tree; confirms while ``has_quorum``."""
+    """Holds the log and the tree; answers confirmation requests while ``has_quorum``."""
 
     def __init__(self) -> None:
         self.tree: Tree = empty_tree(CLUSTER)
@@ -81,7 +81,7 @@
 
 
 def base_operations() -> tuple[Operation, ...]:
-    """Two zones, service "kassa" that calls "kuitti", one route each."""
+    """Return edits for two zones and service "kassa" calling "kuitti", one route each."""
     return (
         SetZone("pasila", "uusimaa"),
         SetZone("vantaa", "uusimaa"),
@@ -92,6 +92,6 @@
 
 
 def timeout_change(service: str, route: str, milliseconds: int) -> tuple[Operation, ...]:
-    """Change one route's timeout."""
+    """Return an edit that changes the time-out of one route."""
     overrides = Overrides(timeout_milliseconds=milliseconds)
     return (SetOverrides(f"/{service}/*/{route}", overrides),)
--- a/tests/relay/site.py
+++ b/tests/relay/site.py
@@ -1,4 +1,4 @@
-"""A small site of cores for the tests: one replica, three relays, nodes as added."""
+"""Small test cluster of cores: one replica, three relays, and nodes added by tests."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Site:
-    """Processes whose addresses are their names."""
+    """Cluster of processes whose addresses equal their names."""
 
     def __init__(self, **relay_settings: int) -> None:
         self.network = VirtualNetwork()
@@ -51,7 +51,7 @@
             self.restart_relay(relay.name)
 
     def restart_relay(self, name: str, seed: int = 1) -> RelayCore:
-        """Start a relay, after a kill if it runs."""
+        """Start a relay, after killing it if it is running."""
         if name in self.network.processes:
             self.network.kill(name)
         settings = RelaySettings(
@@ -92,35 +92,35 @@
         return core
 
     def edit(self, operations: tuple[Operation, ...]) -> None:
-        """Accept an edit; it is on its way to the relays."""
+        """Accept an edit at the replica, which sends it to the relays."""
         self.network.give("replica", AcceptEdit(operations))
 
     def make_ready(self, *names: str) -> None:
-        """Let the back ends of nodes be ready."""
+        """Set the back ends of these nodes to ready."""
         for name in names:
             self.network.give(name, BackendStateChanged("ready"))
 
     def relay_of(self, name: str) -> str:
-        """Give the relay a node uses; empty if none."""
+        """Return the name of the relay that a node uses, or "" if none."""
         active = self.nodes[name].sessions.active
         return active.relay.name if active is not None else ""
 
     def notices(self, name: str, kind: type[NoticeType]) -> list[NoticeType]:
-        """Give what a process reported of one kind."""
+        """Return the notices of one kind that a process reported."""
         reported = self.network.processes[name].notices
         return [each for each in reported if isinstance(each, kind)]
 
     def count_sent(self, name: str, kind: type[Message]) -> int:
-        """Count the messages of one kind a process sent."""
+        """Return the number of messages of one kind that a process sent."""
         sent = self.network.processes[name].sent
         return sum(isinstance(each, kind) for each in sent)
 
     def left_without_relay(self, name: str) -> bool:
-        """Tell whether a node ever lost its relay before it had another."""
+        """Return whether a node ever lost its relay before it had another one."""
         return bool(self.notices(name, RelayLeft))
 
     def told_gone(self, name: str) -> int:
-        """Count how often a node was told that an endpoint is gone."""
+        """Return the number of gone endpoints that a node received."""
         received = self.network.processes[name].received
         return sum(
             endpoint.state == "gone"
@@ -130,10 +130,10 @@
         )
 
     def shown(self, relay: str, service: str) -> set[str]:
-        """Give the nodes whose endpoints a relay shows."""
+        """Return the nodes whose endpoints are visible in a relay's table."""
         table = self.relays[relay].exchange.table
         return {each.node for each in table.shown([service])}
 
     def sessions(self, relay: str) -> list[int]:
-        """Give the links of a relay's sessions."""
+        """Return the links of a relay's node sessions."""
         return list(self.relays[relay].distributor.sessions)
--- a/tests/relay/test_relay_and_node.py
+++ b/tests/relay/test_relay_and_node.py
@@ -1,4 +1,4 @@
-"""Relay and node cores together: the first path, an edit, the loss of a relay."""
+"""Relay and node cores together: first configuration, an edit, loss of a relay."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert finder.holder.effective_version == 2
 
 
-def test_a_lost_relay_is_left_and_its_nodes_stay_in_the_table() -> None:
+def test_nodes_of_a_killed_relay_reconnect_and_stay_in_the_table() -> None:
     site = Site()
     names = [f"n{index}" for index in range(8)]
     for name in names:
--- a/tests/relay/test_relay_change.py
+++ b/tests/relay/test_relay_change.py
@@ -1,9 +1,10 @@
-"""A node that changes its relay beside an update is confirmed all the same.
+"""Confirmations continue when an update arrives while a node changes its relay.
 
-Seen in the log of nodes: an age of the configuration of 10 s, though the relay in use was
-heard each half second.  The update of the relay that was left had come between the hello
-to the new one and its answer; the new one then offered the same again, was told that it
-is held, and had nothing more to say that the node would have taken for agreement.
+Guards against a failure in which the confirmation of a node's configuration became 10 s
+old although its relay sent a heartbeat every half second. An update from the old relay
+arrived after the hello to the new relay but before its answer. The new relay then
+offered the same update, the node reported that it already held it, and the new relay
+sent nothing further that the node accepted as confirmation.
 """
 
 from __future__ import annotations
@@ -15,20 +16,23 @@
 
 STEP_SECONDS = 0.0005
 STEPS = 500
-"""A node has changed its relay within these steps."""
+"""A node completes a change of relay within this many steps."""
 CALM_SECONDS = 4.0
 CONFIRMED_SECONDS = 1.5
-"""A relay asks twice a second for confirmations and tells of them twice a second."""
+"""Relays request confirmations and send heartbeats at least twice a second."""
 
 
-def test_an_update_beside_a_change_of_relay_leaves_the_node_confirmed() -> None:
+def test_a_node_that_is_updated_while_changing_relay_stays_confirmed() -> None:
     ages = [_age_after(step * STEP_SECONDS) for step in range(STEPS)]
     late = [step for step, age in enumerate(ages) if age >= CONFIRMED_SECONDS]
     assert late == []
 
 
 def _age_after(wait_seconds: float) -> float:
-    """Give the age of what a node holds, long after an edit beside its move."""
+    """Return the age of a node's confirmation, in seconds, well after its move.
+
+    An edit is accepted ``wait_seconds`` after its relay is told to stop.
+    """
     site = Site(freshness_milliseconds=500)
     node = site.start_node("n", "kassa")
     site.network.run(2.0)
--- a/tests/relay/test_relay_crossing.py
+++ b/tests/relay/test_relay_crossing.py
@@ -1,7 +1,7 @@
-"""Words of a node that cross an update, each as a playbook.
+"""Messages of a node that are reordered with updates of its relay.
 
-A node that moves between relays takes versions from both.  Scope "kassa" goes
-from its first content to another at version 2, and back to the first at 3.
+A node that moves between relays receives versions from both. Scope "kassa" changes from
+its first content to another, and in the next version back to the first.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class OneSession:
-    """A relay of a site, and a node that the test plays."""
+    """A relay of a test cluster and a node whose messages the test sends."""
 
     def __init__(self) -> None:
         self.site = Site()
@@ -53,12 +53,12 @@
 
     @property
     def in_force(self) -> Version:
-        """What the relay reports, once it had time to."""
+        """Version in force in the relay's next progress report."""
         self.site.network.run(1.2)
         return self.site.replica.reports[RELAY].in_force
 
     def edit(self, milliseconds: int) -> None:
-        """Accept a change of the scope's one route; the relay has it after."""
+        """Accept a change of the scope's only route and let it reach the relay."""
         self.site.edit(timeout_change("kassa", "pay", milliseconds))
         self.site.network.run(0.01)
 
@@ -81,7 +81,7 @@
         ]
 
 
-def test_an_older_word_does_not_answer_an_update_that_is_outstanding() -> None:
+def test_an_older_report_does_not_answer_an_outstanding_update() -> None:
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.hello(first, digest)
@@ -95,7 +95,7 @@
     assert relay.offered_versions() == [first + 1]
 
 
-def test_an_older_word_leaves_what_the_next_update_starts_from() -> None:
+def test_an_older_report_does_not_change_the_base_of_the_next_update() -> None:
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.hello(first, digest)
@@ -109,7 +109,7 @@
     assert relay.in_force == first + 2
 
 
-def test_a_node_that_skipped_a_change_counts_once_it_has_said_so() -> None:
+def test_a_node_that_skipped_a_change_counts_as_current_once_it_reports() -> None:
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.edit(OTHER_MILLISECONDS)
@@ -124,7 +124,7 @@
     assert relay.sent(UpdateOffered) == []
 
 
-def test_a_node_that_took_the_skipped_change_elsewhere_is_sent_the_next() -> None:
+def test_a_node_that_got_the_skipped_change_from_another_relay_is_sent_the_next() -> None:
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.edit(OTHER_MILLISECONDS)
@@ -136,7 +136,7 @@
     assert relay.in_force < first + 2
 
 
-def test_a_word_that_is_repeated_is_answered_once() -> None:
+def test_a_repeated_report_is_answered_once() -> None:
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.edit(OTHER_MILLISECONDS)
@@ -165,7 +165,7 @@
     assert site.replica.reports[RELAY].in_force == first + 1
 
 
-def test_a_node_that_nobody_hears_any_more_is_not_taken_for_seen() -> None:
+def test_a_hidden_endpoint_does_not_count_as_seen_at_another_relay() -> None:
     relay = OneSession()
     first = relay.first_version
     relay.hello(first, relay.first_digest)
@@ -179,12 +179,13 @@
     assert relay.site.replica.reports[RELAY].in_force == first
 
 
-def test_a_node_ahead_of_its_relay_is_judged_anew_once_the_relay_catches_up() -> None:
-    """Seen in a simulated run: a node kept version 965 and was told that 1079 is in effect.
+def test_a_node_ahead_of_its_relay_is_checked_again_when_the_relay_catches_up() -> None:
+    """Guards against a node that keeps an old version and is told that it is current.
 
-    It held what another relay had given it; its own, far behind, counted it as current
-    for being ahead, and then loaded a whole tree in which the scope was again as this
-    relay last knew it, so nothing seemed to have changed for that node.
+    In a simulated run, a node held version 965 while its relay reported 1079 as in
+    effect. The node had its version from another relay. Its own relay was far behind
+    and counted it as current. The relay then loaded a complete tree in which the scope
+    was as the relay last knew it, so that nothing seemed to have changed for the node.
     """
     relay = OneSession()
     held, digest = relay.first_version, relay.first_digest
@@ -202,8 +203,8 @@
     assert relay.offered_versions() == [held + 2]
 
 
-def test_a_hello_is_answered_at_once_ahead_of_an_update() -> None:
-    """The update may take a second on a narrow link; a silent relay would be left."""
+def test_a_heartbeat_precedes_the_first_update_after_a_hello() -> None:
+    """On a slow link an update can take a second, and nodes leave silent relays."""
     relay = OneSession()
     first, digest = relay.first_version, relay.first_digest
     relay.edit(OTHER_MILLISECONDS)
--- a/tests/relay/test_relay_endpoints.py
+++ b/tests/relay/test_relay_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints over relays that fail: nobody lost, nobody back from the dead."""
+"""Endpoints while relays fail: none is lost, and no removed endpoint returns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from peppershore.process.node.core import LEAVING_ANNOUNCED_SECONDS, NodeMemory
 
 
-def test_a_relay_that_was_stopped_vouches_only_for_nodes_it_hears_again() -> None:
+def test_a_resumed_relay_advertises_only_nodes_it_hears_again() -> None:
     site = Site()
     site.start_node("a", "kuitti")
     other = site.start_node("b", "kuitti")
@@ -32,7 +32,7 @@
     assert site.shown(silent, "kuitti") == {"b"}
 
 
-def test_a_leaving_back_end_is_used_for_a_second_then_told_and_does_not_come_back() -> None:
+def test_a_stopping_back_end_is_leaving_after_a_second_and_does_not_return() -> None:
     site = Site()
     site.start_node("a", "kuitti")
     other = site.start_node("b", "kuitti")
@@ -64,7 +64,7 @@
     assert len(watcher.known.endpoints) == 7
 
 
-def test_a_relay_that_is_cut_off_itself_empties_nothing() -> None:
+def test_a_relay_that_is_cut_off_removes_no_endpoints() -> None:
     site = Site()
     watcher = site.start_node("w", "kuitti")
     for index in range(6):
@@ -96,7 +96,7 @@
     assert smallest == 7
 
 
-def test_a_node_whose_incarnation_went_back_overtakes_what_others_remember() -> None:
+def test_a_node_with_a_lower_incarnation_supersedes_its_remembered_state() -> None:
     site = Site()
     other = site.start_node("b", "kuitti")
     site.start_node("a", "kuitti", NodeMemory(incarnation=900))
@@ -125,7 +125,7 @@
         assert known.state == "ready"
 
 
-def test_a_silent_node_is_taken_for_gone_until_it_goes_on() -> None:
+def test_a_suspended_node_is_shown_as_gone_until_it_resumes() -> None:
     site = Site()
     other = site.start_node("b", "kuitti")
     site.start_node("a", "kuitti")
--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -1,4 +1,4 @@
-"""Failures that a relay and its nodes live through, each as a playbook."""
+"""Failure scenarios that a relay and its nodes must survive."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from peppershore.version.model import Overrides, Scope, SetOverrides
 
 
-def test_a_silent_relay_is_left_within_seconds_and_takes_nobody_back() -> None:
+def test_a_node_leaves_a_suspended_relay_and_is_not_reverted_by_it() -> None:
     site = Site()
     node = site.start_node("a", "kassa")
     site.network.run(10.0)
@@ -58,7 +58,7 @@
     assert {name: site.relay_of(name) for name in names} == first_choice
 
 
-def test_a_node_that_is_away_counts_for_what_is_in_force() -> None:
+def test_a_disconnected_node_counts_for_the_version_in_force() -> None:
     site = Site()
     site.start_node("a", "kassa")
     site.network.run(10.0)
@@ -75,7 +75,7 @@
     assert site.replica.reports[home].in_force == 2
 
 
-def test_a_relay_cut_from_the_source_grows_stale_and_is_left() -> None:
+def test_a_node_leaves_a_relay_that_is_cut_off_from_its_replica() -> None:
     site = Site()
     node = site.start_node("a", "kassa")
     site.network.run(10.0)
@@ -100,7 +100,7 @@
     assert {each.node for each in node.known.endpoints} == {"a"}
 
 
-def test_a_node_without_memory_takes_nothing_that_was_confirmed_before_its_hello() -> None:
+def test_an_empty_node_accepts_only_versions_confirmed_after_its_hello() -> None:
     site = Site()
     site.network.run(5.0)
     site.replica.has_quorum = False
@@ -142,7 +142,7 @@
     assert len(lost) > 1
 
 
-def test_a_digest_mismatch_leads_to_full_state_and_never_to_a_part() -> None:
+def test_a_digest_mismatch_leads_to_full_state_and_never_to_partial_state() -> None:
     site = Site()
     node = site.start_node("a", "kassa")
     site.network.run(5.0)
@@ -174,7 +174,7 @@
     assert sum(site.count_sent(n, UpdateOffered) for n in site.relays) - sum(offers) == 1
 
 
-def test_a_route_to_a_service_with_nobody_ready_waits_visibly_then_goes_out() -> None:
+def test_a_route_to_a_service_that_is_not_ready_is_held_reported_and_then_sent() -> None:
     site = Site(hold_milliseconds=3_000)
     caller = site.start_node("a", "kassa")
     site.start_node("b", "kuitti")
@@ -238,7 +238,9 @@
 
 
 @pytest.mark.parametrize("rate", [10, 50])
-def test_a_herd_is_admitted_at_the_rate_and_every_node_is_served(rate: int) -> None:
+def test_a_mass_reconnect_is_admitted_at_the_rate_and_all_nodes_are_served(
+    rate: int,
+) -> None:
     site = Site(hellos_per_second=rate)
     site.network.run(2.0)
     nodes: list[NodeCore] = [
@@ -305,7 +307,7 @@
     assert 1_000 in site.network.processes["r1"].closed_links
 
 
-def test_base_tree_reaches_a_relay_as_a_whole_tree_too() -> None:
+def test_a_relay_can_load_the_base_configuration_as_a_complete_tree() -> None:
     site = Site()
     site.replica.forgets_log = True
     site.restart_relay("r1")
@@ -314,7 +316,7 @@
     assert len(base_operations()) == 5
 
 
-def test_a_node_with_other_state_at_the_same_version_is_not_sent_it_for_ever() -> None:
+def test_a_node_with_another_digest_at_the_same_version_gets_no_repeated_updates() -> None:
     site = Site()
     site.network.run(1.0)
     relay = site.network.processes["r1"]
@@ -329,7 +331,7 @@
     assert site.count_sent("r1", UpdateOffered) == 1
 
 
-def test_a_relay_that_alone_is_not_confirmed_sends_its_nodes_away_in_time() -> None:
+def test_a_relay_that_alone_lacks_confirmations_redirects_its_nodes_in_time() -> None:
     site = Site()
     names = [f"n{index}" for index in range(6)]
     for index, name in enumerate(names):
@@ -344,7 +346,7 @@
     assert not any(site.left_without_relay(name) for name in names)
 
 
-def test_after_an_outage_of_all_the_first_relay_back_draws_no_nodes_away() -> None:
+def test_the_first_relay_to_recover_from_a_total_outage_causes_no_redirects() -> None:
     site = Site()
     names = [f"n{index}" for index in range(6)]
     for index, name in enumerate(names):
--- a/tests/relay/test_relay_fanout_pace.py
+++ b/tests/relay/test_relay_fanout_scheduler.py
@@ -1,4 +1,4 @@
-"""Endpoint news: soon when it is little, together in a storm, urgent news first."""
+"""Endpoint changes: few are sent soon, bursts are batched, urgent ones go first."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from peppershore.connection.endpoint_packing import unpack_endpoints
 from peppershore.connection.messages.endpoints import EndpointsPacked
 from peppershore.process.node.core import NodeMemory
-from peppershore.process.relay.fanout_pace import (
-    STORM_ENDPOINTS,
-    STORM_WINDOW_SECONDS,
+from peppershore.process.relay.fanout_scheduler import (
+    BURST_ENDPOINTS,
+    BURST_WINDOW_SECONDS,
     WINDOW_SECONDS,
-    FanoutPace,
+    FanoutScheduler,
 )
 
 NODES = 240
@@ -21,61 +21,61 @@
 
 
 def test_a_first_change_waits_a_window_and_later_ones_join_it() -> None:
-    pace = FanoutPace()
+    pace = FanoutScheduler()
     assert pace.plan(False, 10.0) == pytest.approx(WINDOW_SECONDS)
     assert pace.plan(False, 10.01) is None
-    assert pace.postponed(2, False, 10.0 + WINDOW_SECONDS) == 0.0
+    assert pace.postpone(2, False, 10.0 + WINDOW_SECONDS) == 0.0
 
 
-def test_urgent_news_goes_at_once_and_then_at_most_once_a_window() -> None:
-    pace = FanoutPace()
+def test_an_urgent_change_is_sent_at_once_and_then_at_most_once_a_window() -> None:
+    pace = FanoutScheduler()
     pace.plan(False, 9.99)
     assert pace.plan(True, 10.0) == 0.0
     pace.sent(10.0)
     wait = pace.plan(True, 10.01)
     assert wait is not None
     assert 0.0 < wait <= WINDOW_SECONDS
-    assert pace.postponed(1_000, True, 10.01 + wait) == 0.0
+    assert pace.postpone(1_000, True, 10.01 + wait) == 0.0
 
 
-def test_in_a_storm_other_news_waits_for_the_long_window_and_no_longer() -> None:
-    pace = FanoutPace()
+def test_in_a_burst_other_changes_wait_for_the_long_window_and_no_longer() -> None:
+    pace = FanoutScheduler()
     pace.sent(10.0)
     pace.plan(False, 10.01)
-    wait = pace.postponed(STORM_ENDPOINTS, False, 10.06)
-    assert 0.0 < wait <= STORM_WINDOW_SECONDS
+    wait = pace.postpone(BURST_ENDPOINTS, False, 10.06)
+    assert 0.0 < wait <= BURST_WINDOW_SECONDS
     assert pace.plan(False, 10.07) is None
-    assert pace.postponed(1_000, False, 10.06 + wait) == 0.0
+    assert pace.postpone(1_000, False, 10.06 + wait) == 0.0
 
 
-def test_urgent_news_does_not_wait_for_the_end_of_a_storm() -> None:
-    pace = FanoutPace()
+def test_an_urgent_change_does_not_wait_for_the_end_of_a_burst() -> None:
+    pace = FanoutScheduler()
     pace.sent(10.0)
     pace.plan(False, 10.01)
-    assert pace.postponed(STORM_ENDPOINTS, False, 10.06) > WINDOW_SECONDS
+    assert pace.postpone(BURST_ENDPOINTS, False, 10.06) > WINDOW_SECONDS
     assert pace.plan(True, 10.2) == 0.0
 
 
-def test_a_herd_of_restarts_reaches_a_neighbour_in_few_messages() -> None:
+def test_a_mass_restart_is_sent_to_another_node_in_few_messages() -> None:
     site = Site()
     names = [f"k{number}" for number in range(NODES)]
     for number, name in enumerate(names):
         site.start_node(name, "kassa", seed=number + 1)
     site.start_node("watcher", "kassa", seed=NODES + 1)
     site.network.run(20.0)
-    before = len(_news(site))
+    before = len(_endpoint_messages(site))
     for number, name in enumerate(names):
         site.network.kill(name)
         site.start_node(name, "kassa", NodeMemory(incarnation=2), seed=NODES + number)
         site.network.run(RESTART_SECONDS / NODES)
     site.network.run(5.0)
-    news = _news(site)[before:]
+    news = _endpoint_messages(site)[before:]
     unpacked = [unpack_endpoints(message).unwrap() for message in news]
     told = {each.node for changed in unpacked for each in changed.endpoints}
     assert set(names) <= told
     assert len(news) <= MOST_MESSAGES
 
 
-def _news(site: Site) -> list[EndpointsPacked]:
+def _endpoint_messages(site: Site) -> list[EndpointsPacked]:
     received = site.network.processes["watcher"].received
     return [message for message in received if isinstance(message, EndpointsPacked)]
--- a/tests/relay/test_relay_herd.py
+++ b/tests/relay/test_relay_herd.py
@@ -1,4 +1,4 @@
-"""Herds: thousands of nodes that come back to one relay at once."""
+"""Mass reconnects: thousands of nodes connect to one relay at once."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("rate", [300, 600, 3_000])
-def test_every_node_of_a_herd_is_admitted_at_the_rate_and_none_starves(rate: int) -> None:
+def test_a_mass_reconnect_is_admitted_at_the_rate_and_no_node_starves(rate: int) -> None:
     bucket, randomness = TokenBucket(rate), Randomness(1)
     arrivals = [(0.0, node, 1) for node in range(NODES)]
     admitted: Counter[int] = Counter()
@@ -58,7 +58,7 @@
 
 
 class LoneRelay:
-    """A relay without a network; 300 changes concern "kassa" and not "kuitti"."""
+    """A relay without a network; 300 changes affect "kassa" and none "kuitti"."""
 
     def __init__(self, hellos_per_second: int) -> None:
         settings = RelaySettings(
@@ -89,8 +89,10 @@
     def digests(self) -> dict[Scope, Digest]:
         return {scope: self.core.follower.catalog.digest(scope) for scope in SCOPES}
 
-    def herd(self, version: Version, digests: dict[Scope, Digest]) -> list[Command]:
-        """Let all nodes say hello at one moment; give what the relay does."""
+    def reconnect_all(
+        self, version: Version, digests: dict[Scope, Digest]
+    ) -> list[Command]:
+        """Send the hellos of all nodes at once; return the relay's commands."""
         done: list[Command] = []
         for number in range(NODES):
             scope = SCOPES[number % len(SCOPES)]
@@ -104,7 +106,7 @@
 
 
 def messages(commands: list[Command]) -> list[Message]:
-    """Give what was sent to nodes."""
+    """Return the messages among ``commands`` that are sent to nodes."""
     found: list[Message] = []
     for command in commands:
         if isinstance(command, SendEncoded):
@@ -114,9 +116,9 @@
     return found
 
 
-def test_a_herd_that_lacks_nothing_costs_tens_of_bytes_a_node() -> None:
+def test_a_mass_reconnect_of_current_nodes_costs_tens_of_bytes_a_node() -> None:
     relay = LoneRelay(hellos_per_second=4 * NODES)
-    commands = relay.herd(301, relay.digests())
+    commands = relay.reconnect_all(301, relay.digests())
     answers = messages(commands)
     assert [type(each) for each in answers] == [Current] * NODES
     sent = sum(len(each.payload) for each in commands if isinstance(each, SendEncoded))
@@ -124,9 +126,9 @@
     assert relay.core.distributor.packed_updates.packed_count == 0
 
 
-def test_a_herd_that_missed_hundreds_of_changes_shares_one_update() -> None:
+def test_a_mass_reconnect_after_hundreds_of_changes_shares_one_update() -> None:
     relay = LoneRelay(hellos_per_second=4 * NODES)
-    answers = messages(relay.herd(1, relay.first_digests))
+    answers = messages(relay.reconnect_all(1, relay.first_digests))
     kinds = Counter(type(each) for each in answers)
     behind = NODES // 2
     assert kinds == {Freshness: behind, UpdateOffered: behind, Current: NODES - behind}
@@ -135,9 +137,9 @@
     assert updates.held_bytes < 1_000
 
 
-def test_nodes_that_are_deferred_leave_nothing_behind_at_the_relay() -> None:
+def test_deferred_nodes_have_no_session_at_the_relay() -> None:
     relay = LoneRelay(hellos_per_second=100)
-    commands = relay.herd(301, relay.digests())
+    commands = relay.reconnect_all(301, relay.digests())
     kinds = Counter(type(each) for each in messages(commands))
     deferred = kinds[RetryAfter]
     assert deferred == NODES - kinds[Current] > NODES - 100
--- a/tests/relay/test_relay_just_started.py
+++ b/tests/relay/test_relay_just_started.py
@@ -1,4 +1,4 @@
-"""Relays that started a moment ago: they find one another and tell what they know."""
+"""Relays that just started: they connect to one another and share what they know."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         assert found == set(NAMES) - {name}
 
 
-def test_a_node_learns_what_a_relay_knows_that_started_a_moment_ago() -> None:
+def test_a_node_receives_endpoints_from_a_relay_that_just_started() -> None:
     site = Site()
     watcher = site.start_node("w", "kuitti")
     site.make_ready("w")
@@ -53,7 +53,7 @@
 
 
 def test_a_relay_is_fresh_soon_after_its_replica_can_confirm() -> None:
-    """Whoever starts beside an election asks before there is a leader to confirm."""
+    """A relay that starts during an election asks before any leader can confirm."""
     site = Site()
     site.replica.has_quorum = False
     site.restart_relay("r1")
@@ -63,7 +63,7 @@
     assert site.relays["r1"].source.is_fresh(site.network.now)
 
 
-def test_a_relay_that_is_fresh_asks_no_more_often_than_ever() -> None:
+def test_a_fresh_relay_requests_confirmations_at_the_normal_interval() -> None:
     site = Site()
     site.network.run(1.0)
     before = site.count_sent("r1", ConfirmRequest)
--- a/tests/relay/test_relay_new_services.py
+++ b/tests/relay/test_relay_new_services.py
@@ -1,4 +1,4 @@
-"""A service that a node comes to hold: its endpoints are there before its routes."""
+"""A service that is new to a node: its endpoints arrive before its routes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def _endpoints_at_each_swap(core: NodeCore, service: str) -> list[set[str]]:
-    """Note which endpoints of a service a node knows whenever it swaps."""
+    """Collect the nodes of a service's known endpoints at each configuration swap.
+
+    The returned list grows as the node runs.
+    """
     seen: list[set[str]] = []
     inner = core.step
 
@@ -32,7 +35,7 @@
     return seen
 
 
-def test_a_nodes_new_service_has_its_endpoints_when_the_routes_come() -> None:
+def test_endpoints_of_a_new_service_arrive_before_its_routes() -> None:
     site = Site()
     site.edit(_kassa_calls())
     caller = site.start_node("k", "kassa")
@@ -47,7 +50,7 @@
     assert seen == [{"a", "b"}]
 
 
-def test_a_service_no_longer_held_is_forgotten_and_comes_back_whole() -> None:
+def test_a_service_no_longer_held_is_removed_and_returns_complete() -> None:
     site = Site()
     caller = site.start_node("k", "kassa")
     site.start_node("a", "kuitti")
--- a/tests/relay/test_relay_node_machine.py
+++ b/tests/relay/test_relay_node_machine.py
@@ -1,4 +1,8 @@
-"""Random faults on relay and node cores: no step back, no part, and convergence."""
+"""Random faults on relay and node cores.
+
+No node may go back to a lower version or hold a partial configuration, and all nodes must
+converge.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 class RelayAndNodes(RuleBasedStateMachine):
-    """Node "a" has a disk; the others lose all memory at a restart."""
+    """Random relay and node faults; only node "a" has a disk to restore state from."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/relay/test_relay_progress.py
+++ b/tests/relay/test_relay_progress.py
@@ -1,4 +1,4 @@
-"""What a relay reports to its replica of itself and of its nodes."""
+"""Progress reports of a relay to its replica, about itself and its nodes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def report_of(site: Site, relay: str) -> ProgressReported:
-    """Give the newest report, at most a second and a bit old."""
+    """Return the newest report of a relay after running 1.1 s, at most 1.1 s old."""
     site.network.run(1.1)
     return site.replica.reports[relay]
 
 
-def test_a_relay_is_settled_once_its_former_nodes_came_back_or_count_as_gone() -> None:
+def test_a_relay_is_settled_one_lease_time_after_its_start() -> None:
     site = Site()
     assert not report_of(site, "r1").settled
     site.network.run(5.0)
@@ -36,7 +36,7 @@
     assert report_of(site, "r1").settled
 
 
-def test_a_restarted_relay_reports_as_another_and_begins_to_count_again() -> None:
+def test_a_restarted_relay_reports_a_new_incarnation_and_restarts_numbering() -> None:
     site = Site()
     site.network.run(10.0)
     former = report_of(site, "r1")
@@ -47,7 +47,7 @@
     assert not later.settled
 
 
-def test_a_relay_that_went_on_after_a_pause_is_not_settled() -> None:
+def test_a_resumed_relay_is_not_settled() -> None:
     site = Site()
     site.network.run(10.0)
     assert report_of(site, "r1").settled
@@ -104,7 +104,7 @@
     assert reasons.count("route:kassa/pay waits for a ready endpoint of kuitti") == 1
 
 
-def test_before_anything_is_accepted_no_node_lacks_anything() -> None:
+def test_before_the_first_version_no_node_is_lagging() -> None:
     relay = RelayCore(
         RelaySettings(cluster=CLUSTER, relay="r", zone="z", listen="", replicas=REPLICAS)
     )
@@ -119,7 +119,7 @@
     assert (report.nodes, report.lagging) == (1, ())
 
 
-def test_edits_that_come_together_are_lacked_from_the_first_of_them_on() -> None:
+def test_version_in_force_precedes_the_first_of_several_edits_received_together() -> None:
     site = Site()
     site.start_node("a", "kassa")
     site.network.run(5.0)
@@ -130,7 +130,7 @@
     assert distributor.in_force() == held
 
 
-def test_progress_is_reported_also_while_it_changes_all_the_time() -> None:
+def test_progress_is_also_reported_while_it_changes_continuously() -> None:
     site = Site()
     site.network.run(10.0)
     before = site.count_sent("r1", ProgressReported)
@@ -159,9 +159,7 @@
     assert [each.node for each in site.replica.reports[home].lagging] == ["a"]
 
 
-def test_a_node_cut_off_counts_for_rotations_long_after_it_is_out_of_what_is_in_force() -> (
-    None
-):
+def test_a_silent_node_delays_rotations_after_it_stops_counting_for_in_force() -> None:
     site = Site()
     site.start_node("n1", "kassa")
     site.network.run(10.0)
--- a/tests/relay/test_relay_quarantine.py
+++ b/tests/relay/test_relay_quarantine.py
@@ -1,4 +1,4 @@
-"""What one node learns of a request that ends back ends, every node soon knows."""
+"""Records of requests under which back ends crash spread from one node to all."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return site
 
 
-def end_at(site: Site, *nodes: str) -> None:
+def crash_at(site: Site, *nodes: str) -> None:
     for node in nodes:
         event = BackEndEnded(f"life-of-{node}", (MARKED,))
         site.network.give(node, event)
@@ -40,18 +40,18 @@
 def test_ends_seen_by_three_nodes_hold_a_request_at_all() -> None:
     site = site_of()
     assert len({site.relay_of(name) for name in site.nodes}) > 1
-    end_at(site, "n0", "n1")
+    crash_at(site, "n0", "n1")
     site.network.run(SPREAD_SECONDS)
     assert standings(site) == {"suspect"}
-    end_at(site, "n2")
+    crash_at(site, "n2")
     site.network.run(SPREAD_SECONDS)
     assert standings(site) == {"held"}
     assert site.notices("n5", RequestQuarantined)
 
 
-def test_one_end_is_no_news_for_other_nodes() -> None:
+def test_a_single_crash_is_not_sent_to_other_nodes() -> None:
     site = site_of()
-    end_at(site, "n0")
+    crash_at(site, "n0")
     site.network.run(SPREAD_SECONDS)
     told = [name for name in site.nodes if site.count_sent(name, CrashesTold)]
     assert told == ["n0"]
@@ -62,27 +62,27 @@
     )
 
 
-def test_a_good_end_anywhere_clears_a_request_everywhere() -> None:
+def test_a_successful_run_at_one_node_clears_a_request_at_all() -> None:
     site = site_of()
-    end_at(site, "n0", "n1", "n2")
+    crash_at(site, "n0", "n1", "n2")
     site.network.run(SPREAD_SECONDS)
     site.network.give("n4", SuspectEndedWell(KEY))
     site.network.run(SPREAD_SECONDS)
     assert standings(site) == {"clear"}
 
 
-def test_an_operator_at_any_relay_lets_a_request_go() -> None:
+def test_an_operator_can_release_a_request_at_any_relay() -> None:
     site = site_of()
-    end_at(site, "n0", "n1", "n2")
+    crash_at(site, "n0", "n1", "n2")
     site.network.run(SPREAD_SECONDS)
     site.network.give("r3", RequestReleased(KEY))
     site.network.run(SPREAD_SECONDS)
     assert standings(site) == {"clear"}
 
 
-def test_a_node_that_starts_knows_before_it_has_a_configuration() -> None:
+def test_a_starting_node_receives_the_quarantine_before_its_configuration() -> None:
     site = site_of()
-    end_at(site, "n0", "n1", "n2")
+    crash_at(site, "n0", "n1", "n2")
     site.network.run(1.0)
     late = site.start_node("late", "kuitti", seed=9)
     site.network.run(1.0)
@@ -91,9 +91,9 @@
     assert received.index(CrashesTold) < received.index(UpdateOffered)
 
 
-def test_a_relay_that_starts_is_told_by_relays_and_by_nodes() -> None:
+def test_a_starting_relay_receives_the_quarantine_from_relays_and_nodes() -> None:
     site = site_of()
-    end_at(site, "n0", "n1", "n2")
+    crash_at(site, "n0", "n1", "n2")
     site.network.run(SPREAD_SECONDS)
     relay = site.restart_relay("r1", seed=7)
     site.network.run(3.0)
@@ -107,11 +107,11 @@
     assert {each.standing(KEY, site.network.now) for each in tables} == {"held"}
 
 
-def test_what_was_lost_on_the_way_between_relays_is_found() -> None:
+def test_records_lost_between_relays_are_recovered_by_the_digest() -> None:
     site = site_of()
     for node in ("n0", "n1", "n2"):
         site.network.lose_next(site.relay_of(node), CrashesTold)
-        end_at(site, node)
+        crash_at(site, node)
         site.network.run(SPREAD_SECONDS)
     site.network.run(4.5)
     tables = [each.quarantine.table for each in site.relays.values()]
@@ -119,18 +119,18 @@
     assert any(site.count_sent(name, CrashesDigest) for name in site.relays)
 
 
-def test_a_hold_ends_by_time_everywhere() -> None:
+def test_a_hold_expires_at_all_nodes() -> None:
     site = site_of()
-    end_at(site, "n0", "n1", "n2")
+    crash_at(site, "n0", "n1", "n2")
     site.network.run(HOLD_SECONDS + 1.0)
     assert standings(site) == {"suspect"}
 
 
-def test_a_bystander_of_one_end_is_nowhere_suspected() -> None:
+def test_a_request_present_at_a_single_crash_is_not_suspected() -> None:
     site = site_of()
     event = BackEndEnded("life-of-n0", (MARKED, BYSTANDER))
     site.network.give("n0", event)
-    end_at(site, "n1", "n2")
+    crash_at(site, "n1", "n2")
     site.network.run(SPREAD_SECONDS)
     nodes: list[NodeCore] = list(site.nodes.values())
     now = site.network.now
--- a/tests/relay/virtual_network.py
+++ b/tests/relay/virtual_network.py
@@ -1,7 +1,8 @@
-"""Cores joined by virtual links under virtual time, for the tests of relay and node.
+"""Network of cores with virtual links and virtual time, for relay and node tests.
 
-Messages go through the codec.  A frozen process gets no events until it is
-thawed; a cut pair of addresses can open no link and loses what it has.
+Messages are encoded and decoded. A suspended (frozen) process receives no events until
+it resumes (is thawed). Two addresses that are cut off from each other can open no link,
+and messages on their existing links are lost.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass
 class Process:
-    """One core and what its shell would hold."""
+    """A core with the state that its shell would hold."""
 
     name: str
     core: Core
@@ -47,7 +48,7 @@
 
 
 class VirtualNetwork:
-    """Runs processes until a virtual time."""
+    """Runs processes and links on a virtual clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -58,25 +59,25 @@
         self._order = itertools.count()
 
     def start(self, name: str, core: Core, seed: int = 1) -> Process:
-        """Start a process whose address is its name."""
+        """Start a process whose address equals its name."""
         process = Process(name, core, self.now)
         self.processes[name] = process
         self._give(process, events.Started(seed))
         return process
 
     def kill(self, name: str) -> None:
-        """End a process at once; its peers see their links close."""
+        """Terminate a process at once; its peers see their links close."""
         process = self.processes.pop(name)
         process.is_alive = False
         for link in list(process.links):
             self._close(process, link, "connection reset")
 
     def freeze(self, name: str) -> None:
-        """Stop a process in silence: its links stay open."""
+        """Suspend a process; its links stay open and no peer is notified."""
         self.processes[name].is_frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on; what came meanwhile is taken first."""
+        """Resume a suspended process, which first handles the events queued for it."""
         process = self.processes[name]
         process.is_frozen = False
         waiting, process.waiting = process.waiting, []
@@ -84,15 +85,15 @@
             self._give(process, event)
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two processes off from each other; nothing tells them."""
+        """Cut two processes off from each other without notifying them."""
         self.cuts.add(frozenset((one, other)))
 
     def lose_next(self, name: str, kind: type[Message]) -> None:
-        """Lose all of a process's messages of one kind from now to its next turn."""
+        """Drop all messages of one kind that a process sends when it next sends any."""
         self._losses.add((name, kind))
 
     def heal(self) -> None:
-        """End all cuts; the links that were cut are reset."""
+        """Remove all cuts and reset the links that were affected."""
         cuts, self.cuts = self.cuts, set()
         for process in list(self.processes.values()):
             for link, (peer, _) in list(process.links.items()):
@@ -101,11 +102,11 @@
                     self._give(process, events.LinkClosed(link, "reset"))
 
     def give(self, name: str, event: events.Event) -> None:
-        """Hand a process an event."""
+        """Deliver an event to a process."""
         self._give(self.processes[name], event)
 
     def run(self, seconds: float) -> None:
-        """Go on for some virtual time."""
+        """Advance virtual time, in seconds, and run all events due by then."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
