--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -82,7 +82,7 @@
 CLOCK_READING_MAX_GAP_SECONDS = 0.5
 """After this long without an event, this relay's clock may have advanced while its
 nodes' clocks did not. It then needs a new reading of each node's clock. The bound is
-several times the interval between two heartbeat slots."""
+many times the interval between two heartbeat slots."""
 HELLO_SECONDS = 10.0
 """A link on which no hello arrives within this time is closed."""
 
--- a/src/peppershore/process/relay/distribution.py
+++ b/src/peppershore/process/relay/distribution.py
@@ -136,9 +136,9 @@
         return dropped
 
     def confirm(self, confirmed_at: float) -> list[NodeSession]:
-        """Return the sessions whose hello is no later than this confirmation.
+        """End the wait of sessions whose hello is no later than ``confirmed_at``.
 
-        They need not wait for a confirmation any longer.
+        Return these sessions; updates may now be sent to them.
         """
         ready = [
             session
