--- a/src/peppershore/process/quarantine/sharing.py
+++ b/src/peppershore/process/quarantine/sharing.py
@@ -2,8 +2,9 @@
 
 A node reports each crash of its local back end to its relay. The relay forwards the
 record to all other relays at once. Each relay sends its nodes the records of requests
-under which two or more back ends crashed. A new link starts with all known records, before
-a node's first update, and relays compare a digest at every tick.
+under which two or more back ends crashed. A new link to a relay starts with all known
+records, a new link to a node with those that nodes need, before the first update. Relays
+compare a digest at every tick.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
             self.table.merge(record, now)
 
     def welcome_node(self, link: LinkId, now: float) -> list[Command]:
-        """Send the known records to a newly connected node, before anything else."""
+        """Send a newly connected node the records it needs, before anything else."""
         notable = self.table.notable(now)
         return [SendMessage(link, CrashesTold(notable))] if notable else []
 
