--- a/src/peppershore/process/endpoints/exchange.py
+++ b/src/peppershore/process/endpoints/exchange.py
@@ -1,10 +1,10 @@
 """Synchronization of the endpoint tables of all relays.
 
 Each relay advertises the endpoints of its own sessions, and only those, to all other
-relays. It sends changes at once. Periodically it sends a digest, which renews the lease
-of all endpoints it advertises and reveals missed changes. The digest is a single number;
-if that differs, the relays compare one number per bucket. Endpoints that no relay
-advertises are hidden when their lease ends, unless this relay itself is cut off.
+relays. It sends changes at once. Every ``DIGEST_SECONDS`` it sends a digest, which renews
+the lease of all endpoints it advertises and reveals missed changes. The digest is a
+single number; if that differs, the relays compare one number per bucket. Endpoints that
+no relay advertises are hidden when their lease ends, unless this relay itself is cut off.
 """
 
 from __future__ import annotations
@@ -213,7 +213,7 @@
         if self.local_nodes.remove(node):
             self._note_unadvertised(node, now)
 
-    def resumed(self, nodes: Iterable[str], pause_seconds: float, now: float) -> None:
+    def resumed(self, nodes: Iterable[str], suspension_seconds: float, now: float) -> None:
         """Resume after a suspension: stop advertising these nodes until they send again.
 
         The table counts as incomplete until the other relays had time to correct it.
@@ -221,7 +221,7 @@
         ``RESUME_GRACE_SECONDS`` of the lease remain, so that nodes can send a heartbeat.
         """
         self._started_at = now
-        missed = min(pause_seconds, LEASE_SECONDS - RESUME_GRACE_SECONDS)
+        missed = min(suspension_seconds, LEASE_SECONDS - RESUME_GRACE_SECONDS)
         for node in nodes:
             if self.local_nodes.remove(node) and not self._is_advertised(node, now):
                 self._unadvertised.setdefault(node, now - missed)
@@ -257,7 +257,7 @@
         wait = self._next_retry_seconds(now)
         return [*out, SetTimer(PEER_CONNECT_TIMER, wait)] if wait else out
 
-    def greeted(self, link: LinkId, hello: RelayHello, now: float) -> list[Command]:
+    def handle_hello(self, link: LinkId, hello: RelayHello, now: float) -> list[Command]:
         """Handle another relay's hello; answer it if that relay opened the link."""
         peer = self._peers.get(hello.relay)
         if peer is None or hello.cluster != self._settings.cluster:
@@ -281,7 +281,7 @@
         peer = self._by_link[link]
         match message:
             case RelayHello():
-                return self.greeted(link, message, now)
+                return self.handle_hello(link, message, now)
             case EndpointsChanged():
                 self._merge_endpoints(peer, message, now)
             case EndpointDigest():
@@ -340,14 +340,15 @@
         if node in self.local_nodes:
             return True
         return any(
-            node in peer.advertised and self._is_held(peer, now)
+            node in peer.advertised and self._is_reachable(peer, now)
             for peer in self._peers.values()
         )
 
-    def _is_held(self, peer: Peer, now: float) -> bool:
-        """Return whether a peer is heard by this relay, or by another that it hears.
+    def _is_reachable(self, peer: Peer, now: float) -> bool:
+        """Return whether this relay hears the peer, directly or through another relay.
 
-        The endpoints of such a peer do not expire.
+        That is, the lease of the peer is valid, or a relay with a valid lease reported
+        that it hears the peer. The endpoints of such a peer do not expire.
         """
         if now <= peer.lease_until:
             return True
@@ -467,7 +468,7 @@
     def _expire(self, now: float) -> list[Command]:
         out: list[Command] = []
         for peer in self._peers.values():
-            if len(peer.advertised) and not self._is_held(peer, now):
+            if len(peer.advertised) and not self._is_reachable(peer, now):
                 out.extend(self._expire_peer(peer, now))
         for node, since in list(self._unadvertised.items()):
             if now - since >= LEASE_SECONDS:
--- a/src/peppershore/process/quarantine/api.py
+++ b/src/peppershore/process/quarantine/api.py
@@ -102,11 +102,9 @@
         try:
             key = bytes.fromhex(fingerprint)
         except ValueError:
-            return _error(NOT_FOUND, f"{fingerprint!r} is not a valid fingerprint")
+            return _error(NOT_FOUND, f"{fingerprint!r} is no fingerprint")
         if not self._table.ends(key):
-            return _error(
-                NOT_FOUND, "no back end is known to have crashed under this request"
-            )
+            return _error(NOT_FOUND, "no back end is known to have ended under it")
         self._release(key)
         return _answer(ReleasedRequest(key.hex()))
 
--- a/src/peppershore/process/quarantine/storage.py
+++ b/src/peppershore/process/quarantine/storage.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Store the file in ``data_folder``; report problems to ``notice_sink``."""
         path = Path(data_folder) / FILE_NAME
-        fallback = "the other hubs send the records that they hold"
+        fallback = "the other hubs tell what they hold"
         self._file = WholeFile(path, StoredQuarantine, "quarantine", fallback)
         self._cluster = cluster
         self._notice_sink = notice_sink
--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -251,7 +251,7 @@
         if self._links_without_hello.pop(link, None) is None:
             return
         if isinstance(message, RelayHello):
-            self._emit(self.exchange.greeted(link, message, self._now))
+            self._emit(self.exchange.handle_hello(link, message, self._now))
             self._emit(self.quarantine.welcome_relay(link, self._now))
         elif self._planned_stop is not None:
             self._out.append(SendMessage(link, Goodbye(STOPPING)))
@@ -299,7 +299,7 @@
         self._continue_stop()
 
     def _redirect_nodes_if_cut_off(self) -> None:
-        """Redirect nodes to other relays if only this relay lacks confirmations."""
+        """Redirect nodes if this relay lacks confirmations that other relays have."""
         was_cut_off = self._is_cut_off
         elsewhere = self.exchange.confirmed_elsewhere()
         self._is_cut_off = self.source.is_cut_off(elsewhere, self._now)
@@ -326,15 +326,15 @@
 
     def _detect_suspension(self, now: float) -> None:
         """Detect that this process was suspended, for instance stopped by a signal."""
-        pause = now - self._now
+        gap_seconds = now - self._now
         is_started = bool(self._timers_set)
-        if not is_started or pause < CLOCK_READING_MAX_GAP_SECONDS:
+        if not is_started or gap_seconds < CLOCK_READING_MAX_GAP_SECONDS:
             return
         self.nodes.invalidate_clocks()
-        if pause < SUSPENSION_SECONDS:
+        if gap_seconds < SUSPENSION_SECONDS:
             return
-        self.nodes.resumed(pause, now)
-        self._suspension_milliseconds = round(pause * 1_000)
+        self.nodes.resumed(gap_seconds, now)
+        self._suspension_milliseconds = round(gap_seconds * 1_000)
 
     def _after_event(self) -> None:
         """Run the follow-up work that several kinds of events can trigger."""
--- a/src/peppershore/process/relay/departures.py
+++ b/src/peppershore/process/relay/departures.py
@@ -88,7 +88,7 @@
         )
 
     def drop_expired(self, now: float) -> bool:
-        """Remove expired nodes; return whether a deadline of any node has passed."""
+        """Remove expired nodes; return whether a deadline passed since the last call."""
         ended = {node for node, each in self._away.items() if now >= each.until}
         has_changed = ended != self._ended
         expired = [node for node, each in self._away.items() if now >= each.verifies_until]
--- a/src/peppershore/process/relay/distribution.py
+++ b/src/peppershore/process/relay/distribution.py
@@ -120,9 +120,9 @@
         return session
 
     def drop_idle_scopes(self, now: float) -> list[Scope]:
-        """Remove and return scopes that were idle too long, to free memory for deltas.
+        """Remove and return the scopes without a node for ``IDLE_SCOPE_SECONDS``.
 
-        A scope is idle if it has no node; the bound is ``IDLE_SCOPE_SECONDS``.
+        This way no memory is used for deltas of scopes that no node needs.
         """
         dropped = [
             scope
@@ -202,7 +202,10 @@
         return False
 
     def in_force(self) -> Version:
-        """Return the version up to which each configured node has all changes."""
+        """Return the version up to which every connected node has all changes.
+
+        Nodes without a configuration do not count.
+        """
         lowest = self._version
         for session in self.behind.values():
             if session.version:
--- a/src/peppershore/process/relay/endpoint_fanout.py
+++ b/src/peppershore/process/relay/endpoint_fanout.py
@@ -87,7 +87,10 @@
         return [self._send(session, self._encode_new(session.scope, missing))]
 
     def mark_services_sent(self, session: NodeSession) -> None:
-        """Record that a current node compares its endpoints by digest itself."""
+        """Record all services of a current node as sent.
+
+        Nothing is sent: such a node itself compares its endpoints by digest.
+        """
         session.services_sent = self._catalog.services_held(session.scope)
 
     def changes(
--- a/src/peppershore/process/relay/fanout_scheduler.py
+++ b/src/peppershore/process/relay/fanout_scheduler.py
@@ -10,13 +10,13 @@
 import math
 
 WINDOW_SECONDS = 0.05
-"""Changes within this time are sent together; an urgent change waits until this
-long after the previous message."""
+"""Changes within this time are sent together. An urgent change is sent at once, but not
+sooner than this after the previous message."""
 
 BURST_WINDOW_SECONDS = 0.5
 BURST_ENDPOINTS = 10
-"""This many changes in one window count as a burst, which is sent later unless a
-change is urgent."""
+"""This many waiting changes count as a burst. Without an urgent change, a burst is sent
+no sooner than ``BURST_WINDOW_SECONDS`` after the previous message."""
 
 
 class FanoutScheduler:
--- a/src/peppershore/process/relay/hold.py
+++ b/src/peppershore/process/relay/hold.py
@@ -114,7 +114,7 @@
         return begun
 
     def due(self, now: float) -> list[ReleasedScope]:
-        """Release and return scopes whose targets are ready or whose time is up."""
+        """Release and return scopes whose targets are ready or whose wait timed out."""
         released: list[ReleasedScope] = []
         for held in list(self.held.values()):
             is_ready = all(self._table.has_ready(each.target) for each in held.awaited)
--- a/src/peppershore/process/relay/node_service.py
+++ b/src/peppershore/process/relay/node_service.py
@@ -176,25 +176,28 @@
                 self._departures.seen_elsewhere(endpoint.node, now)
         return self._fanout.changes(changed, self._distributor.sessions_by_scope)
 
-    def resumed(self, pause_seconds: float, now: float) -> None:
+    def resumed(self, suspension_seconds: float, now: float) -> None:
         """Resume after a suspension; advertise no node until it sends a message again."""
         sessions = self._distributor.sessions.values()
         for session in sessions:
             session.heard_since_resume = False
             session.clock = None
         nodes = [session.node for session in sessions]
-        self._exchange.resumed(nodes, pause_seconds, now)
+        self._exchange.resumed(nodes, suspension_seconds, now)
         self._was_settled = False
 
     def invalidate_clocks(self) -> None:
-        """Send a node no confirmation times until a new clock reading arrives from it."""
+        """Discard the clock readings of all nodes.
+
+        A node is sent no confirmation times until a new reading of its clock arrives.
+        """
         for session in self._distributor.sessions.values():
             session.clock = None
 
     # --- hello -----------------------------------------------------------------
 
     def _welcome(self, link: LinkId, hello: NodeHello, now: float) -> list[Command]:
-        """Start a session and send a heartbeat before any update.
+        """Start a session and answer at once, with a heartbeat ahead of any update.
 
         A complete configuration takes one second on a 1 Mbit/s link, but a node leaves
         a relay that sends nothing for half a second.
--- a/src/peppershore/process/relay/notices.py
+++ b/src/peppershore/process/relay/notices.py
@@ -133,7 +133,7 @@
 
 
 class NodesSentAway(Notice, frozen=True):
-    """Only this relay lacks confirmations, so its nodes were redirected to others."""
+    """This relay lacks confirmations that others have, so its nodes were redirected."""
 
     level: ClassVar[str] = "warning"
     nodes: int
--- a/src/peppershore/process/relay/session.py
+++ b/src/peppershore/process/relay/session.py
@@ -38,7 +38,7 @@
     outstanding_version: Version = 0
     """Version of the unanswered update; 0 if there is none."""
     current_reported: Version = 0
-    """Version in the last message that reported the node as current."""
+    """Version in the last ``Current`` message sent to the node; 0 if none was sent."""
     behind_since: Version = 0
     """First version whose change the node lacks; 0 if it lacks none."""
     answered: bool = False
--- a/src/peppershore/process/relay/shell.py
+++ b/src/peppershore/process/relay/shell.py
@@ -1,4 +1,4 @@
-"""Runs a relay as a process."""
+"""Run a relay as a process."""
 
 from __future__ import annotations
 
@@ -55,9 +55,9 @@
 
 def _readiness(core: RelayCore) -> Readiness:
     if core.distributor.version == 0:
-        return Readiness(False, "no configuration received from a control replica yet")
+        return Readiness(False, "no configuration was had from a control replica yet")
     if not core.is_fresh:
-        return Readiness(False, "no quorum has confirmed the version recently")
+        return Readiness(False, "no quorum has confirmed the version lately")
     return Readiness(True)
 
 
--- a/src/peppershore/process/relay/source.py
+++ b/src/peppershore/process/relay/source.py
@@ -1,8 +1,9 @@
 """Follow the control replicas and track how fresh the relay's version is.
 
 The relay follows one replica at a time and regularly requests confirmations from it. A
-confirmation dates from its request: the relay reports that time to its nodes. If a
-replica stays silent, the relay switches to another one.
+confirmation states which version a quorum confirms, and its age counts from its request.
+The relay reports the time of the newest one to its nodes. If a replica stays silent, the
+relay switches to another one.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 """After this long without a confirmation, a relay checks whether only it is cut off.
 This is longer than the time to replace a dead replica."""
 CUT_OFF_LEAD_SECONDS = 1.5
-"""A relay is cut off only if another's confirmation is newer by at least this."""
+"""A relay counts as cut off only if another's confirmation is newer by at least this."""
 BACKOFF_BASE_SECONDS = 0.1
 BACKOFF_CEILING_SECONDS = 3.0
 MAX_REQUESTS_IN_FLIGHT = 64
@@ -128,7 +129,7 @@
         return [] if self.link is not None else self._connect(now)
 
     def confirm_tick(self, now: float) -> list[Command]:
-        """Request a confirmation, or leave a replica that confirmed nothing too long."""
+        """Request a confirmation; leave a replica after ``SILENCE_SECONDS`` without one."""
         next_request: list[Command] = [
             SetTimer(CONFIRM_TIMER, self._seconds_until_request(now))
         ]
--- a/src/peppershore/process/relay/tree_follower.py
+++ b/src/peppershore/process/relay/tree_follower.py
@@ -24,7 +24,7 @@
 
 
 class TreeFollower:
-    """Applies accepted edits and complete trees in order; never to a lower version."""
+    """Applies accepted edits and complete trees in order; the version never decreases."""
 
     def __init__(self, cluster: str) -> None:
         """Start with an empty tree at version 0."""
--- a/tests/relay/scripted_replica.py
+++ b/tests/relay/scripted_replica.py
@@ -81,7 +81,7 @@
 
 
 def base_operations() -> tuple[Operation, ...]:
-    """Return edits for two zones and service "kassa" calling "kuitti", one route each."""
+    """Return operations for two zones and "kassa" calling "kuitti", one route each."""
     return (
         SetZone("pasila", "uusimaa"),
         SetZone("vantaa", "uusimaa"),
@@ -92,6 +92,6 @@
 
 
 def timeout_change(service: str, route: str, milliseconds: int) -> tuple[Operation, ...]:
-    """Return an edit that changes the time-out of one route."""
+    """Return the operations that change the time-out of one route."""
     overrides = Overrides(timeout_milliseconds=milliseconds)
     return (SetOverrides(f"/{service}/*/{route}", overrides),)
--- a/tests/relay/site.py
+++ b/tests/relay/site.py
@@ -119,7 +119,7 @@
         """Return whether a node ever lost its relay before it had another one."""
         return bool(self.notices(name, RelayLeft))
 
-    def told_gone(self, name: str) -> int:
+    def gone_endpoints_received(self, name: str) -> int:
         """Return the number of gone endpoints that a node received."""
         received = self.network.processes[name].received
         return sum(
--- a/tests/relay/test_relay_endpoints.py
+++ b/tests/relay/test_relay_endpoints.py
@@ -57,10 +57,10 @@
         site.start_node(f"n{index}", "kuitti", seed=index)
     site.network.run(12.0)
     lost = next(name for name in site.relays if name != site.relay_of("w"))
-    gone_before = site.told_gone("w")
+    gone_before = site.gone_endpoints_received("w")
     site.network.kill(lost)
     site.network.run(60.0)
-    assert site.told_gone("w") == gone_before
+    assert site.gone_endpoints_received("w") == gone_before
     assert len(watcher.known.endpoints) == 7
 
 
--- a/tests/relay/test_relay_failures.py
+++ b/tests/relay/test_relay_failures.py
@@ -31,7 +31,7 @@
     assert len(paused) == 1
 
 
-def test_a_relay_that_accepts_links_but_never_answers_is_passed_over() -> None:
+def test_a_relay_that_accepts_links_but_never_answers_is_avoided() -> None:
     site = Site()
     site.network.run(2.0)
     names = [f"n{index}" for index in range(6)]
--- a/tests/relay/test_relay_node_machine.py
+++ b/tests/relay/test_relay_node_machine.py
@@ -26,7 +26,7 @@
 
 
 class RelayAndNodes(RuleBasedStateMachine):
-    """Random relay and node faults; only node "a" has a disk to restore state from."""
+    """Node "a" has a disk; the others lose all memory at a restart."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/relay/test_relay_quarantine.py
+++ b/tests/relay/test_relay_quarantine.py
@@ -53,8 +53,8 @@
     site = site_of()
     crash_at(site, "n0")
     site.network.run(SPREAD_SECONDS)
-    told = [name for name in site.nodes if site.count_sent(name, CrashesTold)]
-    assert told == ["n0"]
+    reporting = [name for name in site.nodes if site.count_sent(name, CrashesTold)]
+    assert reporting == ["n0"]
     assert all(
         not any(isinstance(each, CrashesTold) for each in process.received)
         for name, process in site.network.processes.items()
--- a/tests/relay/virtual_network.py
+++ b/tests/relay/virtual_network.py
@@ -89,7 +89,7 @@
         self.cuts.add(frozenset((one, other)))
 
     def lose_next(self, name: str, kind: type[Message]) -> None:
-        """Drop all messages of one kind that a process sends when it next sends any."""
+        """Drop the messages of one kind in the next step in which a process sends any."""
         self._losses.add((name, kind))
 
     def heal(self) -> None:
