--- a/src/peppershore/process/relay/progress.py
+++ b/src/peppershore/process/relay/progress.py
@@ -1,4 +1,4 @@
-"""What a relay tells its replica of how far its nodes are."""
+"""Reports of a relay to its control replica on the versions its nodes hold."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from peppershore.connection.messages.relay import LaggingNode, ProgressReported
 from peppershore.process.relay.departures import Departure, Departures
 from peppershore.process.relay.distribution import Distributor
-from peppershore.process.relay.hold import HoldBook
+from peppershore.process.relay.hold import HoldTracker
 from peppershore.process.relay.session import NodeSession
 from peppershore.version.model import Scope, Version
 
 PROGRESS_TIMER = "relay.progress"
 PROGRESS_SECONDS = 0.01
-"""Changes of progress within this time are reported together."""
+"""Progress changes within this time are reported together."""
 PROGRESS_IDLE_SECONDS = 1.0
-"""A report is sent at least this often."""
+"""Longest time between two reports."""
 MAX_LAGGING_NODES = 20
 
 
-class RelayLife(msgspec.Struct, frozen=True):
-    """What a report tells of the relay itself; see ``ProgressReported``.
+class RelayStatus(msgspec.Struct, frozen=True):
+    """State of the relay itself that goes into a ``ProgressReported`` message.
 
     ``at`` is the monotonic time of the report, in seconds.
     """
@@ -37,37 +37,39 @@
 
 
 def make_report(
-    life: RelayLife,
+    status: RelayStatus,
     distributor: Distributor,
     departures: Departures,
-    holds: HoldBook,
+    holds: HoldTracker,
     control_bytes: int,
 ) -> ProgressReported:
-    """Give the report of this moment."""
-    away = departures.lagging(life.at)
+    """Return a progress report as of ``status.at``."""
+    away = departures.lagging(status.at)
     lagging = _lagging_nodes(distributor, holds)
     lagging += [_away(each) for each in away[: MAX_LAGGING_NODES - len(lagging)]]
     lowest_away = min((each.version for each in away), default=distributor.version)
     return ProgressReported(
-        relay=life.relay,
-        zone=life.zone,
+        relay=status.relay,
+        zone=status.zone,
         version=distributor.version,
         in_force=min(distributor.in_force(), lowest_away),
         nodes=len(distributor.sessions),
         lagging=tuple(lagging),
         control_bytes=control_bytes,
-        incarnation=life.incarnation,
-        settled=life.settled,
-        relays=life.relays,
-        number=life.reports,
+        incarnation=status.incarnation,
+        settled=status.settled,
+        relays=status.relays,
+        number=status.reports,
         silent=tuple(_away(each) for each in departures.silent()[:MAX_LAGGING_NODES]),
     )
 
 
-def _lagging_nodes(distributor: Distributor, holds: HoldBook) -> list[LaggingNode]:
-    """Give a sample in which each held scope shows, however many nodes are slow.
+def _lagging_nodes(distributor: Distributor, holds: HoldTracker) -> list[LaggingNode]:
+    """Return a sample of at most ``MAX_LAGGING_NODES`` lagging nodes.
 
-    Before anything is accepted no node lacks anything.
+    It starts with one node of each held scope, so that held scopes are reported however
+    many other nodes are slow. It is empty before the first version, when no node lacks
+    anything.
     """
     if distributor.version == 0:
         return []
@@ -79,13 +81,13 @@
 
 
 def _first_behind(distributor: Distributor, scope: Scope) -> list[NodeSession]:
-    """Give a node of the scope that waits, if there is one."""
+    """Return the first session of the scope that is behind, or an empty list."""
     sessions = distributor.sessions_of(scope)
     return list(islice(filter(lambda each: each.link in distributor.behind, sessions), 1))
 
 
 def _lagging(
-    session: NodeSession, distributor: Distributor, holds: HoldBook
+    session: NodeSession, distributor: Distributor, holds: HoldTracker
 ) -> LaggingNode:
     return LaggingNode(
         node=session.node,
@@ -106,7 +108,7 @@
     )
 
 
-def _reason(session: NodeSession, version: Version, holds: HoldBook) -> str:
+def _reason(session: NodeSession, version: Version, holds: HoldTracker) -> str:
     if session.outstanding_version:
         return f"version {session.outstanding_version} was sent and not yet answered"
     if session.needs_confirmation:
