--- a/src/peppershore/process/claims/__init__.py
+++ b/src/peppershore/process/claims/__init__.py
@@ -1,1 +1,1 @@
-"""The claims group: a replicated record that lets a call run at most once."""
+"""Claims groups: a replicated table of idempotency keys, so a call runs at most once."""
--- a/src/peppershore/process/claims/client.py
+++ b/src/peppershore/process/claims/client.py
@@ -1,4 +1,4 @@
-"""The asyncio face of the claims client, as the data plane uses it."""
+"""Asyncio interface of the claims client, used by the data plane."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ClaimClientShell(Shell):
-    """Drives a ``ClaimClientCore`` and keeps a future for each want."""
+    """Runs a ``ClaimClientCore`` and holds a future for each claim it waits for."""
 
     def __init__(
         self,
@@ -44,22 +44,22 @@
         client_tls: ssl.SSLContext | None = None,
         authorize: Authorize = allow_all,
     ) -> None:
-        """Know the replicas' addresses; connect at the first want.
+        """Store the replicas' addresses; the first request opens a connection.
 
         ``authorize`` refuses messages that a peer's certificate does not allow.
         """
         self.client = ClaimClientCore(addresses, secrets.randbits(SEED_BITS))
         super().__init__(self.client, notice_sink, client_tls, authorize=authorize)
         self._requests = itertools.count(1)
-        self._settled = asyncio.Event()
-        self._settled.set()
+        self._all_answered = asyncio.Event()
+        self._all_answered.set()
         self._waiting: dict[int, asyncio.Future[WantOutcome]] = {}
         self.handle(FinishWant, self._finish_want)
 
     async def claim(
         self, key: str, attempt: str, seconds: float
     ) -> Result[ClaimGranted, ClaimDenied]:
-        """Ask for the claim on ``key``, for at most ``seconds``."""
+        """Request the claim on ``key`` for ``attempt``; wait at most ``seconds``."""
         request = next(self._requests)
         future: asyncio.Future[WantOutcome] = asyncio.get_running_loop().create_future()
         self._waiting[request] = future
@@ -67,26 +67,29 @@
         return _as_result(await future)
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer for callers that send the call again; does not wait."""
+        """Store the answer for callers that retry the call; does not wait."""
         self.dispatch(CompletionWanted(next(self._requests), key, attempt, answer))
 
     def release(self, key: str, attempt: str) -> None:
-        """Let the call be claimed again: this attempt provably did not run."""
+        """Release the claim of an attempt that provably did not run; does not wait."""
         self.dispatch(ReleaseWanted(next(self._requests), key, attempt))
 
     async def settle(self, seconds: float) -> None:
-        """Wait until all notes are on disk, for a planned stop, at most so long."""
+        """Wait, at most ``seconds``, until all completions and releases are stored.
+
+        Used before a planned stop.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._settled.wait()
+                await self._all_answered.wait()
 
     def dispatch(self, event: events.Event) -> None:
-        """Step the core; note whether anything is still on its way."""
+        """Pass an event to the core; update whether messages are still unanswered."""
         super().dispatch(event)
         if self.client.pending:
-            self._settled.clear()
+            self._all_answered.clear()
         else:
-            self._settled.set()
+            self._all_answered.set()
 
     def _finish_want(self, command: FinishWant) -> None:
         future = self._waiting.pop(command.request, None)
--- a/src/peppershore/process/claims/client_core.py
+++ b/src/peppershore/process/claims/client_core.py
@@ -1,13 +1,12 @@
-"""A node's side of a claims group: asks for claims, follows the leader.
+"""Client of a claims group at a node: requests claims and follows the group's leader.
 
-Takes wants from the data plane and messages from the group; gives finished
-wants.  A want is answered once: granted, taken, or unavailable.  After
-"unavailable" the call must not be sent, and the attempt is released in case the
-group recorded it.
+The core receives claim requests ("wants") of the data plane and messages of the group.
+Each want is answered once: granted, taken, or unavailable. After "unavailable" the call
+must not be sent, and the attempt is released in case the group recorded its claim.
 
-A group that answers nothing for longer than a change of leader takes is
-unavailable: all wants are refused at once, later ones too, while probes find
-out when it answers again.
+A group that does not answer for longer than a leader election takes is unavailable: all
+waiting and new wants are refused at once, while the client sends probes to find out when
+the group answers again.
 """
 
 from __future__ import annotations
@@ -46,9 +45,9 @@
 STALL_SECONDS = 0.4
 TICK_SECONDS = 0.1
 NOTE_RESEND_SECONDS = 1.0
-PATIENCE_SECONDS = 1.5
-"""Silence of the whole group after which it is unavailable; a change of leader
-takes less with the default times."""
+GROUP_TIMEOUT_SECONDS = 1.5
+"""Time without an answer confirmed by a quorum after which the group is unavailable. An
+election of a leader takes less with the default settings."""
 
 STALL_TIMER = "claims-stall"
 RECONNECT_TIMER = "claims-reconnect"
@@ -66,7 +65,7 @@
 
 
 class ClaimCounts(msgspec.Struct):
-    """Ends of wants since the start."""
+    """Number of answered wants by outcome since the process started."""
 
     granted: int = 0
     taken: int = 0
@@ -75,10 +74,10 @@
 
 
 class ClaimClientCore:
-    """Keeps one link to the group's leader and every unanswered message."""
+    """Holds one link to the group's leader, and every unanswered message."""
 
     def __init__(self, addresses: tuple[str, ...], seed: int = 0) -> None:
-        """Know the replicas' addresses ("IP:port"); ``seed`` spreads the waits."""
+        """Store the replicas' addresses ("IP:port"); ``seed`` randomizes the back-off."""
         self.counts = ClaimCounts()
         self.table = PendingTable()
         self._choice = ReplicaChoice(addresses, Randomness(seed))
@@ -86,35 +85,35 @@
         self._probes = itertools.count(FIRST_PROBE, PROBE_STEP)
         self._link: events.LinkId | None = None
         self._link_ready = False
-        self._link_heard_at = 0.0
-        self._group_heard_at = 0.0
+        self._link_received_at = 0.0
+        self._group_answered_at = 0.0
         self._unavailable_since: float | None = None
-        self._ticking = False
-        self._tick_due = 0.0
+        self._timer_set = False
+        self._timer_due_at = 0.0
 
     @property
     def pending(self) -> int:
-        """Messages not yet answered."""
+        """Number of messages not yet answered."""
         return len(self.table)
 
     @property
     def unavailable(self) -> bool:
-        """Whether wants are refused at once."""
+        """Whether the group is unavailable, so that wants are refused at once."""
         return self._unavailable_since is not None
 
     def step(self, event: events.Event, now: float) -> list[commands.Command]:
-        """Take one event; give what to do."""
+        """Handle one event; return the commands to run."""
         match event:
             case ClaimWanted():
-                return self._want(event, now)
+                return self._add_want(event, now)
             case CompletionWanted():
                 completed = ClaimCompleted(
                     event.request, event.key, event.attempt, event.answer
                 )
-                return self._note(completed, now)
+                return self._add_note(completed, now)
             case ReleaseWanted():
                 released = ClaimReleased(event.request, event.key, event.attempt)
-                return self._note(released, now)
+                return self._add_note(released, now)
             case events.LinkOpened():
                 return self._opened(event, now)
             case events.LinkClosed():
@@ -122,39 +121,39 @@
             case events.MessageReceived():
                 return self._received(event, now)
             case events.TimerFired(timer=timer) if timer == STALL_TIMER:
-                return self._tick(now)
+                return self._check_timeouts(now)
             case events.TimerFired(timer=timer) if timer == RECONNECT_TIMER:
                 return self._connect(now)
             case _:
                 return []
 
-    # --- what the data plane asks --------------------------------------------
+    # --- requests of the data plane ------------------------------------------
 
-    def _want(self, want: ClaimWanted, now: float) -> list[commands.Command]:
+    def _add_want(self, want: ClaimWanted, now: float) -> list[commands.Command]:
         if self.unavailable:
             return [self._finish(want.request, WantUnavailable(REASON_UNAVAILABLE))]
         if self.table.wants_full:
             refusal = WantUnavailable("too many claims pending")
             return [self._finish(want.request, refusal)]
         message = ClaimRequest(want.request, want.key, want.attempt)
-        self._begin_waiting(now)
-        return self._ask(self.table.add_want(message, want.deadline, now), now)
+        self._restart_timeouts_if_idle(now)
+        return self._send_or_connect(self.table.add_want(message, want.deadline, now), now)
 
-    def _note(
+    def _add_note(
         self, note: ClaimCompleted | ClaimReleased, now: float
     ) -> list[commands.Command]:
-        self._begin_waiting(now)
-        return self._ask(self.table.add_note(note, now), now)
+        self._restart_timeouts_if_idle(now)
+        return self._send_or_connect(self.table.add_note(note, now), now)
 
-    def _begin_waiting(self, now: float) -> None:
-        """Measure silence from the first message that waits for an answer."""
+    def _restart_timeouts_if_idle(self, now: float) -> None:
+        """Restart the silence time-outs if no message was waiting for an answer."""
         if not self.table:
-            self._link_heard_at = now
-            self._group_heard_at = now
+            self._link_received_at = now
+            self._group_answered_at = now
 
-    def _ask(self, entry: Pending, now: float) -> list[commands.Command]:
+    def _send_or_connect(self, entry: Pending, now: float) -> list[commands.Command]:
         result = self._transmit(entry, now)
-        result += self._keep_ticking(now)
+        result += self._ensure_timer(now)
         if self._link is None:
             result += self._connect(now)
         return result
@@ -187,19 +186,19 @@
             return [commands.SetTimer(RECONNECT_TIMER, wait)]
         self._link = next(self._links)
         self._link_ready = False
-        self._link_heard_at = now
+        self._link_received_at = now
         return [commands.OpenLink(self._link, self._choice.address)]
 
     def _opened(self, event: events.LinkOpened, now: float) -> list[commands.Command]:
         if event.link != self._link:
             return []
         self._link_ready = True
-        self._link_heard_at = now
+        self._link_received_at = now
         result: list[commands.Command] = []
         if self.unavailable and not self.table:
             probe = ClaimReleased(next(self._probes), PROBE_KEY, PROBE_KEY)
             self.table.add_note(probe, now)
-            result += self._keep_ticking(now)
+            result += self._ensure_timer(now)
         for request in self.table.requests():
             entry = self.table.get(request)
             assert entry is not None
@@ -212,15 +211,15 @@
         return self._fail_over(event.reason, now)
 
     def _fail_over(self, reason: str, now: float) -> list[commands.Command]:
-        """The replica in use failed: back off from it and try another."""
+        """Back off from the replica in use, which failed, and try another one."""
         lost = self._choice.address
         self._choice.failed(now)
-        result = self._leave(lost, reason, now)
+        result = self._drop_link(lost, reason, now)
         if self._choice.all_failing(now):
-            result += self._give_up_on_group("no replica can be reached", now)
+            result += self._mark_unavailable("no replica can be reached", now)
         return result
 
-    def _leave(self, address: str, reason: str, now: float) -> list[commands.Command]:
+    def _drop_link(self, address: str, reason: str, now: float) -> list[commands.Command]:
         self._link = None
         self._link_ready = False
         wait = max(self._choice.pause_seconds, self._choice.wait_seconds(now))
@@ -237,7 +236,7 @@
     ) -> list[commands.Command]:
         if event.link != self._link:
             return []
-        self._link_heard_at = now
+        self._link_received_at = now
         self._choice.answered()
         match event.message:
             case ClaimGranted(request=request, horizon_seconds=horizon):
@@ -261,13 +260,13 @@
         result = self._group_answered(now)
         entry = self.table.get(request)
         if entry is None or not entry.is_want:
-            return result  # a late answer to a want given up: its release stays
+            return result  # late answer to an abandoned want: its release stays pending
         self.table.pop(request)
         return [*result, self._finish(request, outcome)]
 
     def _group_answered(self, now: float) -> list[commands.Command]:
-        """A quorum works: it committed what it answers about."""
-        self._group_heard_at = now
+        """Record that a quorum works, as the group's answer shows a committed entry."""
+        self._group_answered_at = now
         self._choice.group_answered()
         since = self._unavailable_since
         if since is None:
@@ -279,46 +278,52 @@
         if refused.reason in (REASON_NOT_LEADER, REASON_NO_QUORUM):
             link = self._link
             assert link is not None
-            left = self._choice.address
+            former = self._choice.address
             self._choice.redirected(refused.leader, now)
             closing = commands.CloseLink(link, refused.reason)
-            return [closing, *self._leave(left, refused.reason, now)]
+            return [closing, *self._drop_link(former, refused.reason, now)]
         entry = self.table.get(refused.request)
         if entry is None or not entry.is_want:
-            return []  # a note is sent again by the tick
+            return []  # the periodic timer sends a completion or release again
         outcome = WantUnavailable(refused.reason)
-        return self._give_up(refused.request, entry, outcome, now)
+        return self._abandon(refused.request, entry, outcome, now)
 
     # --- time ----------------------------------------------------------------
 
-    def _keep_ticking(self, now: float) -> list[commands.Command]:
-        if self._ticking:
+    def _ensure_timer(self, now: float) -> list[commands.Command]:
+        if self._timer_set:
             return []
-        self._ticking = True
-        self._tick_due = now + TICK_SECONDS
+        self._timer_set = True
+        self._timer_due_at = now + TICK_SECONDS
         return [commands.SetTimer(STALL_TIMER, TICK_SECONDS)]
 
-    def _tick(self, now: float) -> list[commands.Command]:
-        """Expire wants; leave a silent replica; judge whether the group answers."""
-        self._ticking = False
-        if now - self._tick_due >= STALL_SECONDS:
-            self._excuse_silence(now)
+    def _check_timeouts(self, now: float) -> list[commands.Command]:
+        """Handle the periodic timer: check all time-outs and retry notes.
+
+        Expire wants, disconnect from a silent replica, and detect an unavailable group.
+        """
+        self._timer_set = False
+        if now - self._timer_due_at >= STALL_SECONDS:
+            self._restart_silence_timeouts(now)
         result = self._expire(now)
         self.table.drop_old_notes(now)
         if not self.table and not self.unavailable:
             return result
-        result += self._keep_ticking(now)
-        if self._link is not None and now - self._link_heard_at >= STALL_SECONDS:
+        result += self._ensure_timer(now)
+        if self._link is not None and now - self._link_received_at >= STALL_SECONDS:
             result.append(commands.CloseLink(self._link, "stalled"))
             result += self._fail_over("stalled", now)
-        if self.table and now - self._group_heard_at >= PATIENCE_SECONDS:
-            result += self._give_up_on_group("no answer from a quorum", now)
-        return result + self._send_notes_again(now)
+        if self.table and now - self._group_answered_at >= GROUP_TIMEOUT_SECONDS:
+            result += self._mark_unavailable("no answer from a quorum", now)
+        return result + self._retry_notes(now)
+
+    def _restart_silence_timeouts(self, now: float) -> None:
+        """Restart the silence time-outs after this process itself was suspended.
 
-    def _excuse_silence(self, now: float) -> None:
-        """This node itself was frozen: what came meanwhile is still to be read."""
-        self._link_heard_at = now
-        self._group_heard_at = now
+        Messages that arrived meanwhile are not read yet.
+        """
+        self._link_received_at = now
+        self._group_answered_at = now
 
     def _expire(self, now: float) -> list[commands.Command]:
         result: list[commands.Command] = []
@@ -327,38 +332,41 @@
             entry = self.table.get(request)
             assert entry is not None
             if entry.deadline is not None and now >= entry.deadline:
-                result += self._give_up(request, entry, outcome, now)
+                result += self._abandon(request, entry, outcome, now)
         return result
 
-    def _give_up_on_group(self, reason: str, now: float) -> list[commands.Command]:
-        """Refuse every call that waits, and those to come, until a quorum answers."""
+    def _mark_unavailable(self, reason: str, now: float) -> list[commands.Command]:
+        """Refuse all waiting wants, and new ones until a quorum answers again."""
         result: list[commands.Command] = []
         wants = self.table.wants
         for request in self.table.requests():
             entry = self.table.get(request)
             if entry is not None and entry.is_want:
                 outcome = WantUnavailable(REASON_UNAVAILABLE)
-                result += self._give_up(request, entry, outcome, now)
+                result += self._abandon(request, entry, outcome, now)
         if not self.unavailable:
             self._unavailable_since = now
             result.append(commands.Report(ClaimsGroupUnavailable(reason, wants)))
-            result += self._keep_ticking(now)
+            result += self._ensure_timer(now)
         return result
 
-    def _give_up(
+    def _abandon(
         self, request: int, entry: Pending, outcome: WantUnavailable, now: float
     ) -> list[commands.Command]:
-        """Finish a want as unavailable; release it if the group may have recorded it."""
+        """Finish a want as unavailable; release its claim if the group may hold one."""
         self.table.pop(request)
         finish = self._finish(request, outcome)
         if entry.sends == 0 or outcome.reason == REASON_FULL:
             return [finish]
-        asked = entry.message
-        release = ClaimReleased(request, asked.key, asked.attempt)
+        request_message = entry.message
+        release = ClaimReleased(request, request_message.key, request_message.attempt)
         return [finish, *self._transmit(self.table.add_note(release, now), now)]
 
-    def _send_notes_again(self, now: float) -> list[commands.Command]:
-        """Send again what a busy replica refused; the group takes it once."""
+    def _retry_notes(self, now: float) -> list[commands.Command]:
+        """Send unanswered completions and releases again, as a busy replica refuses them.
+
+        The group applies each of them only once.
+        """
         result: list[commands.Command] = []
         for request in self.table.requests():
             entry = self.table.get(request)
--- a/src/peppershore/process/claims/core.py
+++ b/src/peppershore/process/claims/core.py
@@ -1,7 +1,7 @@
 """The core of one replica of a claims group.
 
-Takes what nodes ask, replicates it, answers from the committed table.  An
-answer leaves only after a quorum has the entry on disk.
+The leader replicates the requests of nodes and answers them from the committed table. An
+answer is sent only after a quorum has the entry on disk.
 """
 
 from __future__ import annotations
@@ -58,11 +58,11 @@
 CLAIMS_ROLE = "claims"
 OPERATOR_ROLE = "operator"
 
-ClaimsAsk = ClaimRequest | ClaimCompleted | ClaimReleased
+ClientRequest = ClaimRequest | ClaimCompleted | ClaimReleased
 
 
-class WaitingAsk(msgspec.Struct, frozen=True):
-    """Who asked for the entry proposed at some index."""
+class WaitingRequest(msgspec.Struct, frozen=True):
+    """The link and the request that wait for a proposed entry to commit."""
 
     link: LinkId
     request: int
@@ -70,10 +70,10 @@
 
 
 class ClaimsCore(ReplicaCore):
-    """Claims replica: a replicated table on one side, nodes on the other."""
+    """Claims replica: serves requests of nodes from a replicated table of claims."""
 
     def __init__(self, settings: ClaimsSettings, stored: StoredState) -> None:
-        """Take up a stored state; nothing happens before ``Started``."""
+        """Restore the stored state; the replica runs from the event ``Started`` on."""
         self._bounds = BoundsSet(
             settings.horizon_seconds * MILLISECONDS,
             settings.max_records,
@@ -83,34 +83,34 @@
         self.machine = ClaimsMachine(ClaimTable(*bounds))
         super().__init__(replica_settings(settings), stored, self.machine)
         self._identities: dict[LinkId, str] = {}
-        self._waiting: dict[int, WaitingAsk] = {}
+        self._waiting: dict[int, WaitingRequest] = {}
         self._clock_proposed_at = 0.0
         self.refused_busy = 0
 
     @property
     def waiting(self) -> int:
-        """Asks that wait for a quorum."""
+        """Number of requests that wait for a quorum."""
         return len(self._waiting)
 
     # --- hooks of the replica core -------------------------------------------
 
     def on_link_opened(self, link: LinkId, identity: str) -> None:
-        """Remember who the certificate says is there."""
+        """Store the identity in the certificate of the peer on a new link."""
         self._identities[link] = identity
 
     def on_link_closed(self, link: LinkId) -> None:
-        """Forget a link; what it asked for still commits."""
+        """Drop the identity of a closed link; entries it requested may still commit."""
         self._identities.pop(link, None)
 
     def may_be_replica(self, link: LinkId, name: str) -> bool:
-        """Whether the certificate on this link is that replica's."""
-        return self._is(link, CLAIMS_ROLE, name)
+        """Return whether the certificate on this link is that of replica ``name``."""
+        return self._has_role(link, CLAIMS_ROLE, name)
 
     def on_client_message(self, link: LinkId, message: Message) -> None:
-        """Serve a node, or an operator who replaces a replica."""
+        """Handle a message of a node, or of an operator who replaces a replica."""
         if isinstance(message, (ClaimRequest, ClaimCompleted, ClaimReleased)):
             self._ask(link, message)
-        elif isinstance(message, MembershipChange) and self._is(link, OPERATOR_ROLE):
+        elif isinstance(message, MembershipChange) and self._has_role(link, OPERATOR_ROLE):
             self._change_membership(link, message)
         elif isinstance(message, StatusQuery) and self.consensus.leader:
             self.send(link, self._status())
@@ -120,24 +120,27 @@
             self.send(link, Refused("unexpected", type(message).__name__))
 
     def on_applied(self) -> None:
-        """Answer what was committed."""
+        """Answer the requests whose entries were committed and applied."""
         for applied in self.machine.take_applied():
             self._answer(applied)
 
     def on_leadership_gained(self) -> None:
-        """Count the table's time from now on; all replicas keep this one's bounds."""
+        """Start advancing the table's clock; replicate this leader's bounds to all."""
         self._clock_proposed_at = self.now
         self.propose(encode_entry(self._bounds))
 
     def on_leadership_lost(self) -> None:
-        """What waits may commit or not: the nodes ask the next leader again."""
+        """Refuse all waiting requests, so that the nodes ask the next leader.
+
+        Their entries may or may not commit.
+        """
         waiting = self._waiting
         self._waiting = {}
-        for ask in waiting.values():
-            self._refuse(ask.link, ask.request, REASON_NOT_LEADER)
+        for client_request in waiting.values():
+            self._refuse(client_request.link, client_request.request, REASON_NOT_LEADER)
 
     def on_tick(self) -> None:
-        """Let the table's clock advance while this replica leads."""
+        """Advance the table's clock by the time passed, while this replica leads."""
         passed = self.now - self._clock_proposed_at
         if not self.leads or self.stopping or passed < CLOCK_SECONDS:
             return
@@ -145,41 +148,48 @@
         self.propose(encode_entry(ClockAdvanced(int(passed * MILLISECONDS))))
 
     def has_unanswered(self) -> bool:
-        """Whether a node waits for an answer."""
+        """Return whether a node waits for an answer."""
         return bool(self._waiting)
 
     def client_links(self) -> tuple[LinkId, ...]:
-        """Links of nodes; they ask another replica after a goodbye."""
-        return tuple(dict.fromkeys(ask.link for ask in self._waiting.values()))
+        """Return the links of waiting nodes, which turn to another replica on a goodbye."""
+        return tuple(
+            dict.fromkeys(client_request.link for client_request in self._waiting.values())
+        )
 
-    # --- asks and answers ----------------------------------------------------
+    # --- requests and answers ------------------------------------------------
 
-    def _ask(self, link: LinkId, ask: ClaimsAsk) -> None:
+    def _ask(self, link: LinkId, client_request: ClientRequest) -> None:
         if not self.leads or self.stopping:
-            self._refuse(link, ask.request, REASON_NOT_LEADER)
+            self._refuse(link, client_request.request, REASON_NOT_LEADER)
             return
         if len(self._waiting) >= MAX_WAITING:
             self.refused_busy += 1
-            self._refuse(link, ask.request, REASON_BUSY)
+            self._refuse(link, client_request.request, REASON_BUSY)
             return
-        entry = _entry_of(ask)
+        entry = _entry_of(client_request)
         index = self.propose(encode_entry(entry))
         if index is None:
-            self._refuse(link, ask.request, REASON_NOT_LEADER)
+            self._refuse(link, client_request.request, REASON_NOT_LEADER)
             return
-        self._waiting[index] = WaitingAsk(link, ask.request, entry)
+        self._waiting[index] = WaitingRequest(link, client_request.request, entry)
 
     def _refuse(self, link: LinkId, request: int, reason: str) -> None:
         self.send(link, ClaimRefused(request, reason, self.leader_address))
 
     def _answer(self, applied: AppliedEntry) -> None:
-        ask = self._waiting.pop(applied.index, None)
-        if ask is None:
+        client_request = self._waiting.pop(applied.index, None)
+        if client_request is None:
             return
-        assert ask.entry == applied.entry, "another entry committed at a proposed index"
-        self.send(ask.link, self._message_of(ask.request, applied.answer))
+        assert client_request.entry == applied.entry, (
+            "another entry committed at a proposed index"
+        )
+        self.send(
+            client_request.link,
+            self._answer_message(client_request.request, applied.answer),
+        )
 
-    def _message_of(self, request: int, answer: TableAnswer) -> Message:
+    def _answer_message(self, request: int, answer: TableAnswer) -> Message:
         match answer:
             case Granted():
                 horizon = self.machine.table.bounds.horizon_milliseconds
@@ -198,7 +208,7 @@
             self.send(link, NotLeader(self.leader_address))
 
     def _status(self) -> StatusAnswered:
-        """The members; a claims group holds no version and serves no relays."""
+        """Return the group's members; version and relays don't apply to a claims group."""
         return StatusAnswered(
             cluster=self.settings.cluster,
             replica=self.name,
@@ -210,21 +220,23 @@
             rotations=(),
         )
 
-    def _is(self, link: LinkId, role: str, name: str = "") -> bool:
+    def _has_role(self, link: LinkId, role: str, name: str = "") -> bool:
         identity = self._identities.get(link, "")
         if not identity:
-            return True  # links without TLS carry no identity
+            return True  # a link without TLS has no identity
         parsed = parse_identity(identity).value_or(None)
         if parsed is None or parsed.cluster != self.settings.cluster:
             return False
         return parsed.role == role and name in ("", parsed.name)
 
 
-def _entry_of(ask: ClaimsAsk) -> TableEntry:
-    match ask:
+def _entry_of(client_request: ClientRequest) -> TableEntry:
+    match client_request:
         case ClaimRequest():
-            return ClaimEntry(ask.key, ask.attempt)
+            return ClaimEntry(client_request.key, client_request.attempt)
         case ClaimCompleted():
-            return CompletionEntry(ask.key, ask.attempt, ask.answer)
+            return CompletionEntry(
+                client_request.key, client_request.attempt, client_request.answer
+            )
         case ClaimReleased():
-            return ReleaseEntry(ask.key, ask.attempt)
+            return ReleaseEntry(client_request.key, client_request.attempt)
--- a/src/peppershore/process/claims/entries.py
+++ b/src/peppershore/process/claims/entries.py
@@ -1,4 +1,4 @@
-"""Entries of a claims log, and what the table answers to each."""
+"""Entries of a claims group's log, and the table's answer to each."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ClaimEntry(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """An attempt asks for the claim on ``key``."""
+    """An attempt requests the claim on ``key``."""
 
     key: str
     attempt: str
 
 
 class CompletionEntry(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """An attempt finished, with the answer to keep (None: not kept)."""
+    """An attempt finished; ``answer`` is stored for retries unless it is None."""
 
     key: str
     attempt: str
@@ -23,20 +23,23 @@
 
 
 class ReleaseEntry(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """An attempt provably did not run."""
+    """An attempt provably did not run, so its claim is released."""
 
     key: str
     attempt: str
 
 
 class ClockAdvanced(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Milliseconds that passed on the leader's monotonic clock."""
+    """Time that passed on the leader's monotonic clock, to advance the table's clock."""
 
     milliseconds: int
 
 
 class BoundsSet(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """What a leader's settings allow from here on, the same on every replica."""
+    """The table's bounds from this entry on, by the settings of the current leader.
+
+    They are replicated so that all replicas use the same bounds.
+    """
 
     horizon_milliseconds: int
     max_records: int
@@ -51,17 +54,17 @@
 
 
 class Taken(msgspec.Struct, frozen=True):
-    """Another attempt holds it; ``answer`` is kept or None."""
+    """Another attempt holds the claim; ``answer`` is its answer if one is stored."""
 
     answer: KeptAnswer | None
 
 
 class TableFull(msgspec.Struct, frozen=True):
-    """No record could be kept, so no claim was given."""
+    """The table is full, so no claim was granted."""
 
 
 class Noted(msgspec.Struct, frozen=True):
-    """An entry that grants nothing took effect or changed nothing."""
+    """The answer to any entry but a claim request, whether or not it had an effect."""
 
 
 TableAnswer = Granted | Taken | TableFull | Noted
@@ -71,10 +74,13 @@
 
 
 def encode_entry(entry: TableEntry) -> bytes:
-    """Give the log payload of an entry."""
+    """Encode an entry as a log payload."""
     return _ENCODER.encode(entry)
 
 
 def decode_entry(payload: bytes) -> TableEntry:
-    """Give the entry of a committed payload; any other payload breaks an invariant."""
+    """Decode the entry of a committed payload.
+
+    Raise ``msgspec.DecodeError`` on any other payload, which breaks an invariant.
+    """
     return _ENTRY_DECODER.decode(payload)
--- a/src/peppershore/process/claims/layout.py
+++ b/src/peppershore/process/claims/layout.py
@@ -1,11 +1,11 @@
-"""Which claims group keeps which key, also while the groups are being changed.
+"""Assignment of idempotency keys to claims groups, also while the groups change.
 
-Rendezvous hashing: each key goes to the group whose name gives it the highest
-weight, so that adding a group moves only the keys that become its own.
+Rendezvous hashing assigns each key to the group whose name has the highest weight for it,
+so that adding a group moves only the keys that it takes over.
 
-While nodes change from one set of groups to another, a key is claimed in its
-group of both sets, the one that is left first.  Two nodes that are one step apart
-share a set, and so exclude each other in it.
+While nodes change from a previous set of groups to a new one, a key is claimed in its
+group of both sets, that of the previous set first. Two nodes that are one step of the
+change apart share one of the sets, and so exclude each other in it.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 from peppershore.process.settings import ClaimsGroup, NodeSettings
 
 ONLY_GROUP = "claims"
-"""Name of the group under the setting ``claims``, as ``claims_groups`` knows it."""
+"""Name of the only group when the setting ``claims`` is used, not ``claims_groups``."""
 
 
 class ClaimsLayout:
-    """The groups in use, and those that are being left."""
+    """The claims groups in use, and during a change the previous ones."""
 
     def __init__(
         self, groups: tuple[ClaimsGroup, ...], previous: tuple[ClaimsGroup, ...] = ()
     ) -> None:
-        """Know both sets; ``previous`` is empty but while groups are changed."""
+        """Store both sets; ``previous`` is empty unless the groups are being changed."""
         assert groups, "a layout has at least one group"
         self._names = tuple(group.name for group in groups)
         self._previous = tuple(group.name for group in previous)
         self.groups = {group.name: group for group in (*previous, *groups)}
 
     def groups_of(self, key: str) -> tuple[str, ...]:
-        """Give the names of the groups in which ``key`` is claimed, in order."""
+        """Return the names of the groups in which to claim ``key``, in this order."""
         current = _heaviest(key, self._names)
         if not self._previous:
             return (current,)
-        left = _heaviest(key, self._previous)
-        return (current,) if left == current else (left, current)
+        previous = _heaviest(key, self._previous)
+        return (current,) if previous == current else (previous, current)
 
 
 def layout_of(settings: NodeSettings) -> ClaimsLayout | None:
-    """Give the layout that a node's settings name; None without claims."""
+    """Return the layout in a node's settings, or None if no claims group is set."""
     if settings.claims:
         return ClaimsLayout((ClaimsGroup(name=ONLY_GROUP, replicas=settings.claims),))
     if settings.claims_groups:
--- a/src/peppershore/process/claims/machine.py
+++ b/src/peppershore/process/claims/machine.py
@@ -1,4 +1,4 @@
-"""The claims table as a replicated state machine whose answers can be taken."""
+"""The claims table as a replicated state machine that collects the table's answers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ClaimsMachine:
-    """Applies committed entries and collects the answers for whoever waits."""
+    """Applies committed entries and collects the answers for the waiting nodes."""
 
     def __init__(self, table: ClaimTable) -> None:
         """Start with the given table."""
@@ -37,20 +37,23 @@
         self._applied.append(AppliedEntry(index, entry, self.table.apply_entry(entry)))
 
     def snapshot(self) -> bytes:
-        """Encode the whole table."""
+        """Return the encoded state of the complete table."""
         return self.table.snapshot()
 
     def begin_snapshot(self) -> Iterator[Piece]:
-        """Give the pieces of the table as it is now, while entries go on."""
+        """Return the pieces of a snapshot of the current state.
+
+        Entries may be applied while the pieces are consumed.
+        """
         return self.table.begin_snapshot()
 
     def restore(self, state: bytes) -> None:
-        """Replace the whole table."""
+        """Replace the complete table by an encoded state; drop collected answers."""
         self._applied.clear()
         self.table.restore(state)
 
     def take_applied(self) -> list[AppliedEntry]:
-        """Give what was applied since the last call."""
+        """Return the entries applied since the last call, and clear the list."""
         applied = self._applied
         self._applied = []
         return applied
--- a/src/peppershore/process/claims/node_claims.py
+++ b/src/peppershore/process/claims/node_claims.py
@@ -1,4 +1,4 @@
-"""What a node needs of claims: the clients of its groups, and their gauges."""
+"""The claims clients of a node, one for each claims group, and their metrics."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 def node_claims(
     settings: NodeSettings, metrics: ProcessMetrics, security: LinkSecurity
 ) -> ClaimsRouter | None:
-    """Give the client of the claims groups that the settings name, if any."""
+    """Create the client for the claims groups in the settings; None if there are none."""
     layout = layout_of(settings)
     if layout is None:
         _add_gauges(metrics, [])
         return None
-    # Most nodes have no claims group: what is never used is not loaded at their start.
+    # Most nodes have no claims group: they should not load unused modules at start.
     from peppershore.process.claims.client import ClaimClientShell  # noqa: PLC0415
     from peppershore.process.claims.router import ClaimsRouter  # noqa: PLC0415
 
--- a/src/peppershore/process/claims/pending.py
+++ b/src/peppershore/process/claims/pending.py
@@ -1,7 +1,7 @@
-"""What a claims client has asked and not heard of: wants and notes, bounded.
+"""Unanswered messages of a claims client, bounded in number, size and age.
 
-A want is a call that waits for its claim.  A note (completion, release) has
-nobody waiting; it is sent until it is on disk, or has grown too old to matter.
+A "want" is a claim request for which a call waits. A "note" is a completion or a release,
+for which no call waits; it is sent until the group has stored it, or until it is too old.
 """
 
 from __future__ import annotations
@@ -19,16 +19,18 @@
 MAX_WANTS = 10_000
 MAX_NOTES = 20_000
 MAX_NOTE_BYTES = 8 * 1024 * 1024
-"""Answers in completions not yet on disk; beyond it they are sent without answer."""
+"""Bound on the total size of the answers in unanswered completions. Completions beyond it
+are sent without their answer."""
 
 NOTE_SECONDS = 120.0
-"""A note not on disk after so long is given up: its key stays as it is recorded."""
+"""Time after which an unanswered note is dropped. The group's record of its key then
+stays as it is."""
 
 
 class Pending(msgspec.Struct):
-    """A message not yet answered; ``deadline`` None marks a note.
+    """A message not yet answered; it is a note if ``deadline`` is None, else a want.
 
-    ``sent_at`` is the time of the last send, ``sends`` their number.
+    ``sent_at`` is the time of the last send, ``sends`` the number of sends.
     """
 
     message: ClaimRequest | ClaimCompleted | ClaimReleased
@@ -39,7 +41,7 @@
 
     @property
     def is_want(self) -> bool:
-        """Whether a call waits for it."""
+        """Whether a call waits for the answer."""
         return self.deadline is not None
 
 
@@ -47,7 +49,7 @@
     """All unanswered messages of one client, by request number."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
+        """Start without messages."""
         self.notes_dropped = 0
         self.answers_dropped = 0
         self._entries: dict[int, Pending] = {}
@@ -55,36 +57,39 @@
         self._note_bytes = 0
 
     def __len__(self) -> int:
-        """Messages not yet answered."""
+        """Return the number of messages not yet answered."""
         return len(self._entries)
 
     @property
     def wants(self) -> int:
-        """Calls that wait for a claim."""
+        """Number of calls that wait for a claim."""
         return self._wants
 
     @property
     def wants_full(self) -> bool:
-        """Whether no further want is taken."""
+        """Whether the maximum number of wants is reached."""
         return self._wants >= MAX_WANTS
 
     def get(self, request: int) -> Pending | None:
-        """Give an entry, None if it was answered or given up."""
+        """Return an entry, or None if it was answered or dropped."""
         return self._entries.get(request)
 
     def requests(self) -> Iterator[int]:
-        """Give the numbers of all entries as they are now, the oldest first."""
+        """Return the request numbers of all current entries, the oldest first.
+
+        Entries may be added and removed during the iteration.
+        """
         return iter(list(self._entries))
 
     def add_want(self, request: ClaimRequest, deadline: float, now: float) -> Pending:
-        """Keep a want until its deadline."""
+        """Add a want, to be answered before its deadline; return its entry."""
         entry = Pending(request, deadline, now)
         self._entries[request.request] = entry
         self._wants += 1
         return entry
 
     def add_note(self, note: ClaimCompleted | ClaimReleased, now: float) -> Pending:
-        """Keep a note; the oldest one goes if there are too many."""
+        """Add a note and return its entry; drop the oldest note if there are too many."""
         if len(self._entries) - self._wants >= MAX_NOTES:
             self._drop_oldest_note()
         entry = Pending(self._within_bytes(note), None, now)
@@ -93,7 +98,7 @@
         return entry
 
     def pop(self, request: int) -> Pending | None:
-        """Take an entry out."""
+        """Remove and return an entry; return None if there is none."""
         entry = self._entries.pop(request, None)
         if entry is None:
             return None
@@ -103,7 +108,7 @@
         return entry
 
     def drop_old_notes(self, now: float) -> None:
-        """Give up the notes that have grown too old."""
+        """Drop the notes that were not answered within ``NOTE_SECONDS``."""
         for request, entry in list(self._entries.items()):
             if not entry.is_want and now - entry.added_at >= NOTE_SECONDS:
                 self.pop(request)
--- a/src/peppershore/process/claims/records.py
+++ b/src/peppershore/process/claims/records.py
@@ -1,8 +1,8 @@
-"""Records of claimed calls, packed, and the segments that hold them.
+"""Encoded records of claimed calls, and the segments that hold them.
 
-A segment holds the records granted one after another, up to a fixed number.  It
-is the unit of a snapshot: one without a change since the last snapshot is stored
-already.  Records are kept packed, which spares memory and garbage collection.
+A segment holds consecutively granted records, up to a fixed number. It is the unit of a
+snapshot: a segment that is unchanged since the last snapshot is not stored again. Records
+are held in encoded form, which saves memory and garbage collection.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ClaimRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One claimed call; ``claimed_at`` in table milliseconds."""
+    """One claimed call; ``claimed_at`` is in milliseconds of the table's clock."""
 
     attempt: str
     claimed_at: int
@@ -25,7 +25,7 @@
 
 
 class SegmentState(msgspec.Struct, array_like=True, frozen=True):
-    """A segment as a snapshot holds it, its records oldest first."""
+    """A segment as encoded in a snapshot, with its records from the oldest on."""
 
     number: int
     taken: int
@@ -35,7 +35,11 @@
 
 
 class Segment:
-    """Records granted one after another; ``taken`` counts also those gone since."""
+    """Consecutively granted records; ``taken`` also counts those removed since.
+
+    ``part`` is the stored snapshot part with the current content, if there is one.
+    ``changes`` counts the changes.
+    """
 
     __slots__ = (
         "answer_bytes",
@@ -48,7 +52,7 @@
     )
 
     def __init__(self, number: int) -> None:
-        """Start empty; segments are numbered in the order of their claims."""
+        """Start empty; segments are numbered in the order in which claims are granted."""
         self.number = number
         self.taken = 0
         self.newest_claimed_at = 0
@@ -58,12 +62,12 @@
         self.part: SnapshotPart | None = None
 
     def changed(self) -> None:
-        """The stored part, if any, is no longer what the segment holds."""
+        """Record a change, after which a stored snapshot part is no longer current."""
         self.changes += 1
         self.part = None
 
     def encode(self) -> bytes:
-        """Give the segment as a snapshot holds it."""
+        """Encode the segment for a snapshot."""
         state = SegmentState(
             self.number,
             self.taken,
@@ -80,17 +84,17 @@
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Pack a record."""
+    """Encode a record."""
     return _ENCODER.encode(record)
 
 
 def decode_record(packed: bytes) -> ClaimRecord:
-    """Give a record that ``encode_record`` packed."""
+    """Decode a record that ``encode_record`` encoded."""
     return _RECORD_DECODER.decode(packed)
 
 
 def decode_segment(data: bytes | memoryview) -> Segment:
-    """Give the segment that ``Segment.encode`` encoded."""
+    """Decode a segment that ``Segment.encode`` encoded."""
     state = _SEGMENT_DECODER.decode(data)
     segment = Segment(state.number)
     segment.taken = state.taken
@@ -101,6 +105,6 @@
 
 
 def answer_size(answer: KeptAnswer) -> int:
-    """Bytes that an answer counts against the bound: its body and its headers."""
+    """Return the bytes of an answer's body and headers, which count towards the bound."""
     headers = sum(len(name) + len(value) for name, value in answer.headers)
     return len(answer.body) + headers
--- a/src/peppershore/process/claims/replica_choice.py
+++ b/src/peppershore/process/claims/replica_choice.py
@@ -1,9 +1,9 @@
-"""Which claims replica a client turns to, and when it may try one again.
+"""Choice of the claims replica to connect to, and back-off after failures.
 
-A replica that refused a connection, closed it or went silent is left alone for a
-time that grows with each failure (exponential backoff with full jitter).  A
-hint at the leader is followed unless it points at such a replica: followers
-name a dead leader until they have elected another.
+A replica that refused a connection, closed it or stopped answering is not tried for a time
+that grows with each failure (exponential back-off with full jitter). A replica's hint at
+the leader is followed unless it names a failed replica, as followers name a dead leader
+until they have elected another.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 
 BACKOFF_BASE_SECONDS = 0.4
 BACKOFF_CEILING_SECONDS = 2.0
-SHORTEST_BACKOFF_SECONDS = 0.2
+MIN_BACKOFF_SECONDS = 0.2
 PAUSE_BASE_SECONDS = 0.05
 PAUSE_CEILING_SECONDS = 0.4
-"""Pause before another replica is asked; it doubles with each round of all replicas
-in which none led, as in an election or without a quorum."""
+"""Maximum wait before another replica is tried. The wait starts at ``PAUSE_BASE_SECONDS``
+and doubles with each round over all replicas in which none was the leader, as during an
+election or without a quorum."""
 
 FAILURE_MEMORY_SECONDS = 10.0
-"""A failure so long ago says nothing about a replica any more."""
+"""Time after which an earlier failure of a replica is ignored."""
 
 
 class _Health(msgspec.Struct):
@@ -31,10 +32,10 @@
 
 
 class ReplicaChoice:
-    """The replicas of one group, the one in use, and what is known of each."""
+    """The replicas of one group, the one in use, and the failures of each."""
 
     def __init__(self, addresses: tuple[str, ...], randomness: Randomness) -> None:
-        """Begin with the first address; ``randomness`` spreads the waits."""
+        """Start with the first address; ``randomness`` randomizes the back-off."""
         assert addresses, "a claims client needs at least one replica"
         self._addresses = addresses
         self._randomness = randomness
@@ -44,30 +45,30 @@
 
     @property
     def address(self) -> str:
-        """The replica in use or tried next."""
+        """Address of the replica in use or to be tried next."""
         return self._addresses[self._current]
 
     @property
     def looking_for_leader(self) -> bool:
-        """Whether more than one replica said in a row that it doesn't lead."""
+        """Whether more than one replica in a row answered that it is not the leader."""
         return self._redirects > 1
 
     @property
     def pause_seconds(self) -> float:
-        """Time before the next replica is asked, whatever became of it earlier."""
+        """Wait in seconds before the next replica, regardless of its own failures."""
         rounds = self._redirects // len(self._addresses)
         return min(PAUSE_CEILING_SECONDS, PAUSE_BASE_SECONDS * 2.0 ** min(rounds, 10))
 
     def group_answered(self) -> None:
-        """The replica in use leads, and a quorum follows it."""
+        """Record that the replica in use is the leader and has a quorum."""
         self._redirects = 0
 
     def answered(self) -> None:
-        """The replica in use said something: it lives."""
+        """Record a message from the replica in use, which clears its failures."""
         self._health[self._current].failures = 0
 
     def failed(self, now: float) -> None:
-        """The replica in use can't be used: back off from it, go to the next."""
+        """Record a failure of the replica in use; back off from it and choose another."""
         health = self._health[self._current]
         if now - health.failed_at > FAILURE_MEMORY_SECONDS:
             health.failures = 0
@@ -76,32 +77,35 @@
         )
         health.failures += 1
         health.failed_at = now
-        health.due = now + max(wait, SHORTEST_BACKOFF_SECONDS)
-        self._move_on(now)
+        health.due = now + max(wait, MIN_BACKOFF_SECONDS)
+        self._choose_next(now)
 
     def redirected(self, leader: str, now: float) -> None:
-        """The replica in use doesn't lead; follow its hint unless that one fails."""
+        """Choose another replica, as the one in use is not the leader.
+
+        Its hint ``leader`` is followed unless that replica is being backed off from.
+        """
         self._redirects += 1
         if leader in self._addresses:
             position = self._addresses.index(leader)
             if position != self._current and self._wait_of(position, now) == 0.0:
                 self._current = position
                 return
-        self._move_on(now)
+        self._choose_next(now)
 
     def wait_seconds(self, now: float) -> float:
-        """Time before the replica chosen may be tried."""
+        """Return the seconds until the chosen replica may be tried."""
         return self._wait_of(self._current, now)
 
     def all_failing(self, now: float) -> bool:
-        """Whether every replica failed lately and none has answered since."""
+        """Return whether every replica failed recently and has not answered since."""
         return all(
             health.failures > 0 and now - health.failed_at <= FAILURE_MEMORY_SECONDS
             for health in self._health
         )
 
-    def _move_on(self, now: float) -> None:
-        """Choose the next replica in turn, or the one whose wait is over first."""
+    def _choose_next(self, now: float) -> None:
+        """Choose the replica with the shortest wait, in ring order if equal."""
         count = len(self._addresses)
         others = [(self._current + step) % count for step in range(1, count + 1)]
         self._current = min(others, key=lambda position: self._wait_of(position, now))
--- a/src/peppershore/process/claims/router.py
+++ b/src/peppershore/process/claims/router.py
@@ -1,4 +1,4 @@
-"""One claims client for all groups: each key goes to the group that keeps it."""
+"""Claims client over several groups, which sends each key to the groups that hold it."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     """The client of one group."""
 
     async def settle(self, seconds: float) -> None:
-        """Wait until all notes are on disk, at most so long."""
+        """Wait, at most ``seconds``, until all completions and releases are stored."""
 
     async def close(self) -> None:
-        """Close links and timers."""
+        """Close the links and cancel the timers."""
 
 
 class ClaimsRouter:
     """A ``ClaimsClient`` over the clients of several groups, by their names."""
 
     def __init__(self, layout: ClaimsLayout, clients: Mapping[str, GroupClient]) -> None:
-        """Use one client for each group of the layout."""
+        """Use these clients, one for each group of the layout by its name."""
         assert layout.groups.keys() == clients.keys()
         self._layout = layout
         self._clients = clients
@@ -40,7 +40,10 @@
     async def claim(
         self, key: str, attempt: str, seconds: float
     ) -> Result[ClaimGranted, ClaimDenied]:
-        """Claim in every group that keeps the key; all must grant, else none counts."""
+        """Claim the key in all of its groups, one after another.
+
+        If one of them does not grant the claim, release those granted before.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
         granted: list[str] = []
@@ -59,16 +62,16 @@
         return Success(ClaimGranted(min(horizons)))
 
     def complete(self, key: str, attempt: str, answer: KeptAnswer | None) -> None:
-        """Keep the answer in every group that keeps the key."""
+        """Store the answer in all groups of the key; does not wait."""
         for name in self._layout.groups_of(key):
             self._clients[name].complete(key, attempt, answer)
 
     def release(self, key: str, attempt: str) -> None:
-        """Give the claim back in every group that keeps the key."""
+        """Release the claim in all groups of the key; does not wait."""
         self._release_in(self._layout.groups_of(key), key, attempt)
 
     async def settle(self, seconds: float) -> None:
-        """Wait until all notes are on disk, at most so long."""
+        """Wait, at most ``seconds``, until all completions and releases are stored."""
         await asyncio.gather(*(each.settle(seconds) for each in self._clients.values()))
 
     async def close(self) -> None:
--- a/src/peppershore/process/claims/shell.py
+++ b/src/peppershore/process/claims/shell.py
@@ -1,4 +1,4 @@
-"""Runs a claims replica as a process."""
+"""Entry point of the process of a claims replica."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 async def run_claims(
     settings: ClaimsSettings, on_ready: Callable[[int], None] | None = None
 ) -> None:
-    """Run a claims replica until its planned stop; tell ``on_ready`` the port bound.
+    """Run a claims replica until its planned stop; call ``on_ready`` with the bound port.
 
-    Raises SystemExit if the store is refused.
+    Raise ``SystemExit`` if the store can't be opened.
     """
     place = ReplicaPlace.of("claims", settings)
     process = ReplicaProcess(place, lambda stored: ClaimsCore(settings, stored))
--- a/src/peppershore/process/claims/table.py
+++ b/src/peppershore/process/claims/table.py
@@ -1,9 +1,9 @@
 """The claims group's replicated state: which attempt may run which call.
 
-Takes log entries in order, gives the answer of each.  Deterministic: time comes
-in as ``ClockAdvanced`` entries, which a leader writes from its own monotonic
-clock.  The time between two leaders is not counted, so a record is kept for its
-horizon or longer, never shorter, whatever wall clocks do.
+The table applies log entries in order and returns an answer to each. It is deterministic:
+time advances by ``ClockAdvanced`` entries, which the leader writes by its own monotonic
+clock. The time between two leaders is not counted, so a record is stored for its horizon
+or longer, never shorter, regardless of wall clocks.
 """
 
 from __future__ import annotations
@@ -39,11 +39,12 @@
 
 DEFAULT_MAX_RECORDS = 500_000
 DEFAULT_MAX_ANSWER_BYTES = 64 * 1024 * 1024
-"""All kept answers together; the oldest are dropped first, their records stay."""
+"""Bound on the total size of all stored answers. The oldest answers are dropped first;
+their records stay."""
 
 
 class TableHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What a snapshot holds besides the segments."""
+    """The state in a snapshot that does not belong to a segment."""
 
     clock: int
     next_segment: int
@@ -51,7 +52,7 @@
 
 
 class FirstFormatState(msgspec.Struct, frozen=True, array_like=True):
-    """The whole table as snapshots held it before there were segments."""
+    """The complete table in the first snapshot format, which had no segments."""
 
     clock: int
     records: tuple[tuple[str, ClaimRecord], ...]
@@ -63,7 +64,7 @@
 
 
 class ClaimTable:
-    """The records of one claims group, bounded in age and number."""
+    """Records of one claims group, bounded in age, number and size of answers."""
 
     def __init__(
         self,
@@ -72,9 +73,9 @@
         max_answer_bytes: int = DEFAULT_MAX_ANSWER_BYTES,
         segment_records: int = SEGMENT_RECORDS,
     ) -> None:
-        """Keep each record for ``horizon_milliseconds`` of table time.
+        """Start empty; store each record for ``horizon_milliseconds`` of the table's clock.
 
-        These bounds count until the log or a snapshot holds others.
+        These bounds apply until the log or a snapshot provides others.
         """
         self.bounds = BoundsSet(horizon_milliseconds, max_records, max_answer_bytes)
         self.refused_full = 0
@@ -85,22 +86,22 @@
         self._segments: dict[int, Segment] = {}
         self._index: dict[str, int] = {}
         self._newest: Segment | None = None
-        self._dropping: list[str] = []
-        self._dropping_segment = 0
+        self._oldest_answered: list[str] = []
+        self._oldest_answered_segment = 0
         self._snapshot: TableSnapshot | None = None
 
     @property
     def size(self) -> int:
-        """Records kept."""
+        """Number of records."""
         return len(self._index)
 
     @property
     def answer_bytes(self) -> int:
-        """Bytes of all kept answers."""
+        """Total bytes of all stored answers."""
         return self._answer_bytes
 
     def apply_entry(self, entry: TableEntry) -> TableAnswer:
-        """Apply one entry."""
+        """Apply one log entry; return the table's answer to it."""
         match entry:
             case ClaimEntry():
                 return self._claim(entry)
@@ -118,19 +119,22 @@
     # --- snapshots -----------------------------------------------------------
 
     def begin_snapshot(self) -> Iterator[Piece]:
-        """Give the pieces of the table as it is now, while entries go on."""
+        """Return the pieces of a snapshot of the current state.
+
+        Entries may be applied while the pieces are consumed.
+        """
         state = TableHeader(self._clock, self._next_segment, self.bounds)
         header = msgspec.msgpack.encode(state)
         self._snapshot = TableSnapshot(header, list(self._segments.values()))
         return self._snapshot.pieces()
 
     def snapshot(self) -> bytes:
-        """Give the whole table at once."""
+        """Return the complete table, encoded as one snapshot."""
         pieces = self.begin_snapshot()
         return b"".join(piece.data for piece in pieces)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole table."""
+        """Replace the complete table by that of an encoded snapshot."""
         self._clear()
         if not data.startswith(MAGIC):
             self._restore_first_format(data)
@@ -149,7 +153,7 @@
         self._segments.clear()
         self._index.clear()
         self._newest = None
-        self._dropping.clear()
+        self._oldest_answered.clear()
         self._snapshot = None
 
     def _add_segment(self, segment: Segment) -> None:
@@ -188,8 +192,10 @@
             return
         segment = self._segments[self._index[entry.key]]
         self._change(segment)
-        done = ClaimRecord(record.attempt, record.claimed_at, True, entry.answer)
-        segment.records[entry.key] = encode_record(done)
+        completed_record = ClaimRecord(
+            record.attempt, record.claimed_at, True, entry.answer
+        )
+        segment.records[entry.key] = encode_record(completed_record)
         if entry.answer is not None:
             self._count_answer(segment, answer_size(entry.answer))
             self._drop_answers_beyond_bound()
@@ -209,9 +215,9 @@
         oldest_kept = self._clock - self.bounds.horizon_milliseconds
         for segment in list(self._segments.values()):
             if segment.newest_claimed_at >= oldest_kept:
-                self._expire_part(segment, oldest_kept)
+                self._expire_records(segment, oldest_kept)
                 return
-            self._expire_whole(segment)
+            self._expire_segment(segment)
 
     # --- records -------------------------------------------------------------
 
@@ -244,24 +250,24 @@
         return segment
 
     def _change(self, segment: Segment) -> None:
-        """Let a snapshot under way take the segment before it changes."""
+        """Let a snapshot in progress encode the segment before it changes."""
         if self._snapshot is not None:
-            self._snapshot.about_to_change(segment)
+            self._snapshot.before_change(segment)
         segment.changed()
 
     # --- expiry --------------------------------------------------------------
 
-    def _expire_whole(self, segment: Segment) -> None:
+    def _expire_segment(self, segment: Segment) -> None:
         self._change(segment)
         for key in segment.records:
             del self._index[key]
         self._answer_bytes -= segment.answer_bytes
-        self._dropping.clear()
+        self._oldest_answered.clear()
         del self._segments[segment.number]
         if segment is self._newest:
             self._newest = None
 
-    def _expire_part(self, segment: Segment, oldest_kept: int) -> None:
+    def _expire_records(self, segment: Segment, oldest_kept: int) -> None:
         expired: list[str] = []
         freed = 0
         for key, packed in segment.records.items():
@@ -278,33 +284,39 @@
             del self._index[key]
         self._count_answer(segment, -freed)
 
-    # --- kept answers --------------------------------------------------------
+    # --- stored answers ------------------------------------------------------
 
     def _count_answer(self, segment: Segment, size: int) -> None:
-        """Count an answer in or out; which one is the oldest may have changed."""
+        """Add ``size`` (negative: subtract) to the bytes of answers in a segment.
+
+        The list of the oldest answers is discarded if the change may affect it.
+        """
         segment.answer_bytes += size
         self._answer_bytes += size
-        if segment.number <= self._dropping_segment:
-            self._dropping.clear()
+        if segment.number <= self._oldest_answered_segment:
+            self._oldest_answered.clear()
 
     def _drop_answers_beyond_bound(self) -> None:
         while self._answer_bytes > self.bounds.max_answer_bytes:
-            if not self._dropping:
-                self._dropping = self._oldest_answered_keys()
-            self._drop_answer(self._dropping.pop())
+            if not self._oldest_answered:
+                self._oldest_answered = self._oldest_answered_keys()
+            self._drop_answer(self._oldest_answered.pop())
 
     def _oldest_answered_keys(self) -> list[str]:
-        """Give the keys with answers of the oldest segment that has any, oldest last."""
+        """Return the keys with stored answers in the oldest segment that has any.
+
+        The key with the oldest answer is last.
+        """
         for segment in self._segments.values():
             if segment.answer_bytes > 0:
-                self._dropping_segment = segment.number
+                self._oldest_answered_segment = segment.number
                 keys = [
                     key
                     for key, packed in segment.records.items()
                     if decode_record(packed).answer is not None
                 ]
                 return keys[::-1]
-        raise AssertionError("bytes of answers are counted that no segment holds")
+        raise AssertionError("answer bytes counted, but no segment holds an answer")
 
     def _drop_answer(self, key: str) -> None:
         segment = self._segments[self._index[key]]
--- a/src/peppershore/process/claims/table_snapshot.py
+++ b/src/peppershore/process/claims/table_snapshot.py
@@ -1,8 +1,8 @@
-"""A snapshot of the claims table, made segment by segment while entries go on.
+"""A snapshot of the claims table, encoded one segment at a time while entries are applied.
 
-Every piece is framed by its length, so that the pieces put together can be told
-apart again.  A segment about to change is encoded first, as it was when the
-snapshot began.
+Each piece is prefixed with its length, so that a concatenated snapshot can be split into
+its pieces again. A segment is encoded before its first change after the snapshot began, so
+that the snapshot holds its former state.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class TableSnapshot:
-    """One snapshot under way."""
+    """One snapshot in progress."""
 
     def __init__(self, header: bytes, segments: list[Segment]) -> None:
-        """Take note of what is stored and what still has to be encoded."""
+        """Record which segments are already stored and which have to be encoded."""
         self._header = header
         self._segments = segments
         self._stored = {
@@ -32,14 +32,14 @@
         self._waiting = {each.number for each in segments} - self._stored.keys()
         self._encoded: dict[int, bytes] = {}
 
-    def about_to_change(self, segment: Segment) -> None:
-        """Encode a segment whose turn has not come, before it changes."""
+    def before_change(self, segment: Segment) -> None:
+        """Encode a segment before it changes, if the snapshot still needs it."""
         if segment.number in self._waiting:
             self._waiting.discard(segment.number)
             self._encoded[segment.number] = framed(segment.encode())
 
     def pieces(self) -> Iterator[Piece]:
-        """Give the pieces in order; each is worked out when asked for."""
+        """Yield the pieces in order; each is encoded only when it is reached."""
         yield NewPiece(MAGIC + framed(self._header), lambda part: None)
         for segment in self._segments:
             stored = self._stored.get(segment.number)
@@ -67,12 +67,12 @@
 
 
 def framed(data: bytes) -> bytes:
-    """Put the length before the data."""
+    """Return the data prefixed with its length."""
     return len(data).to_bytes(LENGTH_BYTES, BYTE_ORDER) + data
 
 
 def unframed(state: bytes) -> Iterator[memoryview]:
-    """Give the framed pieces of a state that begins with ``MAGIC``."""
+    """Yield the pieces of an encoded state that starts with ``MAGIC``."""
     view = memoryview(state)
     offset = len(MAGIC)
     while offset < len(view):
--- a/src/peppershore/process/claims/wants.py
+++ b/src/peppershore/process/claims/wants.py
@@ -1,4 +1,4 @@
-"""What the data plane asks of a claims client, and what it hears back."""
+"""Events that the data plane sends to a claims client, and the outcomes it returns."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class ClaimWanted(events.Event, frozen=True):
-    """The data plane wants the claim on ``key`` before ``deadline`` (core time)."""
+    """The data plane requests the claim on ``key`` before ``deadline``.
+
+    The deadline is in seconds of the clock whose time the core gets with each event.
+    """
 
     request: int
     key: str
@@ -18,7 +21,7 @@
 
 
 class CompletionWanted(events.Event, frozen=True):
-    """The attempt finished; keep its answer if it is given."""
+    """The attempt finished; its answer, if any, is to be stored."""
 
     request: int
     key: str
@@ -27,7 +30,7 @@
 
 
 class ReleaseWanted(events.Event, frozen=True):
-    """The attempt provably did not run."""
+    """The attempt provably did not run, so its claim is to be released."""
 
     request: int
     key: str
@@ -35,19 +38,19 @@
 
 
 class WantGranted(msgspec.Struct, frozen=True):
-    """The attempt may run the call, once; the group keeps records for its horizon."""
+    """The attempt may run the call once; the group stores the record for its horizon."""
 
     horizon_seconds: int = DEFAULT_HORIZON_SECONDS
 
 
 class WantTaken(msgspec.Struct, frozen=True):
-    """Another attempt holds the claim; its answer where kept."""
+    """Another attempt holds the claim; ``answer`` is its answer if one is stored."""
 
     answer: KeptAnswer | None
 
 
 class WantUnavailable(msgspec.Struct, frozen=True):
-    """No claim could be recorded in time; the call must not be sent."""
+    """No claim was recorded in time, for ``reason``; the call must not be sent."""
 
     reason: str
 
@@ -56,14 +59,14 @@
 
 
 class FinishWant(commands.Command, frozen=True):
-    """Hand the outcome of a ``ClaimWanted`` to the data plane."""
+    """Return the outcome of a ``ClaimWanted`` to the data plane."""
 
     request: int
     outcome: WantOutcome
 
 
 class ClaimsLinkLost(commands.Notice, frozen=True):
-    """The link to a claims replica was given up; another is tried."""
+    """The link to a claims replica was lost or closed; another replica is tried."""
 
     address: str
     reason: str
@@ -71,7 +74,7 @@
 
 
 class ClaimsGroupUnavailable(commands.Notice, frozen=True):
-    """The claims group answers nothing: calls that need a claim are refused at once."""
+    """The claims group does not answer; calls that need a claim are refused at once."""
 
     level = "error"
     reason: str
@@ -79,6 +82,6 @@
 
 
 class ClaimsGroupAvailable(commands.Notice, frozen=True):
-    """The claims group answers again after so many seconds: claims are asked for."""
+    """The claims group answers again, so claims are requested again."""
 
     unavailable_seconds: float
--- a/src/peppershore/process/quotas/__init__.py
+++ b/src/peppershore/process/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of tenants, counted over all nodes."""
+"""Rate limits of tenants, counted over all nodes."""
--- a/src/peppershore/process/quotas/decider.py
+++ b/src/peppershore/process/quotas/decider.py
@@ -1,6 +1,7 @@
-"""Grants calls of tenants that have a limit: the leader's part, without I/O.
+"""The leader's decisions on quota requests, without I/O.
 
-Whoever owns a ``Decider`` asks it only while no other may: see ``control.quota_desk``.
+The owner of a ``Decider`` must use it only while no other replica may grant calls; see
+``control.quota_desk``.
 """
 
 from __future__ import annotations
@@ -14,52 +15,56 @@
 from peppershore.connection.messages.quotas import QuotaGranted, TenantAsk, TenantGrant
 from peppershore.process.quotas.bucket import Bucket
 from peppershore.process.quotas.limits import Limit
-from peppershore.process.quotas.terms import lease_seconds, terms_of
+from peppershore.process.quotas.terms import bucket_terms, lease_seconds
 from peppershore.process.quotas.usage import LimitChange, Usage
 from peppershore.process.settings import QuotaSettings
 
 MILLISECONDS = 1_000
 
 AHEAD_SECONDS = 1.0
-"""What a relay was told it may give ahead counts for so long after the ask."""
+"""Time after a relay's request for which it may grant calls in advance, within the
+number of calls that the answer allowed."""
 
-FORGOTTEN_SECONDS = 5.0
-"""A relay that asked nothing for a window and so long has no part in what is given ahead:
-what it was told of has ended, and what it gave lies before every window to come."""
+RELAY_EXPIRY_SECONDS = 5.0
+"""A relay that sent no request for a window and this time loses its share of the advance
+grants: its allowance has expired, and the calls that it granted in advance lie before
+every later window."""
 
-NO_TENANT_MILLISECONDS = 250
-"""A node that asks for a tenant that is none any more hears of that within it."""
+UNKNOWN_TENANT_WAIT_MILLISECONDS = 250
+"""Wait that is reported for a tenant that does not exist. A node that still requests
+calls for a removed tenant learns of the removal within this time."""
 
 EPOCHS_IN_TERM = 1 << 32
 
 NO_LIMIT = Limit(rate=0.0, burst=0.0)
 
 
-class _Asker(msgspec.Struct):
+class _Relay(msgspec.Struct):
     first_at: float
     last_at: float
 
 
 class Decider:
-    """The buckets of one leadership; times are the leader's boot clock, in seconds."""
+    """Buckets of one leader in one term; times are seconds of the leader's boot clock."""
 
     def __init__(self, quotas: QuotaSettings, term: int, now: float) -> None:
-        """Begin with empty buckets."""
+        """Start with empty buckets."""
         self._quotas = quotas
         self._lease_milliseconds = math.floor(lease_seconds(quotas) * MILLISECONDS)
         self._buckets: dict[str, Bucket] = {}
         self._limits: Mapping[str, Limit] = {}
-        self._askers: dict[str, _Asker] = {}
+        self._relays: dict[str, _Relay] = {}
         self._epoch = term * EPOCHS_IN_TERM
-        self._looked_at = now
+        self._expiry_checked_at = now
         self._began_at = now
         self._usage = Usage(quotas.window_seconds)
 
     def use_limits(self, limits: Mapping[str, Limit], now: float) -> None:
-        """Go by these limits from now on.
+        """Replace the limits of all tenants.
 
-        A tenant without a limit has no bucket.  One that gets a limit begins empty, also
-        when it had one before: it can't be renewed by taking it away.
+        A tenant without a limit has no bucket. A tenant that gets a limit starts with an
+        empty bucket, also if it had a limit earlier, so that removing a limit and adding
+        it again does not refill the bucket.
         """
         if limits == self._limits:
             return
@@ -70,7 +75,7 @@
             del self._buckets[name]
         self._usage.keep_only(frozenset(bound))
         for name, limit in bound.items():
-            terms = terms_of(limit.rate, limit.burst, self._quotas)
+            terms = bucket_terms(limit.rate, limit.burst, self._quotas)
             bucket = self._buckets.get(name)
             if bucket is None:
                 self._buckets[name] = Bucket(terms, now)
@@ -80,8 +85,11 @@
     def answer(
         self, asker: str, number: int, asks: tuple[TenantAsk, ...], now: float
     ) -> QuotaGranted:
-        """Grant what the buckets hold; ``asker`` names one life of a relay."""
-        share = self._share_of(asker, now)
+        """Grant requested calls as far as the buckets hold them.
+
+        ``asker`` identifies one incarnation of a relay; ``number`` is the request's.
+        """
+        share = self._advance_share(asker, now)
         return QuotaGranted(
             number,
             tuple(self._grant(each, share, now) for each in asks),
@@ -90,11 +98,11 @@
         )
 
     def limit_changes(self, now: float) -> list[LimitChange]:
-        """Give the limits that began and ended to refuse calls since the last time."""
+        """Return the limits that started or stopped refusing calls since the last call."""
         return self._usage.changes(now)
 
     def usage(self, now: float) -> tuple[TenantUsage, ...]:
-        """Give how each tenant with a limit used it since this leadership began."""
+        """Return the use of each limited tenant since this leader's term began."""
         return tuple(
             self._usage_of(name, limit, now)
             for name, limit in sorted(self._limits.items())
@@ -102,11 +110,11 @@
         )
 
     def age_seconds(self, now: float) -> float:
-        """Give how long this leadership has counted."""
+        """Return the seconds for which this leader has counted calls."""
         return now - self._began_at
 
     def limit_of(self, tenant: str) -> Limit:
-        """Give a tenant's limit; a rate of 0 where it has none any more."""
+        """Return a tenant's limit, with a rate of 0 if it has none."""
         return self._limits.get(tenant, NO_LIMIT)
 
     def _usage_of(self, name: str, limit: Limit, now: float) -> TenantUsage:
@@ -127,7 +135,7 @@
     def _grant(self, ask: TenantAsk, share: float, now: float) -> TenantGrant:
         limit = self._limits.get(ask.tenant)
         if limit is None:
-            return TenantGrant(ask.tenant, 0, NO_TENANT_MILLISECONDS)
+            return TenantGrant(ask.tenant, 0, UNKNOWN_TENANT_WAIT_MILLISECONDS)
         bucket = self._buckets.get(ask.tenant)
         if bucket is None:
             return TenantGrant(ask.tenant, max(0, ask.calls))
@@ -140,35 +148,37 @@
         ahead = 0 if is_new else math.floor(bucket.terms.ahead * share)
         return TenantGrant(ask.tenant, granted, wait, ahead)
 
-    def _share_of(self, asker: str, now: float) -> float:
-        """Give this relay's part in what is given ahead.
+    def _advance_share(self, asker: str, now: float) -> float:
+        """Return this relay's share (0.0 to 1.0) of the calls granted in advance.
 
-        One that is new waits until the others, told with any answer that there is one
-        more, have given by their smaller parts for a whole window.
+        A new relay gets no share for a whole window. By then the other relays, which
+        learn of it by the new epoch in any answer, have used their smaller shares for as
+        long.
         """
-        self._forget(now)
-        known = self._askers.get(asker)
+        self._expire_relays(now)
+        known = self._relays.get(asker)
         if known is None:
-            known = _Asker(now, now)
-            self._askers[asker] = known
+            known = _Relay(now, now)
+            self._relays[asker] = known
             self._epoch += 1
         known.last_at = now
-        return 0.0 if self._is_new(known.first_at, now) else 1.0 / len(self._askers)
+        return 0.0 if self._is_new(known.first_at, now) else 1.0 / len(self._relays)
 
     def _is_new(self, since: float, now: float) -> bool:
-        """Whether what was given ahead before may stand in a window with what is now.
+        """Report whether one window may still hold advance grants from before ``since``.
 
-        So under another name, or taken away and added, a tenant is given nothing ahead.
+        A tenant that was renamed, or removed and added again, therefore gets no advance
+        grants at first.
         """
         return now - since < self._quotas.window_seconds + 2.0 * AHEAD_SECONDS
 
-    def _forget(self, now: float) -> None:
-        if now - self._looked_at < AHEAD_SECONDS:
+    def _expire_relays(self, now: float) -> None:
+        if now - self._expiry_checked_at < AHEAD_SECONDS:
             return
-        self._looked_at = now
-        silence = self._quotas.window_seconds + FORGOTTEN_SECONDS
-        last = {name: each.last_at for name, each in self._askers.items()}
+        self._expiry_checked_at = now
+        silence = self._quotas.window_seconds + RELAY_EXPIRY_SECONDS
+        last = {name: each.last_at for name, each in self._relays.items()}
         old = [name for name, last_at in last.items() if now - last_at > silence]
         for name in old:
-            del self._askers[name]
+            del self._relays[name]
         self._epoch += bool(old)
--- a/src/peppershore/process/quotas/demand.py
+++ b/src/peppershore/process/quotas/demand.py
@@ -1,35 +1,36 @@
-"""How many calls of a tenant are asked for a second, smoothed."""
+"""Smoothed rate of calls of one tenant."""
 
 from __future__ import annotations
 
 import math
 
 DECAY_SECONDS = 0.5
-"""Long against the gaps between calls of a tenant that is worth asking ahead for, short
-against a tenant's turn from its usual to many times that."""
+"""Time constant of the exponential decay. It is long against the gaps between calls of a
+tenant whose demand is worth forecasting, and short against the time in which a tenant's
+load rises to many times its usual."""
 
 
 class Demand:
-    """A rate that fades with time."""
+    """Call rate with exponential decay."""
 
-    __slots__ = ("_counted", "_seen_at")
+    __slots__ = ("_counted", "_updated_at")
 
     def __init__(self) -> None:
-        """Begin without calls."""
+        """Start without calls."""
         self._counted = 0.0
-        self._seen_at = 0.0
+        self._updated_at = 0.0
 
     def add(self, calls: int, now: float) -> None:
-        """So many calls came."""
-        self._fade(now)
+        """Count ``calls`` that arrived at ``now``."""
+        self._decay(now)
         self._counted += calls
 
     def expected(self, seconds: float, now: float) -> int:
-        """Give the whole calls to expect in the next ``seconds``."""
-        self._fade(now)
+        """Return the number of calls expected in the next ``seconds``, rounded down."""
+        self._decay(now)
         return int(self._counted / DECAY_SECONDS * seconds)
 
-    def _fade(self, now: float) -> None:
-        if now > self._seen_at:
-            self._counted *= math.exp((self._seen_at - now) / DECAY_SECONDS)
-            self._seen_at = now
+    def _decay(self, now: float) -> None:
+        if now > self._updated_at:
+            self._counted *= math.exp((self._updated_at - now) / DECAY_SECONDS)
+            self._updated_at = now
--- a/src/peppershore/process/quotas/limits.py
+++ b/src/peppershore/process/quotas/limits.py
@@ -1,4 +1,4 @@
-"""The limits that a tree sets for its tenants."""
+"""The rate limits that a configuration tree sets for its tenants."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """``rate`` calls a second and ``burst`` on top; a rate of 0 is no limit."""
+    """Limit of ``rate`` calls per second and ``burst`` extra calls; rate 0: unlimited."""
 
     rate: float
     burst: float
 
 
 def tenant_limits(tree: Tree) -> dict[str, Limit]:
-    """Give the limit of each tenant by its name, what is inherited included."""
+    """Return the limit of each tenant by name, inherited limits included."""
     return {name: _limit_of(tree, name) for name in tree.tenants}
 
 
--- a/src/peppershore/process/quotas/refusal_lines.py
+++ b/src/peppershore/process/quotas/refusal_lines.py
@@ -1,28 +1,34 @@
-"""Which refusals by a tenant's limit get a log line: few, and the rest is counted."""
+"""Rate limit for the log lines about calls refused by a tenant's limit."""
 
 from __future__ import annotations
 
 import math
 
 LINE_SECONDS = 5.0
-"""A tenant has one line in it at a node: it says what decided, metrics say how often."""
+"""Period in which a node writes at most one log line for a tenant. The line shows the
+reason of a refusal; the metrics show how many there were."""
 
 MOST_LINES = 20
-"""Lines of one node in it over all tenants: a flood of many tenants writes no more."""
+"""Maximum number of log lines that one node writes per period for all tenants together,
+which bounds the log when many tenants are refused at once."""
 
 
 class RefusalLines:
-    """Bounds the lines of one node; times in seconds of its boot clock."""
+    """Bounds the log lines of one node; times are seconds of its boot clock."""
 
     def __init__(self) -> None:
-        """Begin without lines."""
+        """Start without log lines."""
         self._last: dict[str, float] = {}
         self._left_out: dict[str, int] = {}
         self._period_at = -math.inf
         self._written = 0
 
     def refused(self, tenant: str, now: float) -> int | None:
-        """Give how many refusals had no line since the last one; None: this has none."""
+        """Decide whether this refusal is logged.
+
+        Return the number of the tenant's refusals omitted since its last log line, or
+        None if this one is omitted too.
+        """
         if now - self._period_at >= LINE_SECONDS:
             self._period_at = now
             self._written = 0
@@ -35,7 +41,7 @@
         return self._left_out.pop(tenant, 0)
 
     def keep_only(self, tenants: frozenset[str]) -> None:
-        """Forget tenants that have no limit any more."""
+        """Drop the counts of all other tenants: they have no limit any more."""
         for tenant in (self._last.keys() | self._left_out.keys()) - tenants:
             self._last.pop(tenant, None)
             self._left_out.pop(tenant, None)
--- a/src/peppershore/process/quotas/relay_pool.py
+++ b/src/peppershore/process/quotas/relay_pool.py
@@ -1,9 +1,9 @@
-"""How a relay answers its nodes' asks for calls, and asks the group for them.
+"""How a relay answers its nodes' requests for calls, and requests them from the leader.
 
-Whole calls are granted by the leader and kept in lots that end by themselves.  For a
-tenant it was told so of, a relay gives a few calls before it asks for them, and settles
-them a moment later: most nodes are answered at once, and the leader is asked for many
-calls with one message.
+The leader grants whole calls, which the relay holds until their lease expires. For a
+tenant for which the leader allows it, a relay grants a few calls in advance and requests
+them from the leader a moment later. So most nodes are answered at once, and one message to
+the leader requests many calls.
 """
 
 from __future__ import annotations
@@ -19,53 +19,56 @@
 from peppershore.process.commands import Command, SendMessage, SetTimer
 from peppershore.process.events import LinkId
 from peppershore.process.quotas.decider import AHEAD_SECONDS
-from peppershore.process.quotas.lots import OpenAsks
-from peppershore.process.quotas.relay_line import NodeAsk, RelayLine
+from peppershore.process.quotas.leased_calls import OpenRequests
+from peppershore.process.quotas.relay_tenant import NodeRequest, RelayTenant
 from peppershore.process.quotas.terms import lease_seconds
 from peppershore.process.settings import QuotaSettings
 
 QUOTA_TIMER = "relay.quotas"
 MILLISECONDS = 1_000
 
-GAP_SECONDS = 0.01
-"""Between two asks: what waits meanwhile goes along with the next."""
+MIN_REQUEST_INTERVAL_SECONDS = 0.01
+"""Minimum time between two requests. What arrives in between goes with the next one."""
 
-SETTLE_SECONDS = 0.1
-"""Calls given ahead wait so long at the most until they are asked for."""
+MAX_DEBT_AGE_SECONDS = 0.1
+"""Maximum time until a call granted in advance is requested from the leader."""
 
-OVERDUE_SECONDS = 0.2
-"""An ask without an answer is made again: longer than an answer usually takes from a
-leader that waits for its turn on a processor that is slow or shared."""
+REQUEST_TIMEOUT_SECONDS = 0.2
+"""A request without an answer is sent again after this time. It is longer than an answer
+usually takes from a leader that waits for a slow or shared processor."""
 
-NOBODY_SECONDS = 0.05
-"""After the word that nobody can grant, the next ask waits so long."""
+NO_LEADER_WAIT_SECONDS = 0.05
+"""Wait before the next request while no replica is linked, or after an answer that no
+replica can grant calls."""
 
-LEAST_DENIED_SECONDS = 0.05
-"""A tenant at its limit is asked for no more often: the bucket keeps what fills it."""
+MIN_DENIAL_SECONDS = 0.05
+"""Minimum time between requests for a tenant at its limit. Meanwhile its bucket at the
+leader fills."""
 
-LEAST_TIMER_SECONDS = 0.001
-"""A shorter one could fire, by rounding, before what it is set for is due."""
+MIN_TIMER_SECONDS = 0.001
+"""Minimum delay of a timer. A shorter one could fire, by rounding, before its work is
+due."""
 
 NODE_WAIT_SECONDS = 0.15
-"""A node asks anew by then; an ask that waited longer is forgotten here."""
+"""A node's request that waited longer is dropped, as the node sends a new one by then."""
 
 
 class RelayPool:
-    """Grants and asks of one relay; every method gives the commands it leads to."""
+    """Grants and requests of one relay; event methods return the commands to run."""
 
     def __init__(self, quotas: QuotaSettings | None) -> None:
-        """Without ``quotas`` no node asks, and if one does it gets nothing."""
+        """Start without grants. If ``quotas`` is None, every request is refused."""
         lease = 0.0 if quotas is None else lease_seconds(quotas)
         self.life = 0
-        """Tells this life of the relay from others; set at its start."""
+        """Identifies this incarnation of the relay; set at its start."""
         self._is_on = quotas is not None
         self._source: LinkId | None = None
-        self._asks = OpenAsks(OVERDUE_SECONDS, lease)
-        self._lines: dict[str, RelayLine] = {}
+        self._requests = OpenRequests(REQUEST_TIMEOUT_SECONDS, lease)
+        self._tenants: dict[str, RelayTenant] = {}
         self._due: set[str] = set()
         self._epoch = 0
         self._ahead_until = 0.0
-        self._nobody_until = 0.0
+        self._no_leader_until = 0.0
         self._asked_at = 0.0
         self._timer_at = math.inf
         self._answers: dict[tuple[LinkId, int], _Answer] = {}
@@ -73,161 +76,161 @@
     def node_asked(
         self, link: LinkId, message: QuotaAsked, source: LinkId | None, now: float
     ) -> list[Command]:
-        """A node asks; ``source`` is the open link to a replica, if there is one."""
+        """Handle a node's request; ``source`` is the open link to a replica, if any."""
         if not self._is_on:
             return [SendMessage(link, QuotaGranted(message.number, (), 0, False))]
         for each in message.asks:
             if each.calls <= 0:
                 continue
-            line = self._lines.setdefault(each.tenant, RelayLine())
-            line.demand.add(each.calls, now)
-            line.refused += max(0, each.refused)
-            line.waiting.append(NodeAsk(link, message.number, each.calls, now))
-            self._serve(each.tenant, line, now)
-        return self._done(source, now)
+            state = self._tenants.setdefault(each.tenant, RelayTenant())
+            state.demand.add(each.calls, now)
+            state.refused += max(0, each.refused)
+            state.waiting.append(NodeRequest(link, message.number, each.calls, now))
+            self._answer_waiting(each.tenant, state, now)
+        return self._commands(source, now)
 
     def granted(
         self, message: QuotaGranted, source: LinkId | None, now: float
     ) -> list[Command]:
-        """The group answers."""
+        """Handle an answer of the control group."""
         if not message.is_known:
-            for tenant in self._asks.refused(message.number):
+            for tenant in self._requests.refused(message.number):
                 self._due.add(tenant)
-            self._nobody_until = now + NOBODY_SECONDS
-            return self._done(source, now)
-        self._asks.lease = message.lease_milliseconds / MILLISECONDS
+            self._no_leader_until = now + NO_LEADER_WAIT_SECONDS
+            return self._commands(source, now)
+        self._requests.lease = message.lease_milliseconds / MILLISECONDS
         if message.epoch != self._epoch:
             self._epoch = message.epoch
             self._ahead_until = 0.0
-            for line in self._lines.values():
-                line.ahead = 0
+            for state in self._tenants.values():
+                state.ahead = 0
         for grant in message.grants:
-            self._take(message.number, grant, now)
-        return self._done(source, now)
+            self._handle_grant(message.number, grant, now)
+        return self._commands(source, now)
 
     def timer(self, source: LinkId | None, now: float) -> list[Command]:
-        """Ask for what is due by now."""
+        """Handle the quota timer: request the calls that are due."""
         self._timer_at = math.inf
-        return self._done(source, now)
+        return self._commands(source, now)
 
     def link_closed(self, link: LinkId) -> None:
-        """A node left: what it waited for is nobody's."""
-        for line in self._lines.values():
-            if any(each.link == link for each in line.waiting):
-                kept = [each for each in line.waiting if each.link != link]
-                line.waiting.clear()
-                line.waiting.extend(kept)
-
-    # --- inside
-
-    def _take(self, number: int, grant: TenantGrant, now: float) -> None:
-        found = self._asks.answered(number, grant.tenant)
-        line = self._lines.get(grant.tenant)
-        if found is None or line is None:
+        """Drop the waiting requests of a node whose link was closed."""
+        for state in self._tenants.values():
+            if any(each.link == link for each in state.waiting):
+                kept = [each for each in state.waiting if each.link != link]
+                state.waiting.clear()
+                state.waiting.extend(kept)
+
+    # --- internal
+
+    def _handle_grant(self, number: int, grant: TenantGrant, now: float) -> None:
+        found = self._requests.answered(number, grant.tenant)
+        state = self._tenants.get(grant.tenant)
+        if found is None or state is None:
             return
         sent_at, asked = found
-        line.ahead = grant.ahead
+        state.ahead = grant.ahead
         self._ahead_until = max(self._ahead_until, sent_at + AHEAD_SECONDS)
-        left = line.pay(grant.calls, sent_at)
-        ends_at = sent_at + self._asks.lease
-        if ends_at > now:
-            line.lots.add(left, ends_at)
+        left = state.cover_debts(grant.calls, sent_at)
+        expires_at = sent_at + self._requests.lease
+        if expires_at > now:
+            state.leased.add(left, expires_at)
         if grant.calls < asked and grant.wait_milliseconds:
             wait = grant.wait_milliseconds / MILLISECONDS
-            line.denied_until = now + max(wait, LEAST_DENIED_SECONDS)
-        self._serve(grant.tenant, line, now)
-
-    def _serve(self, tenant: str, line: RelayLine, now: float) -> None:
-        """Answer the nodes that wait, as far as there are calls or a denial."""
-        line.lots.drop_ended(now)
-        while line.waiting:
-            first = line.waiting[0]
+            state.denied_until = now + max(wait, MIN_DENIAL_SECONDS)
+        self._answer_waiting(grant.tenant, state, now)
+
+    def _answer_waiting(self, tenant: str, state: RelayTenant, now: float) -> None:
+        """Answer waiting requests in order, while there are calls or a denial lasts."""
+        state.leased.drop_expired(now)
+        while state.waiting:
+            first = state.waiting[0]
             if now - first.came_at > NODE_WAIT_SECONDS:
-                line.waiting.popleft()
+                state.waiting.popleft()
                 continue
-            given, ends_at = line.give(first.calls, now < self._ahead_until, now)
-            denied = line.denied_until - now
+            given, expires_at = state.grant(first.calls, now < self._ahead_until, now)
+            denied = state.denied_until - now
             if not given and denied <= 0.0:
                 break
-            line.waiting.popleft()
+            state.waiting.popleft()
             is_denied = given < first.calls and denied > 0.0
             wait = max(1, math.ceil(denied * MILLISECONDS)) if is_denied else 0
-            lease = min(self._asks.lease, ends_at - first.came_at)
+            lease = min(self._requests.lease, expires_at - first.came_at)
             self._answer(first, TenantGrant(tenant, given, wait), lease)
         self._due.add(tenant)
 
-    def _answer(self, ask: NodeAsk, grant: TenantGrant, lease: float) -> None:
-        answer = self._answers.setdefault((ask.link, ask.number), _Answer())
+    def _answer(self, request: NodeRequest, grant: TenantGrant, lease: float) -> None:
+        answer = self._answers.setdefault((request.link, request.number), _Answer())
         answer.grants.append(grant)
         if grant.calls:
             answer.lease = min(answer.lease, lease)
 
-    def _done(self, source: LinkId | None, now: float) -> list[Command]:
-        """Give what this event leads to: answers, an ask, and a timer for the next."""
+    def _commands(self, source: LinkId | None, now: float) -> list[Command]:
+        """Return the commands for this event: answers, a request if due, and a timer."""
         out: list[Command] = []
         for (link, number), answer in self._answers.items():
-            out.append(SendMessage(link, answer.message(number, self._asks.lease)))
+            out.append(SendMessage(link, answer.message(number, self._requests.lease)))
         self._answers.clear()
-        self._due.update(self._asks.overdue(now))
-        due_at, wanted = self._wanted(now)
+        self._due.update(self._requests.overdue(now))
+        due_at, wanted = self._due_requests(now)
         if source is None:
-            due_at = max(due_at, now + NOBODY_SECONDS)
+            due_at = max(due_at, now + NO_LEADER_WAIT_SECONDS)
         elif wanted and due_at <= now:
-            out.append(SendMessage(source, self._ask(wanted, now)))
-            due_at, wanted = self._wanted(now)
+            out.append(SendMessage(source, self._make_request(wanted, now)))
+            due_at, wanted = self._due_requests(now)
         return out + self._set_timer(due_at, now)
 
-    def _wanted(self, now: float) -> tuple[float, dict[str, int]]:
-        """Give when the next ask is due, and what it is for if it is due now."""
+    def _due_requests(self, now: float) -> tuple[float, dict[str, int]]:
+        """Return when the next request is due, and the calls by tenant to request now."""
         wanted: dict[str, int] = {}
         due_at = math.inf
-        self._due &= self._lines.keys()
+        self._due &= self._tenants.keys()
         for tenant in list(self._due):
-            line = self._lines[tenant]
-            calls = line.wanted(now) - self._asks.under_way(tenant)
-            if calls <= 0 or not (line.waiting or line.debts):
+            state = self._tenants[tenant]
+            calls = state.wanted(now) - self._requests.outstanding(tenant)
+            if calls <= 0 or not (state.waiting or state.debts):
                 self._due.discard(tenant)
-                if line.is_idle and not line.ahead:
-                    self._forget(tenant, line, now)
+                if state.is_idle and not state.ahead:
+                    self._drop_if_idle(tenant, state, now)
                 continue
-            due_at = min(due_at, self._due_at(line))
-            if line.denied_until <= now:
+            due_at = min(due_at, self._due_at(state))
+            if state.denied_until <= now:
                 wanted[tenant] = calls
-        earliest = max(self._asked_at + GAP_SECONDS, self._nobody_until)
+        earliest = max(self._asked_at + MIN_REQUEST_INTERVAL_SECONDS, self._no_leader_until)
         return max(due_at, earliest), wanted
 
-    def _due_at(self, line: RelayLine) -> float:
-        """Who waits is asked for at once, and what is owed after a while."""
-        if line.waiting or len(line.debts) > max(1, line.ahead // 2):
-            return line.denied_until
-        return max(line.denied_until, line.debts[0] + SETTLE_SECONDS)
+    def _due_at(self, state: RelayTenant) -> float:
+        """Return when to request calls: at once if nodes wait, else later for debts."""
+        if state.waiting or len(state.debts) > max(1, state.ahead // 2):
+            return state.denied_until
+        return max(state.denied_until, state.debts[0] + MAX_DEBT_AGE_SECONDS)
 
-    def _ask(self, wanted: dict[str, int], now: float) -> QuotaAsked:
+    def _make_request(self, wanted: dict[str, int], now: float) -> QuotaAsked:
         self._asked_at = now
-        number = self._asks.open(wanted, now)
+        number = self._requests.open(wanted, now)
         asks = tuple(
-            TenantAsk(tenant, calls, self._lines[tenant].tell_refused())
+            TenantAsk(tenant, calls, self._tenants[tenant].take_refused())
             for tenant, calls in wanted.items()
         )
         return QuotaAsked(number, asks, self.life)
 
     def _set_timer(self, due_at: float, now: float) -> list[Command]:
-        overdue_at = self._asks.next_overdue()
+        overdue_at = self._requests.next_overdue_at()
         if overdue_at is not None:
             due_at = min(due_at, overdue_at)
         if due_at == math.inf or self._timer_at <= due_at:
             return []
-        self._timer_at = max(due_at, now + LEAST_TIMER_SECONDS)
+        self._timer_at = max(due_at, now + MIN_TIMER_SECONDS)
         return [SetTimer(QUOTA_TIMER, self._timer_at - now)]
 
-    def _forget(self, tenant: str, line: RelayLine, now: float) -> None:
-        """Keep no line of a tenant that nobody asks for any more."""
-        if not line.demand.expected(AHEAD_SECONDS, now) and line.denied_until <= now:
-            del self._lines[tenant]
+    def _drop_if_idle(self, tenant: str, state: RelayTenant, now: float) -> None:
+        """Drop the state of a tenant without recent requests and without a denial."""
+        if not state.demand.expected(AHEAD_SECONDS, now) and state.denied_until <= now:
+            del self._tenants[tenant]
 
 
 class _Answer:
-    """The answer to one ask of a node, while it is put together."""
+    """The answer to one request of a node, while it is put together."""
 
     __slots__ = ("grants", "lease")
 
@@ -235,7 +238,7 @@
         self.grants: list[TenantGrant] = []
         self.lease = math.inf
 
-    def message(self, number: int, longest: float) -> QuotaGranted:
-        lease = max(0.0, min(self.lease, longest))
+    def message(self, number: int, max_lease: float) -> QuotaGranted:
+        lease = max(0.0, min(self.lease, max_lease))
         milliseconds = math.floor(lease * MILLISECONDS)
         return QuotaGranted(number, tuple(self.grants), milliseconds)
--- a/src/peppershore/process/quotas/terms.py
+++ b/src/peppershore/process/quotas/terms.py
@@ -1,8 +1,9 @@
-"""What a tenant's limit comes to: how fast its bucket fills, and what is granted ahead.
+"""Fill rate, capacity and advance grants of a tenant's bucket, derived from its limit.
 
-In a window ``w`` at most ``capacity + rate x (w + lease)`` calls run by grants, as a grant
-counts for one lease at the most, and besides them those that relays gave ahead of asking.
-Both together stay within ``(rate x w + burst) x (1 + overshoot) + slack``.
+In a window of ``w`` seconds at most ``capacity + rate x (w + lease)`` calls run by grants
+of the leader, as a grant is valid for one lease at most. Calls that relays granted in
+advance come on top. Both together stay within
+``(rate x w + burst) x (1 + overshoot) + slack``.
 """
 
 from __future__ import annotations
@@ -14,32 +15,33 @@
 from peppershore.process.settings import QuotaSettings
 
 LEASE_SHARE = 0.8
-"""Part of the overshoot of a window that grants may use up by counting a lease longer."""
+"""Share of a window's overshoot that may be used up because a grant stays valid for one
+lease."""
 
-LEAST_LEASE_SECONDS = 0.1
-"""An ask must come back within it, also from a process that had to wait for its turn."""
+MIN_LEASE_SECONDS = 0.1
+"""An answer must arrive within it, also if a process had to wait for the processor."""
 
-MOST_LEASE_SECONDS = 1.0
+MAX_LEASE_SECONDS = 1.0
 
 CLOCK_MARGIN = 1.02
-"""A lease by a clock slower than the leader's lasts so much longer at the most."""
+"""Factor by which a lease may last longer by a clock slower than the leader's."""
 
-LEAST_CAPACITY = 2.0
-"""Calls are granted whole: a bucket without a burst still holds so many."""
+MIN_CAPACITY = 2.0
+"""Calls that a bucket without a burst still holds, as only whole calls are granted."""
 
 CAPACITY_SHARE = 0.35
-"""Part of what is left of a window's bound by which a bucket holds more than the burst.
-Calls that come at random clump: a tenant of two calls a second that sends three at once
-is not over its limit for that."""
+"""Share of the unused rest of a window's bound that a bucket holds beyond the burst.
+Calls that arrive at random come in clumps: a tenant limited to two calls a second is not
+over its limit because it sends three at once."""
 
 AHEAD_SHARE = 0.6
-"""Part of what is left that relays may give ahead."""
+"""Share of the unused rest of a window's bound that relays may grant in advance."""
 
 
 class BucketTerms(msgspec.Struct, frozen=True):
     """A bucket fills at ``rate`` calls a second up to ``capacity``.
 
-    ``ahead`` calls may be given before they are asked for, by all relays together.
+    All relays together may grant ``ahead`` calls in advance, before requesting them.
     """
 
     rate: float
@@ -48,25 +50,29 @@
 
 
 def lease_seconds(quotas: QuotaSettings) -> float:
-    """Give for how long a grant counts after its ask was sent."""
+    """Return the seconds for which a grant is valid after its request was sent."""
     lease = LEASE_SHARE * quotas.overshoot * quotas.window_seconds
-    return min(MOST_LEASE_SECONDS, max(LEAST_LEASE_SECONDS, lease))
+    return min(MAX_LEASE_SECONDS, max(MIN_LEASE_SECONDS, lease))
 
 
 def most_calls(rate: float, burst: float, quotas: QuotaSettings) -> float:
-    """Give the bound on calls that run in one window."""
+    """Return the upper bound on the calls that run in one window."""
     allowed = rate * quotas.window_seconds + burst
     return allowed * (1.0 + quotas.overshoot) + quotas.slack
 
 
-def terms_of(rate: float, burst: float, quotas: QuotaSettings) -> BucketTerms:
-    """Give the terms of a limit; where the bound leaves no room, it fills more slowly."""
+def bucket_terms(rate: float, burst: float, quotas: QuotaSettings) -> BucketTerms:
+    """Return the bucket terms of a limit.
+
+    Where the window's bound is too tight for the limit's own rate, the bucket fills more
+    slowly and no calls are granted in advance.
+    """
     bound = most_calls(rate, burst, quotas)
-    counted = quotas.window_seconds + CLOCK_MARGIN * lease_seconds(quotas)
-    left = bound - burst - rate * counted
-    if CAPACITY_SHARE * left < LEAST_CAPACITY:
-        capacity = burst + min(LEAST_CAPACITY, max(0.0, bound - burst) / 2.0)
-        filling = min(rate, max(0.0, bound - capacity) / counted)
-        return BucketTerms(filling, capacity, 0)
-    ahead = math.floor(AHEAD_SHARE * left)
-    return BucketTerms(rate, burst + CAPACITY_SHARE * left, ahead)
+    counted_seconds = quotas.window_seconds + CLOCK_MARGIN * lease_seconds(quotas)
+    spare = bound - burst - rate * counted_seconds
+    if CAPACITY_SHARE * spare < MIN_CAPACITY:
+        capacity = burst + min(MIN_CAPACITY, max(0.0, bound - burst) / 2.0)
+        fill_rate = min(rate, max(0.0, bound - capacity) / counted_seconds)
+        return BucketTerms(fill_rate, capacity, 0)
+    ahead = math.floor(AHEAD_SHARE * spare)
+    return BucketTerms(rate, burst + CAPACITY_SHARE * spare, ahead)
--- a/src/peppershore/process/quotas/turns.py
+++ b/src/peppershore/process/quotas/turns.py
@@ -1,55 +1,56 @@
-"""When callers who were refused over a limit should come back to one node."""
+"""Retry times for callers that one node refused because of a tenant's limit."""
 
 from __future__ import annotations
 
 import math
 
-FADE_SECONDS = 2.0
-"""Time over which the rate of a node's grants is known."""
+AVERAGING_SECONDS = 2.0
+"""Time constant over which the rate of a node's grants is averaged."""
 
-LEAST_ADVICE_SECONDS = 0.1
-"""A caller that is back sooner is over the limit again, as all the others are."""
+MIN_RETRY_SECONDS = 0.1
+"""Minimum retry time. Callers that retry sooner exceed the limit again together."""
 
-MOST_ADVICE_SECONDS = 5.0
+MAX_RETRY_SECONDS = 5.0
 
-SPREAD = 0.5
-"""Part of its wait by which a caller may be told to come later, drawn anew for each, so
-that those told by several nodes don't come together."""
+JITTER_SHARE = 0.5
+"""Maximum share of its wait that is randomly added for each caller, so that callers
+refused by several nodes don't retry at the same time."""
 
 
 class Turns:
-    """Books each refused caller a turn, at the rate at which calls were granted here."""
+    """Assigns retry times to refused callers, spaced by the local rate of grants."""
 
-    __slots__ = ("_granted", "_next", "_seen_at")
+    __slots__ = ("_granted", "_next", "_updated_at")
 
     def __init__(self) -> None:
-        """Begin without grants, so without a rate."""
+        """Start without grants, so without a rate."""
         self._granted = 0.0
-        self._seen_at = 0.0
+        self._updated_at = 0.0
         self._next = 0.0
 
     def granted(self, now: float) -> None:
-        """A call was granted."""
-        self._fade(now)
+        """Count a granted call."""
+        self._decay(now)
         self._granted += 1.0
 
-    def book(self, wait: float, drawn: float, now: float) -> float:
-        """Give the seconds after which a caller should come back.
+    def book(self, wait: float, random_share: float, now: float) -> float:
+        """Return the seconds after which a refused caller should retry.
 
-        ``wait``: seconds until the limit gives one more; ``drawn``: from 0 to 1.
+        ``wait`` is the time in seconds until the limit allows one more call.
+        ``random_share`` is a random number from 0 to 1.
         """
-        self._fade(now)
-        self._next = max(self._next, now + max(wait, LEAST_ADVICE_SECONDS))
-        advice = self._next - now
-        if advice < MOST_ADVICE_SECONDS:
+        self._decay(now)
+        self._next = max(self._next, now + max(wait, MIN_RETRY_SECONDS))
+        retry_seconds = self._next - now
+        if retry_seconds < MAX_RETRY_SECONDS:
             self._next += self._spacing_seconds(wait)
-        return min(advice * (1.0 + SPREAD * drawn), MOST_ADVICE_SECONDS)
+        return min(retry_seconds * (1.0 + JITTER_SHARE * random_share), MAX_RETRY_SECONDS)
 
     def _spacing_seconds(self, wait: float) -> float:
-        rate = self._granted / FADE_SECONDS
+        rate = self._granted / AVERAGING_SECONDS
         return 1.0 / rate if rate > 0.0 else wait
 
-    def _fade(self, now: float) -> None:
-        if now > self._seen_at:
-            self._granted *= math.exp((self._seen_at - now) / FADE_SECONDS)
-            self._seen_at = now
+    def _decay(self, now: float) -> None:
+        if now > self._updated_at:
+            self._granted *= math.exp((self._updated_at - now) / AVERAGING_SECONDS)
+            self._updated_at = now
--- a/src/peppershore/process/storage/__init__.py
+++ b/src/peppershore/process/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records of a replica: the log, the vote and the newest snapshot."""
+"""Durable state of a replica: the log, the vote and the newest snapshot."""
--- a/src/peppershore/process/storage/errors.py
+++ b/src/peppershore/process/storage/errors.py
@@ -1,4 +1,4 @@
-"""Why a store can't be opened or written: outcomes as values."""
+"""Results that report why a store could not be opened or written."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StoreRefusal(enum.Enum):
-    """Why a file is not taken up."""
+    """Reason why a store's file is not opened."""
 
     DAMAGED = "damaged"
     NEWER_FORMAT = "newer-format"
@@ -18,7 +18,7 @@
 
 
 class StoreRefused(msgspec.Struct, frozen=True):
-    """The file at ``path`` is not taken up; nothing in it was changed."""
+    """The store's file at ``path`` is not opened; its content was not changed."""
 
     path: str
     refusal: StoreRefusal
@@ -26,7 +26,7 @@
 
 
 class StoreFailed(msgspec.Struct, frozen=True):
-    """A write was refused as a whole; ``final`` if this store takes no more."""
+    """A write failed and stored nothing; ``final`` if the store accepts no more writes."""
 
     reason: str
     final: bool
--- a/src/peppershore/process/storage/log_store.py
+++ b/src/peppershore/process/storage/log_store.py
@@ -1,8 +1,8 @@
-"""The durable log of a replica in one SQLite file: its writes.
+"""Writes to the durable log of a replica, which is one SQLite file.
 
-Write-ahead journal, ``synchronous=FULL`` (a commit returns after the sync) and
-an exclusive lock, with which SQLite keeps its journal index in the process's
-own memory instead of in shared memory.
+The file uses a write-ahead log, ``synchronous=FULL`` (a commit returns after the sync) and
+an exclusive lock, with which SQLite holds the index of the write-ahead log in the memory
+of the process instead of in shared memory.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 )
 
 DROPPED_PER_WRITE = 1_000
-"""Old entries dropped with one commit at most: dropping many takes as long as a
-disk's sync several times over, and they do no harm meanwhile."""
+"""Maximum number of old entries deleted with one commit. Deleting many at once takes
+several times as long as a disk sync, and entries that are deleted later do no harm."""
 
 DISK_FULL_CODES = frozenset({sqlite3.SQLITE_FULL})
 
 
 class LogStore:
-    """An open store; only one process can have it open."""
+    """An open store; only one process at a time can have it open."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         stored: StoredState,
         parts: frozenset[int],
     ) -> None:
-        """Use ``open_store``."""
+        """Use an open connection; callers use ``open_store`` instead."""
         self._connection = connection
         self._owner = owner
         self._last_index = _last_index(stored)
@@ -62,7 +62,7 @@
         self._broken = False
 
     def write(self, records: list[Record]) -> Result[None, StoreFailed]:
-        """Make all records durable in one synced commit, or none of them."""
+        """Write all records in one synced commit; if it fails, none is stored."""
         if self._broken:
             return Failure(StoreFailed("the store is closed after an error", final=True))
         before = (
@@ -92,7 +92,7 @@
         self._connection.close()
 
     def limit_pages(self, pages: int) -> None:
-        """Refuse to grow beyond so many pages, as a full disk would."""
+        """Limit the file to ``pages`` pages, so that writes fail as on a full disk."""
         self._connection.execute(f"PRAGMA max_page_count={pages}")
 
     def _drop_some_entries(self) -> None:
@@ -103,7 +103,11 @@
         self._first_index = first
 
     def _failed(self, problem: sqlite3.Error) -> StoreFailed:
-        """After a failed sync nobody knows what the disk holds: no second try."""
+        """Roll back after an error, and return the failure.
+
+        Unless the disk was full the store accepts no more writes: after a failed sync it
+        is unknown what the disk holds, so a retry is not safe.
+        """
         final = code_of(problem) not in DISK_FULL_CODES
         try:
             if self._connection.in_transaction:
@@ -156,7 +160,7 @@
         self._first_index = self._first_kept_index = self._last_index + 1
 
     def _replace_snapshot(self, snapshot: StateSnapshot) -> None:
-        """Write what parts are missing, then name them all; drop the others."""
+        """Write the snapshot's missing parts and its row; delete parts it doesn't use."""
         for part in snapshot.parts:
             if part.number not in self._parts:
                 write_part(self._connection, part)
@@ -178,5 +182,5 @@
 
 
 def code_of(problem: BaseException) -> int:
-    """The primary SQLite result code of an error; 0 if it has none."""
+    """Return the primary SQLite result code of an error; 0 if it has none."""
     return int(getattr(problem, "sqlite_errorcode", 0)) & 0xFF
--- a/src/peppershore/process/storage/opening.py
+++ b/src/peppershore/process/storage/opening.py
@@ -1,4 +1,4 @@
-"""Opens a replica's store, or makes it; refuses what isn't whole and ours."""
+"""Opening and creating a replica's store, and the checks of its file."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class OpenedStore(msgspec.Struct, frozen=True):
-    """A store and what it held when it was opened."""
+    """An open store, and the state that it held when it was opened."""
 
     store: LogStore
     stored: StoredState
@@ -61,15 +61,19 @@
 def open_store(
     folder: Path, cluster: str, replica: str
 ) -> Result[OpenedStore, StoreRefused]:
-    """Open the store in ``folder``, or make it; refuse what isn't whole and ours."""
+    """Open the store in ``folder``, or create it.
+
+    Refuse a file that is damaged, in use, unreadable, of a newer format, or that belongs
+    to another replica.
+    """
     path = folder / FILE_NAME
     try:
-        _make_folder(folder)
+        _create_folder(folder)
         connection = _connect(path)
     except (OSError, sqlite3.Error) as problem:
         return Failure(_refused(path, problem))
     try:
-        opened = _take_up(connection, path, cluster, replica)
+        opened = _load_or_create(connection, path, cluster, replica)
     except (DamagedStoreError, msgspec.DecodeError, ValueError, TypeError) as problem:
         opened = Failure(StoreRefused(str(path), StoreRefusal.DAMAGED, str(problem)))
     except sqlite3.Error as problem:
@@ -85,7 +89,7 @@
     return connection
 
 
-def _take_up(
+def _load_or_create(
     connection: sqlite3.Connection, path: Path, cluster: str, replica: str
 ) -> Result[OpenedStore, StoreRefused]:
     application = _pragma(connection, "application_id")
@@ -133,7 +137,7 @@
 
 
 def _upgrade_from_first_format(connection: sqlite3.Connection) -> None:
-    """Add the checksums of single rows; move the snapshot's state into a part."""
+    """Add checksums to the single-row tables; move the snapshot's state into a part."""
     owner = connection.execute(
         "SELECT cluster, replica, identity, group_id FROM owner"
     ).fetchone()
@@ -163,7 +167,7 @@
 def _drop_unused_parts(
     connection: sqlite3.Connection, snapshot: StateSnapshot | None
 ) -> frozenset[int]:
-    """Drop the parts of a snapshot that was not finished; give those in use."""
+    """Delete parts of unfinished snapshots; return the numbers of the parts in use."""
     used = frozenset(part.number for part in snapshot.parts) if snapshot else frozenset()
     stored = connection.execute("SELECT number FROM snapshot_parts").fetchall()
     unused = [row for row in stored if row[0] not in used]
@@ -174,11 +178,11 @@
     return used
 
 
-def _make_folder(folder: Path) -> None:
-    """Make a folder and those above it, so that they outlive a loss of power."""
+def _create_folder(folder: Path) -> None:
+    """Create a folder and its parents, synced so that they survive a loss of power."""
     if folder.is_dir():
         return
-    _make_folder(folder.parent)
+    _create_folder(folder.parent)
     folder.mkdir(mode=PRIVATE_MODE, exist_ok=True)
     _sync_folder(folder.parent)
 
@@ -192,9 +196,9 @@
 
 
 def _check_pages(connection: sqlite3.Connection) -> None:
-    verdict = connection.execute("PRAGMA quick_check(1)").fetchone()[0]
-    if verdict != "ok":
-        raise DamagedStoreError(str(verdict))
+    result = connection.execute("PRAGMA quick_check(1)").fetchone()[0]
+    if result != "ok":
+        raise DamagedStoreError(str(result))
 
 
 def _load(connection: sqlite3.Connection, owner: Owner) -> StoredState:
--- a/src/peppershore/process/storage/rows.py
+++ b/src/peppershore/process/storage/rows.py
@@ -1,4 +1,4 @@
-"""The rows of a replica's store: written with a checksum, loaded only if it is right."""
+"""Reading and writing of the rows of a replica's store, each with a checksum."""
 
 from __future__ import annotations
 
@@ -19,15 +19,19 @@
 PART_KIND = -2
 HARD_STATE_KIND = -3
 OWNER_KIND = -4
-"""Kinds in checksums, besides those of log entries."""
+"""Kinds of rows in checksums; negative, so they differ from the kinds of log entries."""
 
 
 class DamagedStoreError(Exception):
-    """Within the store: a row contradicts its checksum or its neighbours."""
+    """A row of the store is missing or doesn't match its checksum or its neighbours."""
 
 
 class Owner(msgspec.Struct, frozen=True):
-    """Whose store it is, the random number it was made with, and its group."""
+    """The replica that a store belongs to.
+
+    ``identity`` is a random number drawn when the store was created; ``group_id`` is the
+    replica's group.
+    """
 
     cluster: str
     replica: str
@@ -42,13 +46,13 @@
 
 
 def write_owner(connection: sqlite3.Connection, owner: Owner) -> None:
-    """Write whose store it is."""
+    """Write the row with the store's owner."""
     row = (owner.cluster, owner.replica, owner.identity, owner.group_id, owner.checksum)
     connection.execute("REPLACE INTO owner VALUES (1, ?, ?, ?, ?, ?)", row)
 
 
 def load_owner(connection: sqlite3.Connection) -> Owner:
-    """Load whose store it is."""
+    """Load the store's owner; raise ``DamagedStoreError`` if the row is not valid."""
     row = connection.execute(
         "SELECT cluster, replica, identity, group_id, checksum FROM owner"
     ).fetchone()
@@ -61,13 +65,13 @@
 
 
 def write_hard_state(connection: sqlite3.Connection, state: HardState) -> None:
-    """Write term and vote."""
+    """Write the row with term and vote."""
     row = (state.term, state.voted_for, _checksum_of_hard_state(state))
     connection.execute("REPLACE INTO hard_state VALUES (1, ?, ?, ?)", row)
 
 
 def load_hard_state(connection: sqlite3.Connection) -> HardState:
-    """Load term and vote."""
+    """Load term and vote; raise ``DamagedStoreError`` if the row is not valid."""
     row = connection.execute("SELECT term, voted_for, checksum FROM hard_state").fetchone()
     if row is None:
         raise DamagedStoreError("the store holds no term")
@@ -107,7 +111,7 @@
 def write_snapshot(
     connection: sqlite3.Connection, snapshot: StateSnapshot, numbers: list[int]
 ) -> None:
-    """Write the snapshot that these stored parts make up."""
+    """Write the snapshot's row, which lists the numbers of its stored parts."""
     membership = encode_membership(snapshot.membership)
     parts = msgspec.msgpack.encode(numbers)
     checksum = checksum_of(snapshot.index, snapshot.term, SNAPSHOT_KIND, membership + parts)
@@ -118,7 +122,10 @@
 
 
 def load_snapshot(connection: sqlite3.Connection) -> StateSnapshot | None:
-    """Load the snapshot with its parts, if there is one."""
+    """Load the snapshot with its parts, or return None if there is none.
+
+    Raise ``DamagedStoreError`` if a row is missing or not valid.
+    """
     row = connection.execute(
         "SELECT position, term, membership, parts, checksum FROM snapshot"
     ).fetchone()
@@ -145,7 +152,7 @@
 
 
 def load_entries(connection: sqlite3.Connection) -> tuple[LogEntry, ...]:
-    """Load the log; entries without gap."""
+    """Load the log; raise ``DamagedStoreError`` on a gap or a wrong checksum."""
     rows = connection.execute(
         "SELECT position, term, kind, payload, checksum FROM entries ORDER BY position"
     )
--- a/src/peppershore/process/storage/schema.py
+++ b/src/peppershore/process/storage/schema.py
@@ -1,14 +1,14 @@
-"""Tables, version stamp and checksums of a replica's store."""
+"""Tables, format version and checksums of a replica's store."""
 
 from __future__ import annotations
 
 import xxhash
 
 APPLICATION_ID = 0x50455050
-"""Stamp of the SQLite header that marks a store of this program."""
+"""Application ID in the SQLite header that marks a store of this program."""
 
 FORMAT_VERSION = 2
-"""Raised with every change of the tables or of what the rows hold."""
+"""Incremented with every change of the tables or of the content of their rows."""
 
 CREATE_TABLES = """
 CREATE TABLE owner (
@@ -46,10 +46,11 @@
     checksum INTEGER NOT NULL
 );
 """
-"""``snapshot.parts`` lists the numbers of the parts that make up the state."""
+"""Statements that create the tables. ``snapshot.parts`` lists the numbers of the parts
+that make up the state."""
 
 FIRST_FORMAT = 1
-"""The format in which ``snapshot.state`` held the whole state."""
+"""The format in which ``snapshot.state`` held the complete state."""
 
 UPGRADE_FROM_FIRST_FORMAT = """
 ALTER TABLE owner ADD COLUMN checksum INTEGER NOT NULL DEFAULT 0;
@@ -64,7 +65,7 @@
 
 
 def checksum_of(position: int, term: int, kind: int, payload: bytes) -> int:
-    """Checksum of one row, within SQLite's signed 64 bits."""
+    """Return the checksum of one row, which fits into SQLite's signed 64 bits."""
     head = f"{position}:{term}:{kind}:".encode()
     hasher = xxhash.xxh3_64(head)
     hasher.update(payload)
--- a/src/peppershore/process/storage/whole_file.py
+++ b/src/peppershore/process/storage/whole_file.py
@@ -1,8 +1,8 @@
-"""One value in one file, replaced as a whole.
+"""A file that holds one value and is replaced atomically.
 
-Written aside, synced, then renamed over the former file, and the folder synced, so that
-after a crash the file is the former or the new one, whole.  A file that is damaged or of
-a newer format is refused with the reason.
+The value is written to a temporary file and synced; then that file is renamed over the
+former one and the folder is synced. After a crash the file holds the former or the new
+value, complete. A file that is damaged or of a newer format is refused with the reason.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class UnusableFile(msgspec.Struct, frozen=True):
-    """The stored file can't be used; ``advice`` says what to do."""
+    """The stored file can't be used; ``advice`` tells operators what to do."""
 
     path: str
     reason: str
@@ -30,13 +30,13 @@
 
 
 class WholeFile(Generic[Value]):
-    """Reads and replaces one file."""
+    """Reads one file, and replaces it atomically."""
 
     def __init__(self, path: Path, kind: type[Value], owner: str, without: str) -> None:
-        """Keep a value of ``kind`` at ``path``, whose folder is made if it is not there.
+        """Store a value of type ``kind`` at ``path``; ``save`` creates a missing folder.
 
-        ``owner`` says in the file whose it is; ``without``, to operators, what follows
-        if a damaged one is removed.
+        ``owner`` is written into the file to mark whose it is. ``without`` tells
+        operators what happens if they remove a damaged file.
         """
         self._path = path
         self._magic = f"peppershore {owner} ".encode()
@@ -46,7 +46,7 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def load(self) -> Result[Value | None, UnusableFile]:
-        """Give what is stored, None if nothing is, or why it can't be used."""
+        """Return the stored value, None if there is no file, or why it can't be used."""
         try:
             content = self._path.read_bytes()
         except FileNotFoundError:
@@ -56,18 +56,18 @@
         return self._decode(content)
 
     def save(self, value: Value) -> None:
-        """Replace the file and sync it; raises ``OSError`` if the disk refuses."""
+        """Replace the file and sync it; raise ``OSError`` if that fails."""
         body = self._encoder.encode(value)
         checksum = xxhash.xxh3_64_digest(body)
         header = self._magic + bytes([FORMAT_NUMBER])
         self._path.parent.mkdir(parents=True, exist_ok=True)
-        aside = self._path.with_suffix(".new")
-        with aside.open("wb") as file:
+        temporary = self._path.with_suffix(".new")
+        with temporary.open("wb") as file:
             os.fchmod(file.fileno(), 0o600)
             file.write(header + checksum + body)
             file.flush()
             os.fsync(file.fileno())
-        aside.rename(self._path)
+        temporary.rename(self._path)
         self._sync_folder()
 
     def _sync_folder(self) -> None:
--- a/tests/claims/claims_cluster.py
+++ b/tests/claims/claims_cluster.py
@@ -1,4 +1,4 @@
-"""Claims replicas and nodes' claims clients, all real cores, under virtual time."""
+"""Simulated cluster of claims replicas and claims clients: real cores in virtual time."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 class _ClaimsInvariants(Invariants):
     def _check_command(self, index: int, payload: bytes) -> None:
-        """A claims log holds no edits; who runs what is judged by the tests."""
+        """Check nothing: a claims log holds no edits, and the tests check who may run."""
 
 
 class ClaimsCluster(ControlCluster):
-    """Three claims replicas; nodes open links to them as clients."""
+    """Three claims replicas, to which nodes connect as clients."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         return ClaimsCore(replica.settings, replica.store.state)  # type: ignore[arg-type]
 
     def crash(self, name: str) -> None:
-        """Kill a replica; the nodes' links to it break."""
+        """Kill a replica and break the nodes' links to it."""
         links = list(self.replicas[name].clients)
         super().crash(name)
         for node in self.nodes:
@@ -78,7 +78,7 @@
 
 
 class Node:
-    """One node's claims client; remembers how each want ended, and when."""
+    """One node's claims client, with the outcome and end time of each claim request."""
 
     def __init__(
         self, cluster: ClaimsCluster, name: str, addresses: tuple[str, ...] = NAMES
@@ -97,14 +97,14 @@
         cluster.nodes.append(self)
 
     def claim(self, key: str, attempt: str, seconds: float = 3.0) -> int:
-        """Want a claim; gives the request's number."""
+        """Request a claim; return the request's number."""
         self._requests += 1
         deadline = self.cluster.time + seconds
         self._step(ClaimWanted(self._requests, key, attempt, deadline))
         return self._requests
 
     def outcome(self, key: str, attempt: str) -> WantOutcome:
-        """Want a claim and give how that ended."""
+        """Request a claim and return its outcome."""
         request = self.claim(key, attempt)
         self.cluster.run_until(lambda: request in self.outcomes)
         return self.outcomes[request]
@@ -118,7 +118,7 @@
         self._step(ReleaseWanted(self._requests, key, attempt))
 
     def die(self) -> None:
-        """Kill the node: what it had not sent is gone."""
+        """Kill the node; messages that it has not sent are lost."""
         self.alive = False
         for replica, link in self._links.values():
             self.cluster.replicas[replica].clients.pop(link, None)
--- a/tests/claims/test_claim_client.py
+++ b/tests/claims/test_claim_client.py
@@ -1,4 +1,4 @@
-"""Playbooks of the claims client: events in, commands out."""
+"""Unit tests of the claims client: sequences of events, and the expected commands."""
 
 from peppershore.connection.messages.claims import (
     ClaimCompleted,
@@ -63,7 +63,7 @@
     assert core.pending == 0
 
 
-def test_a_taken_claim_is_told():
+def test_a_taken_claim_is_reported():
     core = opened_client()
     taken = MessageReceived(1, ClaimTaken(1, None))
     assert core.step(taken, 0.1) == [FinishWant(1, WantTaken(None))]
@@ -87,7 +87,7 @@
 
 def test_past_the_deadline_the_want_is_unavailable_and_the_attempt_released():
     core = opened_client()
-    core.step(MessageReceived(1, ClaimNoted(99)), 1.9)  # the link itself is alive
+    core.step(MessageReceived(1, ClaimNoted(99)), 1.9)  # the link itself works
     commands = core.step(TimerFired(STALL_TIMER), 2.0)
     finished = [command for command in commands if isinstance(command, FinishWant)]
     assert [type(command.outcome) for command in finished] == [WantUnavailable]
@@ -101,7 +101,7 @@
 
 
 def lose_link_and_reconnect(core, link, now):
-    """Break the link and let the waits run out; gives the new link and the time."""
+    """Break the link and wait for the reconnect; return the new link and the time."""
     core.step(LinkClosed(link, "reset"), now)
     while True:
         now += BACKOFF_CEILING_SECONDS
@@ -137,11 +137,11 @@
 
 def test_a_hint_at_a_replica_that_just_failed_is_not_followed():
     core = opened_client()
-    core.step(LinkClosed(1, "reset"), 0.1)  # the first replica died
+    core.step(LinkClosed(1, "reset"), 0.1)  # the first replica crashed
     assert reconnect(core, 0.2) == OpenLink(3, REPLICAS[1])
     core.step(LinkOpened(3, REPLICAS[1]), 0.2)
     hint = ClaimRefused(1, REASON_NOT_LEADER, REPLICAS[0])
-    core.step(MessageReceived(3, hint), 0.2)  # a follower still names the dead one
+    core.step(MessageReceived(3, hint), 0.2)  # a follower still names the crashed one
     assert reconnect(core, 0.25) == OpenLink(5, REPLICAS[2])
 
 
@@ -191,11 +191,11 @@
     assert reports == 1
 
 
-def test_a_node_that_was_frozen_itself_does_not_blame_the_group():
+def test_a_suspended_node_does_not_find_the_group_unavailable():
     core = opened_client()
     core.step(TimerFired(STALL_TIMER), 0.1)
-    commands = core.step(TimerFired(STALL_TIMER), 1.9)  # frozen for 1.8 s
+    commands = core.step(TimerFired(STALL_TIMER), 1.9)  # suspended for 1.8 s
     assert not core.unavailable
     assert not any(isinstance(command, CloseLink) for command in commands)
-    granted = MessageReceived(1, ClaimGranted(1))  # came while it was frozen
+    granted = MessageReceived(1, ClaimGranted(1))  # received while it was suspended
     assert core.step(granted, 1.9) == [FinishWant(1, WantGranted())]
--- a/tests/claims/test_claim_table.py
+++ b/tests/claims/test_claim_table.py
@@ -1,4 +1,4 @@
-"""The claims table: one attempt per key, bounded, the same after a restore."""
+"""The claims table: one attempt per key, bounded size, and unchanged by a restore."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/claims/test_claim_window.py
+++ b/tests/claims/test_claim_window.py
@@ -1,4 +1,4 @@
-"""The window between a claim and its answer: what each death in it leads to."""
+"""Crashes of nodes and replicas between a claim and the call's completion."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.claims.claims_cluster import NAMES, ClaimsCluster, Node
 
 from peppershore.connection.messages.claims import KeptAnswer
-from peppershore.process.claims.client_core import PATIENCE_SECONDS
+from peppershore.process.claims.client_core import GROUP_TIMEOUT_SECONDS
 from peppershore.process.claims.wants import (
     ClaimsGroupAvailable,
     ClaimsGroupUnavailable,
@@ -48,7 +48,7 @@
 
 
 def test_node_dead_before_its_claim_was_committed_blocks_the_key_or_leaves_it_free():
-    """Either is safe: the dead node runs nothing, and exactly one other may."""
+    """Both are safe: the crashed node runs nothing, and at most one other attempt may."""
     for seed in range(1, 9):
         cluster = led_cluster(seed)
         dying, other = Node(cluster, "n1"), Node(cluster, "n2")
@@ -61,7 +61,7 @@
 
 
 def test_run_without_answer_stays_unknown_through_the_loss_of_every_process():
-    """A back end that died after running: nothing completes, nothing releases."""
+    """A back end that crashed after running the call leads to no completion or release."""
     cluster = led_cluster()
     node = Node(cluster, "n1")
     assert node.outcome("pay-1", "n1/1") == GRANTED
@@ -136,7 +136,7 @@
     assert any(isinstance(each, ClaimsGroupAvailable) for each in node.notices)
 
 
-def test_group_without_quorum_refuses_within_the_patience():
+def test_group_without_quorum_refuses_within_the_group_timeout():
     cluster = led_cluster()
     node = Node(cluster, "n1")
     leader = cluster.leader()
@@ -147,7 +147,7 @@
     request = node.claim("pay-1", "n1/1", seconds=30.0)
     cluster.run_until(lambda: request in node.outcomes)
     assert isinstance(node.outcomes[request], WantUnavailable)
-    assert node.ended[request] - began <= PATIENCE_SECONDS + 0.2
+    assert node.ended[request] - began <= GROUP_TIMEOUT_SECONDS + 0.2
     for name in NAMES:
         if name != leader:
             cluster.start(name)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("small", NAMES)
 def test_replica_with_other_bounds_forgets_no_claim_when_it_leads(small: str):
-    """Settings that differ between replicas must not make their tables differ."""
+    """Replicas with different settings must still have equal tables."""
     cluster = ClaimsCluster(3, max_records={small: 2})
     cluster.run_until(lambda: cluster.leader() is not None)
     node = Node(cluster, "n1")
@@ -183,7 +183,7 @@
 
 
 class Payouts:
-    """Callers of the seeded trial: resend keys through any node; count the runs."""
+    """Callers of the seeded trial, who retry keys through any node; counts the runs."""
 
     def __init__(self, cluster: ClaimsCluster) -> None:
         self.cluster = cluster
@@ -201,7 +201,7 @@
     def _granted(self, node: Node, key: str, attempt: str) -> None:
         chance = self.cluster.random.random()
         if chance < 0.15:
-            node.release(key, attempt)  # refused by the back end: it did not run
+            node.release(key, attempt)  # the back end refused the call, so it did not run
             return
         self.runs.setdefault(key, []).append(attempt)
         if chance < 0.8:
--- a/tests/claims/test_claimed_calls.py
+++ b/tests/claims/test_claimed_calls.py
@@ -1,4 +1,4 @@
-"""Calls through a node's data plane: what a caller hears of a claimed call."""
+"""Replies to callers for claimed calls through a node's data plane."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class TableClaims:
-    """A group's client over the real table, with what the group would answer."""
+    """Claims client that answers from a real claims table as the group would."""
 
     def __init__(self, max_records: int = 100) -> None:
         self.table = ClaimTable(HORIZON_SECONDS * MILLISECONDS, max_records)
@@ -77,7 +77,7 @@
 
 
 class Scene:
-    """Two edges that share a group, before one back end."""
+    """Two edge nodes that share a claims group, in front of one back end."""
 
     def __init__(self, max_records: int = 100) -> None:
         self.claims = TableClaims(max_records)
@@ -98,7 +98,7 @@
 
 
 async def dies_after_running(request: Received, writer: asyncio.StreamWriter) -> None:
-    """The back end has run the call and dies before it answers."""
+    """Close the connection without an answer, as a back end that crashed after running."""
     writer.transport.abort()
 
 
@@ -120,7 +120,7 @@
     run(scene())
 
 
-def test_crossed_sends_through_two_nodes_run_once() -> None:
+def test_concurrent_sends_through_two_nodes_run_once() -> None:
     async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
         await answer_ok(request, writer)
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("max_records", [0, 100])
 def test_no_claim_means_not_run_at_once_and_when_to_come_back(max_records: int) -> None:
-    """A full table and a group that is gone look the same to the caller."""
+    """A full table and an unavailable group lead to the same reply to the caller."""
 
     async def scene() -> None:
         stage = Scene(max_records)
@@ -160,7 +160,7 @@
 
 
 def test_key_older_than_the_groups_own_horizon_is_refused_and_released() -> None:
-    """The node's own check knows a day only; the group keeps ten minutes."""
+    """The node checks keys against one day; this group stores records for ten minutes."""
 
     async def scene() -> None:
         stage = Scene()
@@ -177,7 +177,7 @@
     run(scene())
 
 
-def test_call_given_up_before_its_claim_comes_is_released() -> None:
+def test_call_abandoned_before_its_claim_is_granted_is_released() -> None:
     async def scene() -> None:
         stage = Scene()
         await stage.start()
@@ -206,7 +206,7 @@
 def test_resend_after_an_edit_of_the_tree_is_the_same_call(
     service: str, route: str
 ) -> None:
-    """An operator moves the path to another route, or to another service."""
+    """An operator moves the path to another route or service before the call is retried."""
 
     async def scene() -> None:
         stage = Scene()
--- a/tests/claims/test_claims_authorization.py
+++ b/tests/claims/test_claims_authorization.py
@@ -1,4 +1,4 @@
-"""Which certificates may ask for claims, answer about them, and change the group."""
+"""Certificates that may request claims, answer such requests, and change the group."""
 
 import pytest
 
--- a/tests/claims/test_claims_groups.py
+++ b/tests/claims/test_claims_groups.py
@@ -1,4 +1,4 @@
-"""Several claims groups: which key goes where, and a change of the groups."""
+"""Several claims groups: assignment of keys, and a change of the groups."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
 
 ONE, TWO = groups("first"), groups("first", "second")
 STEPS = (ClaimsLayout(ONE), ClaimsLayout(TWO, previous=ONE), ClaimsLayout(TWO))
-"""From one group to two, as each node goes through it."""
+"""Steps in which each node changes from one group to two."""
 
 KEYS = st.text("abcdef/0123456789", min_size=8, max_size=40)
 
@@ -64,7 +64,7 @@
 
 
 class FakeGroup:
-    """A group's client with the real table behind it."""
+    """Claims client of one group that answers from a real claims table."""
 
     def __init__(self) -> None:
         self.table = ClaimTable(HORIZON)
@@ -96,7 +96,7 @@
 
 
 def routers() -> tuple[dict[str, FakeGroup], list[ClaimsRouter]]:
-    """Give one router for each step of the change, over the same two groups."""
+    """Return two groups, and a router over them for each step of the change."""
     fakes = {"first": FakeGroup(), "second": FakeGroup()}
     return fakes, [
         ClaimsRouter(layout, {name: fakes[name] for name in layout.groups})
--- a/tests/claims/test_claims_replacement.py
+++ b/tests/claims/test_claims_replacement.py
@@ -1,4 +1,4 @@
-"""A claims replica that lost its disk is replaced; then a second one is lost."""
+"""Replacement of a claims replica that lost its disk, and the loss of a second one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Operator:
-    """Sends to the leader over a link of its own and remembers what came."""
+    """Sends messages to the leader over new links and records the answers."""
 
     def __init__(self, cluster: ClaimsCluster) -> None:
         self.cluster = cluster
--- a/tests/claims/test_claims_trial.py
+++ b/tests/claims/test_claims_trial.py
@@ -1,4 +1,4 @@
-"""At most once on real processes, judged by the back ends' journals."""
+"""Calls run at most once on real processes, checked against the back ends' journals."""
 
 from __future__ import annotations
 
--- a/tests/claims/test_table_snapshot.py
+++ b/tests/claims/test_table_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots made piece by piece: as of their beginning, with what is stored reused."""
+"""Snapshots encoded in pieces hold the state at their start, and reuse stored pieces."""
 
 import msgspec
 from hypothesis import given, settings
@@ -43,7 +43,7 @@
 
 
 class Store:
-    """Numbers new pieces as a replica's log does; counts what it wrote."""
+    """Numbers new pieces as a replica's log does, and counts the pieces written."""
 
     def __init__(self) -> None:
         self.parts: list[SnapshotPart] = []
--- a/tests/quotas/test_quota_bound.py
+++ b/tests/quotas/test_quota_bound.py
@@ -1,6 +1,6 @@
-"""Over all nodes together no window holds more calls than the limit's bound allows.
+"""In no time window do all nodes together run more calls than the limit's bound allows.
 
-Each test is one case; windows slide over every call that ran.
+Each test checks windows that start at every call that ran, under another load or fault.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 BARE = Limit(rate=30.0, burst=0.0)
 USUAL_SHARE = 1.0 / 1.6
 SETTLED_SECONDS = 9.0
-"""After it relays may give ahead."""
+"""Time after which relays may grant calls in advance."""
 
 
 def usual(limit: Limit) -> float:
@@ -34,7 +34,7 @@
 
 
 def settled(seed: int = 1) -> World:
-    """Give a world in which all send their usual for a while."""
+    """Return a world in which all tenants have sent their usual load for a while."""
     world = World(limits(), seed=seed)
     for tenant, limit in limits().items():
         world.offer(tenant, usual(limit), SETTLED_SECONDS)
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_in_the_calm_nobody_is_refused_by_the_limit(seed: int) -> None:
+def test_usual_load_is_not_refused_by_the_limit(seed: int) -> None:
     world = settled(seed)
     start = world.now
     for tenant, limit in limits().items():
@@ -150,7 +150,7 @@
 
 
 def test_a_leader_that_was_suspended_grants_nothing_when_it_goes_on() -> None:
-    """Its lease has ended by its clock, so what it wakes up to is answered as unknown."""
+    """Its leadership has expired by its clock, so it can't answer the pending requests."""
     world = settled()
     for tenant, limit in limits().items():
         world.offer(tenant, 4.0 * limit.rate, 14.0)
--- a/tests/quotas/test_quota_group.py
+++ b/tests/quotas/test_quota_group.py
@@ -1,4 +1,4 @@
-"""Control replicas answer asks for calls: only a leader that proves its turn grants."""
+"""Quota requests at control replicas: only a leader confirmed by a quorum grants calls."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class QuotaCluster(ControlCluster):
-    """Replicas that grant calls of one tenant."""
+    """Control replicas that grant calls of one tenant with a limit."""
 
     def _settings(
         self, name: str, founders: tuple[PeerReplica, ...], join: bool
@@ -48,7 +48,7 @@
 
 @dataclass
 class Asker:
-    """A relay that follows one replica and asks for more than there is."""
+    """A relay that follows one replica and requests more calls than the limit allows."""
 
     cluster: ControlCluster
     replica: str
@@ -94,13 +94,13 @@
 
 
 def calls_of(askers: dict[str, Asker]) -> list[float]:
-    """Give the time of each call granted, as if it ran when its grant arrived."""
+    """Return the time of each granted call, as if it ran when its grant arrived."""
     return [
         at for each in askers.values() for at, calls in each.granted for _ in range(calls)
     ]
 
 
-def test_followers_pass_asks_on_and_all_share_one_bucket() -> None:
+def test_followers_forward_requests_and_all_share_one_bucket() -> None:
     cluster, askers, _ = started()
     for asker in askers.values():
         asker.keep_asking(6.0)
@@ -132,8 +132,11 @@
     assert len(after) >= 4.0 * LIMIT.rate
 
 
-def test_a_leader_that_slept_grants_nothing_before_it_has_asked_its_voters() -> None:
-    """Nobody reaches it when it wakes: what it grants would be its own decision."""
+def test_a_resumed_leader_grants_nothing_before_its_voters_confirm_it() -> None:
+    """The resumed leader is cut off, so a grant would be made without its voters.
+
+    Another leader may have been elected during the suspension.
+    """
     for seed in range(1, 6):
         cluster, askers, leader = started(seed)
         for asker in askers.values():
@@ -182,7 +185,7 @@
 
 
 def usage(cluster: QuotaCluster, replica: str) -> Message:
-    """Give what a replica answers an operator who asks how tenants use their limits."""
+    """Return a replica's answer to an operator's query of how tenants use their limits."""
     answers: list[Message] = []
     link = cluster.connect(replica, answers.append)
     assert link is not None
--- a/tests/quotas/test_quota_parts.py
+++ b/tests/quotas/test_quota_parts.py
@@ -1,4 +1,4 @@
-"""The parts that grants go through: terms, decider, relay and node, each by itself."""
+"""Unit tests of quotas: bucket terms, leader, relay, node and retry times."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     TenantGrant,
 )
 from peppershore.process.commands import Command, SendMessage
-from peppershore.process.quotas.decider import AHEAD_SECONDS, FORGOTTEN_SECONDS, Decider
+from peppershore.process.quotas.decider import AHEAD_SECONDS, RELAY_EXPIRY_SECONDS, Decider
 from peppershore.process.quotas.limits import Limit, tenant_limits
 from peppershore.process.quotas.node_grants import (
     Denied,
@@ -24,10 +24,10 @@
     Unanswered,
     Waiter,
 )
-from peppershore.process.quotas.relay_line import RelayLine
 from peppershore.process.quotas.relay_pool import RelayPool
-from peppershore.process.quotas.terms import lease_seconds, most_calls, terms_of
-from peppershore.process.quotas.turns import MOST_ADVICE_SECONDS, Turns
+from peppershore.process.quotas.relay_tenant import RelayTenant
+from peppershore.process.quotas.terms import bucket_terms, lease_seconds, most_calls
+from peppershore.process.quotas.turns import MAX_RETRY_SECONDS, Turns
 from peppershore.process.settings import QuotaSettings
 from peppershore.version.model import Tenant
 from peppershore.version.tree import empty_tree
@@ -55,7 +55,7 @@
     rate: float, burst: float, window: float, overshoot: float, slack: float
 ) -> None:
     quotas = QuotaSettings(window_seconds=window, overshoot=overshoot, slack=slack)
-    terms = terms_of(rate, burst, quotas)
+    terms = bucket_terms(rate, burst, quotas)
     counted = window + lease_seconds(quotas)
     most = terms.capacity + terms.rate * counted + terms.ahead
     assert most <= most_calls(rate, burst, quotas) * (1.0 + 1e-9) + 1e-6
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("rate", [1.0, 2.0, 10.0, 40.0, 350.0, 3_000.0])
 @pytest.mark.parametrize("burst_seconds", [0.0, 0.1, 1.0, 3.0])
 def test_a_limit_fills_as_fast_as_it_says(rate: float, burst_seconds: float) -> None:
-    terms = terms_of(rate, rate * burst_seconds, QUOTAS)
+    terms = bucket_terms(rate, rate * burst_seconds, QUOTAS)
     assert terms.rate == rate
     assert terms.capacity >= rate * burst_seconds
 
@@ -94,7 +94,7 @@
 
 def test_a_bucket_never_holds_more_than_its_capacity() -> None:
     grant = grant_of(decider(), START + 3_600.0)
-    assert grant.calls == int(terms_of(40.0, 40.0, QUOTAS).capacity)
+    assert grant.calls == int(bucket_terms(40.0, 40.0, QUOTAS).capacity)
 
 
 def test_a_tenant_without_limit_is_granted_all() -> None:
@@ -102,19 +102,19 @@
     assert answer.grants == (TenantGrant("free", 70),)
 
 
-def test_a_tenant_that_is_none_is_granted_nothing() -> None:
+def test_an_unknown_tenant_is_granted_nothing() -> None:
     answer = decider().answer("r1/1", 1, (TenantAsk("nobody", 1),), START)
     assert answer.grants[0].calls == 0
     assert answer.grants[0].wait_milliseconds > 0
 
 
-def test_a_relay_gives_ahead_only_after_a_window_in_each_of_its_lives() -> None:
+def test_a_relay_grants_in_advance_only_after_a_window_in_each_incarnation() -> None:
     deciding = decider()
     wait = QUOTAS.window_seconds + 2.0 * AHEAD_SECONDS
     grant_of(deciding, START)
     assert grant_of(deciding, START + wait - 0.01).ahead == 0
     alone = grant_of(deciding, START + wait).ahead
-    assert alone == terms_of(40.0, 40.0, QUOTAS).ahead
+    assert alone == bucket_terms(40.0, 40.0, QUOTAS).ahead
     reborn = START + wait + 1.0
     assert grant_of(deciding, reborn, asker="r1/2").ahead == 0
     assert grant_of(deciding, reborn).ahead == alone // 2
@@ -129,11 +129,11 @@
         grant_of(deciding, START, asker=asker)
     later = START + 8.0
     shares = [grant_of(deciding, later, asker=asker).ahead for asker in askers]
-    assert sum(shares) <= terms_of(40.0, 40.0, QUOTAS).ahead
+    assert sum(shares) <= bucket_terms(40.0, 40.0, QUOTAS).ahead
     assert all(shares)
 
 
-def test_an_epoch_changes_with_limits_with_new_relays_and_with_those_gone() -> None:
+def test_an_epoch_changes_with_limits_with_new_relays_and_with_expired_ones() -> None:
     deciding = decider()
 
     def epoch(now: float, asker: str = "r1/1") -> int:
@@ -144,7 +144,7 @@
     second = epoch(START + 2.0, "r2/1")
     deciding.use_limits({"studio": Limit(1.0, 1.0)}, START + 3.0)
     third = epoch(START + 3.0)
-    silence = QUOTAS.window_seconds + FORGOTTEN_SECONDS
+    silence = QUOTAS.window_seconds + RELAY_EXPIRY_SECONDS
     fourth = epoch(START + silence + 4.0)
     assert len({first, second, third, fourth}) == 4
     assert Decider(QUOTAS, 4, START).answer("r1/1", 1, ONE, START).epoch > fourth
@@ -179,7 +179,7 @@
 
 
 def relay_with(calls: int, ahead: int = 0) -> RelayPool:
-    """Give a relay whose ask of START brought so many calls more than were needed."""
+    """Return a relay whose request at START was granted ``calls`` calls too many."""
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     pool.granted(granted(ask.number, 1 + calls, ahead=ahead), SOURCE, START + 0.01)
@@ -235,13 +235,13 @@
 
 
 def test_a_grant_pays_for_nothing_that_was_given_after_its_ask() -> None:
-    """It may have been granted earlier than that: a window could then hold both."""
-    line = RelayLine()
-    line.ahead = 2
-    line.give(1, is_ahead_valid=True, now=START)
-    line.give(1, is_ahead_valid=True, now=START + 0.2)
-    assert line.pay(2, sent_at=START + 0.1) == 1
-    assert list(line.debts) == [START + 0.2]
+    """The grant may be older than the call, and one window could then hold too many."""
+    state = RelayTenant()
+    state.ahead = 2
+    state.grant(1, is_ahead_valid=True, now=START)
+    state.grant(1, is_ahead_valid=True, now=START + 0.2)
+    assert state.cover_debts(2, sent_at=START + 0.1) == 1
+    assert list(state.debts) == [START + 0.2]
 
 
 def test_nothing_is_given_ahead_when_the_group_was_not_heard_for_a_while() -> None:
@@ -270,7 +270,7 @@
     assert sent(asked_by(pool, 1, START + 0.32, 10), SOURCE)
 
 
-def test_asks_of_many_nodes_go_as_one() -> None:
+def test_requests_of_many_nodes_are_sent_as_one() -> None:
     pool = RelayPool(QUOTAS)
     asked_by(pool, 1, START)
     for number in range(20):
@@ -281,7 +281,7 @@
     assert sorted(each.tenant for each in ask.asks) == ["t0", "t1", "t2", "t3"]
 
 
-def test_after_the_word_that_nobody_can_grant_a_relay_waits_a_little() -> None:
+def test_a_relay_waits_after_an_answer_that_no_replica_can_grant() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     unknown = QuotaGranted(ask.number, (), 0, is_known=False)
@@ -377,7 +377,7 @@
     assert grants.take("studio", repeat, START + 5.0) is None
 
 
-def test_a_call_that_nobody_answers_is_told_so_in_time() -> None:
+def test_a_call_without_an_answer_is_decided_at_its_wait_timeout() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 0.3), START)
     assert grants.due_ask(START) is not None
@@ -398,7 +398,7 @@
     assert grants.answered(answer, START + 5.0) == []
 
 
-# --- the way back
+# --- retry times
 
 
 def test_refused_callers_are_told_to_come_back_in_turn() -> None:
@@ -415,5 +415,5 @@
 def test_no_advice_is_longer_than_its_bound_however_many_are_refused() -> None:
     turns = Turns()
     advice = [turns.book(2.0, 0.5, START) for _ in range(1_000)]
-    assert max(advice) <= MOST_ADVICE_SECONDS
+    assert max(advice) <= MAX_RETRY_SECONDS
     assert not math.isnan(sum(advice))
--- a/tests/quotas/test_quota_processes.py
+++ b/tests/quotas/test_quota_processes.py
@@ -1,7 +1,7 @@
-"""Tenants with a limit at real processes: hubs, nodes, and back ends beside them.
+"""Limits of tenants with real processes: hubs, nodes, and co-located back ends.
 
-Patterns: one tenant sends many times its limit at several nodes at once, another stays
-below its own at all of them.
+One tenant sends many times its limit at several nodes at once; another stays below its
+limit at all of them.
 """
 
 from __future__ import annotations
@@ -32,23 +32,25 @@
     "quotaSlack": str(QUOTAS.slack),
 }
 SECONDS = 12.0
-"""Longer than two windows, and than it takes until relays may give ahead."""
+"""Duration of the load: longer than two windows, and than the time until relays may grant
+calls in advance."""
 
 CALLERS_AT_NODE = 3
 BUSY_PAUSE_SECONDS = 0.03
 CALM_PAUSE_SECONDS = 0.3
 MILLISECONDS = 1_000
 FILL_SECONDS = 2.0
-"""A new bucket begins empty by design; the calm tenant's holds what it needs by then."""
+"""Time after which the calm tenant's bucket, which starts empty, holds enough calls."""
 
 LEAST_SHARE = 0.5
-"""Of what the limit gives; less runs only where the limit refuses what it should give."""
+"""Minimum share of the calls allowed by the limit that must run. Fewer run only if calls
+within the limit are refused."""
 
 pytestmark = pytest.mark.xdist_group("platform-stand-in")
 
 
 class Made(msgspec.Struct, frozen=True):
-    """A call that was made; ``sent_at`` in monotonic seconds."""
+    """A call and its reply; ``sent_at`` is in monotonic seconds."""
 
     name: str
     sent_at: float
@@ -56,7 +58,7 @@
 
 
 class Callers:
-    """Threads that call one node with one key, until the time is over."""
+    """Threads that call nodes with one tenant's key for ``SECONDS``."""
 
     def __init__(self, key: str, pause_seconds: float) -> None:
         self.made: list[Made] = []
@@ -108,7 +110,7 @@
 
 @pytest.fixture
 def site(tmp_path: Path) -> Iterator[Site]:
-    """Give a site whose nodes let calls of the calm tenant run."""
+    """Return a site whose nodes know both tenants and run calls of the calm one."""
     made = Site(tmp_path, ("kassa", "kassa", "kassa"), BOUNDS)
     try:
         made.start()
@@ -124,20 +126,20 @@
 
 
 def is_limited(node: Machine) -> bool:
-    """Whether a node knows the tenants, and the new bucket of the calm one gives calls."""
+    """Return whether a node knows the tenants and a call of the calm one is granted."""
     if called(node, "key-of-nobody", "before").status != 401:
         return False
     return called(node, CALM_KEY, "before").status == 200
 
 
 def ran(site: Site, made: list[Made]) -> list[tuple[float, float]]:
-    """Give when each call that ran was sent, and when it came to a back end."""
+    """Return when each call that ran was sent, and when it arrived at a back end."""
     arrived = {name: at for each in site.upstreams for name, at in each.ran_at.items()}
     return [(each.sent_at, arrived[each.name]) for each in made if each.name in arrived]
 
 
 def fullest(calls: list[tuple[float, float]], seconds: float) -> int:
-    """Give the most calls of a window; one is in it if it was sent and came in it."""
+    """Return the maximum number of calls both sent and arrived within one window."""
     return max(
         sum(start <= sent and came <= start + seconds for sent, came in calls)
         for start, _ in calls
@@ -145,9 +147,10 @@
 
 
 def assert_operators_see(site: Site, ran_calls: int, since: float) -> None:
-    """``peppershore tenants`` tells of both, whichever replica is asked.
+    """Check that ``peppershore tenants`` shows both tenants at every replica.
 
-    ``since``: Unix seconds; before, the new buckets were empty and refused both.
+    Only refusals after ``since``, in Unix seconds, are checked: before, the new buckets
+    were empty and calls of both tenants were refused.
     """
     for hub in site.hubs:
         shown = CliRunner().invoke(main, ["tenants", "--replica", hub.seed, "--json"])
--- a/tests/quotas/test_quota_usage.py
+++ b/tests/quotas/test_quota_usage.py
@@ -1,4 +1,4 @@
-"""How tenants use their limits: counted on the way to the leader, told to operators."""
+"""Usage of limits: refusals reported to the leader, and the table shown to operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from peppershore.process.quotas.node_grants import NodeGrants, Waiter
 from peppershore.process.quotas.relay_pool import RelayPool
 from peppershore.process.quotas.usage import (
-    CALM_SECONDS,
+    NOT_BINDING_SECONDS,
     LimitBegan,
     LimitEnded,
     Usage,
@@ -64,9 +64,9 @@
     for turn in range(4):
         usage.add("studio", 5, 3, START + 1.0 + turn)
     assert usage.changes(START + 4.0) == [LimitBegan("studio")]
-    assert usage.changes(START + 4.0 + 0.9 * CALM_SECONDS) == []
+    assert usage.changes(START + 4.0 + 0.9 * NOT_BINDING_SECONDS) == []
     ended = LimitEnded("studio", 3.0, 20, 12)
-    assert usage.changes(START + 4.0 + CALM_SECONDS) == [ended]
+    assert usage.changes(START + 4.0 + NOT_BINDING_SECONDS) == [ended]
     assert usage.changes(START + 60.0) == []
     usage.add("studio", 0, 1, START + 70.0)
     assert usage.changes(START + 70.0) == [LimitBegan("studio")]
--- a/tests/quotas/test_quota_ways.py
+++ b/tests/quotas/test_quota_ways.py
@@ -1,4 +1,4 @@
-"""Asks go from a node's gate to its relay and the group, and answers come back."""
+"""Path of quota requests from a node through its relay to the group, and back."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class GrantingReplica(ScriptedReplica):
-    """Grants whatever is asked for."""
+    """A replica that grants all requested calls."""
 
     def step(self, event: events.Event, now: float) -> list[Command]:
         if isinstance(event, events.MessageReceived) and isinstance(
@@ -49,7 +49,7 @@
 
 
 class GrantingSite(Site):
-    """A site whose replica grants."""
+    """A site whose replica grants all requested calls."""
 
     def __init__(self, **relay_settings: object) -> None:
         super().__init__(**relay_settings)  # type: ignore[arg-type]
--- a/tests/storage/test_disk_full.py
+++ b/tests/storage/test_disk_full.py
@@ -1,4 +1,4 @@
-"""A full disk: edits are refused, what is accepted stays served, and it recovers."""
+"""A full disk: edits are refused, accepted versions are served, and the store recovers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 LARGE_PAGES = 1_000_000
 PADDING = "x" * 200
 AFTERWARDS = 9_000
-"""Number of an edit that none sent before had."""
+"""Number of an edit that is larger than that of any edit sent before."""
 BOUND_SECONDS = 30.0
 
 
@@ -42,7 +42,7 @@
 
 
 class Replica:
-    """One replica in this process, on a real store that can be made full."""
+    """One replica in this process, with a real store that can be limited in size."""
 
     def __init__(self, folder: Path) -> None:
         settings = ControlSettings(
@@ -127,7 +127,10 @@
 
 
 async def _edit_until_refused(replica: Replica) -> tuple[int, Message | None]:
-    """Newest version accepted, and the answer that was no acceptance."""
+    """Send edits until one is refused.
+
+    Return the newest accepted version and the answer to the refused edit.
+    """
     version = 0
     for number in range(AFTERWARDS):
         answer = await replica.ask(SubmitEdit(_edit(number)))
--- a/tests/storage/test_quarantine_file.py
+++ b/tests/storage/test_quarantine_file.py
@@ -1,4 +1,4 @@
-"""The quarantine on a hub's disk: as old as it is, and no more trusted than it deserves."""
+"""The quarantine file on a hub's disk: ages of its records, and refusal if damaged."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     assert keeper(tmp_path)[0].load() == ()
 
 
-def test_nothing_written_is_nothing_known(tmp_path: Path) -> None:
+def test_without_a_file_nothing_is_loaded(tmp_path: Path) -> None:
     kept, notices = keeper(tmp_path)
     assert (kept.load(), notices) == ((), [])
 
@@ -61,7 +61,7 @@
     assert isinstance(notices[0], QuarantineUnusable)
 
 
-def test_a_disk_that_refuses_is_reported_and_holds_no_stop_up(tmp_path: Path) -> None:
+def test_a_failed_write_is_reported_and_does_not_block_a_stop(tmp_path: Path) -> None:
     (tmp_path / FILE_NAME).with_suffix(".new").mkdir()
 
     async def work() -> list[Notice]:
--- a/tests/storage/test_replica_killed.py
+++ b/tests/storage/test_replica_killed.py
@@ -1,6 +1,7 @@
-"""Replicas killed (SIGKILL) again and again while operators edit.
+"""Replicas are killed (SIGKILL) repeatedly while operators send edits.
 
-What was answered is there; what was not is there as a whole or not at all.
+Edits that were accepted are stored; an edit without an answer is stored completely or not
+at all.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class Operator:
-    """Sends one edit after another; the same again until it is answered."""
+    """Sends one edit after another, and retries each until it is accepted."""
 
     def __init__(self, group: ReplicaGroup, name: str, seed: int) -> None:
         self.sent: dict[str, Edit] = {}
@@ -88,7 +89,7 @@
 
 
 @pytest.mark.parametrize(("names", "kills"), [(("c1",), 6), (("c1", "c2", "c3"), 9)])
-def test_what_was_answered_survives_and_nothing_is_there_in_part(
+def test_accepted_edits_survive_and_no_edit_is_stored_in_part(
     tmp_path: Path, names: tuple[str, ...], kills: int
 ) -> None:
     asyncio.run(_kill_while_editing(tmp_path, names, kills))
@@ -134,7 +135,7 @@
 
 
 async def _check_pair(group: ReplicaGroup, leader: str, newest: int) -> None:
-    """Both settings of each edit, at every kept version, or neither."""
+    """Check at each stored version that both settings of an edit were applied, or none."""
     for version in range(max(1, newest - 60), newest + 1):
         answer = await group.ask(leader, TreeQuery(version))
         if isinstance(answer, TreeAnswered):
--- a/tests/storage/test_snapshot_parts.py
+++ b/tests/storage/test_snapshot_parts.py
@@ -1,4 +1,4 @@
-"""Snapshots in parts: written ahead, counted once named, upgraded from one blob."""
+"""Snapshots in parts: parts written before the snapshot; upgrade of the first format."""
 
 import sqlite3
 from pathlib import Path
@@ -153,7 +153,7 @@
             assert whole.piece(start, end) == b"abcde"[start:end]
 
 
-def test_old_entries_go_little_by_little_and_never_one_that_is_needed(tmp_path: Path):
+def test_old_entries_are_deleted_in_steps_and_never_one_that_is_needed(tmp_path: Path):
     count = 3 * DROPPED_PER_WRITE
     entries = tuple(
         LogEntry(index, 1, EntryKind.COMMAND, b"x") for index in range(1, count + 1)
--- a/tests/storage/test_store_refusals.py
+++ b/tests/storage/test_store_refusals.py
@@ -1,4 +1,4 @@
-"""A store that isn't whole, ours and of a known format is refused, never guessed at."""
+"""A store that is damaged, another replica's, in use or of a newer format is refused."""
 
 from __future__ import annotations
 
