--- a/src/peppershore/process/claims/client_core.py
+++ b/src/peppershore/process/claims/client_core.py
@@ -363,9 +363,9 @@
         return [finish, *self._transmit(self.table.add_note(release, now), now)]
 
     def _retry_notes(self, now: float) -> list[commands.Command]:
-        """Send unanswered completions and releases again, as a busy replica refuses them.
+        """Send unanswered completions and releases again.
 
-        The group applies each of them only once.
+        A busy replica may have refused them. The group applies each of them only once.
         """
         result: list[commands.Command] = []
         for request in self.table.requests():
--- a/src/peppershore/process/claims/core.py
+++ b/src/peppershore/process/claims/core.py
@@ -95,7 +95,7 @@
     # --- hooks of the replica core -------------------------------------------
 
     def on_link_opened(self, link: LinkId, identity: str) -> None:
-        """Store the identity in the certificate of the peer on a new link."""
+        """Store the identity that the peer of a new link has in its certificate."""
         self._identities[link] = identity
 
     def on_link_closed(self, link: LinkId) -> None:
@@ -152,7 +152,10 @@
         return bool(self._waiting)
 
     def client_links(self) -> tuple[LinkId, ...]:
-        """Return the links of waiting nodes, which turn to another replica on a goodbye."""
+        """Return the links of nodes that wait for an answer.
+
+        Such a node connects to another replica when this one sends it a goodbye.
+        """
         return tuple(
             dict.fromkeys(client_request.link for client_request in self._waiting.values())
         )
--- a/src/peppershore/process/claims/layout.py
+++ b/src/peppershore/process/claims/layout.py
@@ -14,7 +14,8 @@
 from peppershore.process.settings import ClaimsGroup, NodeSettings
 
 ONLY_GROUP = "claims"
-"""Name of the only group when the setting ``claims`` is used, not ``claims_groups``."""
+"""Name of the single group that the setting ``claims`` defines. The same group has this
+name in the setting ``claims_groups``."""
 
 
 class ClaimsLayout:
--- a/src/peppershore/process/claims/machine.py
+++ b/src/peppershore/process/claims/machine.py
@@ -53,7 +53,7 @@
         self.table.restore(state)
 
     def take_applied(self) -> list[AppliedEntry]:
-        """Return the entries applied since the last call, and clear the list."""
+        """Return the applied entries collected so far, and clear the list."""
         applied = self._applied
         self._applied = []
         return applied
--- a/src/peppershore/process/claims/pending.py
+++ b/src/peppershore/process/claims/pending.py
@@ -19,8 +19,8 @@
 MAX_WANTS = 10_000
 MAX_NOTES = 20_000
 MAX_NOTE_BYTES = 8 * 1024 * 1024
-"""Bound on the total size of the answers in unanswered completions. Completions beyond it
-are sent without their answer."""
+"""Bound on the total size of the answer bodies in unanswered completions. Completions
+beyond it are sent without their answer."""
 
 NOTE_SECONDS = 120.0
 """Time after which an unanswered note is dropped. The group's record of its key then
--- a/src/peppershore/process/claims/replica_choice.py
+++ b/src/peppershore/process/claims/replica_choice.py
@@ -105,7 +105,7 @@
         )
 
     def _choose_next(self, now: float) -> None:
-        """Choose the replica with the shortest wait, in ring order if equal."""
+        """Choose the replica with the shortest wait; if equal, the next in the list."""
         count = len(self._addresses)
         others = [(self._current + step) % count for step in range(1, count + 1)]
         self._current = min(others, key=lambda position: self._wait_of(position, now))
--- a/src/peppershore/process/claims/router.py
+++ b/src/peppershore/process/claims/router.py
@@ -40,9 +40,9 @@
     async def claim(
         self, key: str, attempt: str, seconds: float
     ) -> Result[ClaimGranted, ClaimDenied]:
-        """Claim the key in all of its groups, one after another.
+        """Claim the key in all of its groups, one after another; all must grant it.
 
-        If one of them does not grant the claim, release those granted before.
+        If one of them does not, release the claims granted before and return its reason.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + seconds
--- a/src/peppershore/process/quotas/bucket.py
+++ b/src/peppershore/process/quotas/bucket.py
@@ -34,7 +34,10 @@
         return granted
 
     def wait_seconds(self) -> float:
-        """Return the seconds from the last ``take`` until one more call is available."""
+        """Return the seconds from the last ``take`` until one more call is available.
+
+        The result is at most ``MAX_WAIT_SECONDS``.
+        """
         if self.terms.rate <= 0.0:
             return MAX_WAIT_SECONDS
         missing = max(0.0, 1.0 - self._level)
--- a/src/peppershore/process/quotas/decider.py
+++ b/src/peppershore/process/quotas/decider.py
@@ -15,7 +15,7 @@
 from peppershore.connection.messages.quotas import QuotaGranted, TenantAsk, TenantGrant
 from peppershore.process.quotas.bucket import Bucket
 from peppershore.process.quotas.limits import Limit
-from peppershore.process.quotas.terms import bucket_terms, lease_seconds
+from peppershore.process.quotas.terms import lease_seconds, terms_of
 from peppershore.process.quotas.usage import LimitChange, Usage
 from peppershore.process.settings import QuotaSettings
 
@@ -26,9 +26,9 @@
 number of calls that the answer allowed."""
 
 RELAY_EXPIRY_SECONDS = 5.0
-"""A relay that sent no request for a window and this time loses its share of the advance
-grants: its allowance has expired, and the calls that it granted in advance lie before
-every later window."""
+"""Time beyond one window after which a relay without a request loses its share of the
+advance grants: its allowance has expired, and the calls that it granted in advance lie
+before every later window."""
 
 UNKNOWN_TENANT_WAIT_MILLISECONDS = 250
 """Wait that is reported for a tenant that does not exist. A node that still requests
@@ -75,7 +75,7 @@
             del self._buckets[name]
         self._usage.keep_only(frozenset(bound))
         for name, limit in bound.items():
-            terms = bucket_terms(limit.rate, limit.burst, self._quotas)
+            terms = terms_of(limit.rate, limit.burst, self._quotas)
             bucket = self._buckets.get(name)
             if bucket is None:
                 self._buckets[name] = Bucket(terms, now)
@@ -85,8 +85,9 @@
     def answer(
         self, asker: str, number: int, asks: tuple[TenantAsk, ...], now: float
     ) -> QuotaGranted:
-        """Grant requested calls as far as the buckets hold them.
+        """Answer a relay's request: grant the calls that the tenants' buckets hold.
 
+        All calls of a tenant without a limit are granted, none of an unknown tenant.
         ``asker`` identifies one incarnation of a relay; ``number`` is the request's.
         """
         share = self._advance_share(asker, now)
@@ -98,7 +99,7 @@
         )
 
     def limit_changes(self, now: float) -> list[LimitChange]:
-        """Return the limits that started or stopped refusing calls since the last call."""
+        """Return the limits that started or stopped refusing calls since the last query."""
         return self._usage.changes(now)
 
     def usage(self, now: float) -> tuple[TenantUsage, ...]:
@@ -151,9 +152,8 @@
     def _advance_share(self, asker: str, now: float) -> float:
         """Return this relay's share (0.0 to 1.0) of the calls granted in advance.
 
-        A new relay gets no share for a whole window. By then the other relays, which
-        learn of it by the new epoch in any answer, have used their smaller shares for as
-        long.
+        A new relay gets no share until the other relays have used their smaller shares
+        for a whole window. They learn of the new relay by the new epoch in any answer.
         """
         self._expire_relays(now)
         known = self._relays.get(asker)
@@ -165,7 +165,7 @@
         return 0.0 if self._is_new(known.first_at, now) else 1.0 / len(self._relays)
 
     def _is_new(self, since: float, now: float) -> bool:
-        """Report whether one window may still hold advance grants from before ``since``.
+        """Return whether a window up to ``now`` may hold advance grants before ``since``.
 
         A tenant that was renamed, or removed and added again, therefore gets no advance
         grants at first.
--- a/src/peppershore/process/quotas/leased_calls.py
+++ b/src/peppershore/process/quotas/leased_calls.py
@@ -47,7 +47,8 @@
     def take(self, max_calls: int, now: float) -> tuple[int, float]:
         """Remove up to ``max_calls`` calls, the oldest first.
 
-        Return the number removed and the earliest expiry of their leases.
+        Return the number removed and the earliest expiry of their leases, which is
+        infinity if there were none.
         """
         self.drop_expired(now)
         taken, expires_at = 0, math.inf
@@ -128,7 +129,7 @@
         return tuple(request.asked)
 
     def overdue(self, now: float) -> list[str]:
-        """Return the tenants whose requests became overdue since the last call.
+        """Return the tenants whose requests became overdue since the last query.
 
         A request is removed once an answer to it could no longer be valid.
         """
--- a/src/peppershore/process/quotas/node_grants.py
+++ b/src/peppershore/process/quotas/node_grants.py
@@ -39,8 +39,8 @@
 FAR_OVER_DENIALS_PER_SECOND = 3
 """Denied calls per second at this node from which a tenant counts as far over its limit.
 Its retries are then refused without a request, which leaves the limit to first attempts:
-these can still be answered in time. A single denied call is normal for a small tenant
-whose calls arrive in clumps."""
+these can still be answered in time. An occasional denied call is normal for a small
+tenant whose calls arrive in clumps."""
 
 
 class Granted(msgspec.Struct, frozen=True):
--- a/src/peppershore/process/quotas/relay_pool.py
+++ b/src/peppershore/process/quotas/relay_pool.py
@@ -28,7 +28,8 @@
 MILLISECONDS = 1_000
 
 MIN_REQUEST_INTERVAL_SECONDS = 0.01
-"""Minimum time between two requests. What arrives in between goes with the next one."""
+"""Minimum time between two requests to the leader. Calls that nodes request in between go
+with the next one."""
 
 MAX_DEBT_AGE_SECONDS = 0.1
 """Maximum time until a call granted in advance is requested from the leader."""
@@ -141,7 +142,10 @@
         self._answer_waiting(grant.tenant, state, now)
 
     def _answer_waiting(self, tenant: str, state: RelayTenant, now: float) -> None:
-        """Answer waiting requests in order, while there are calls or a denial lasts."""
+        """Answer the waiting requests in order, as far as there are calls to grant.
+
+        While a denial lasts, requests beyond that are denied; otherwise they wait on.
+        """
         state.leased.drop_expired(now)
         while state.waiting:
             first = state.waiting[0]
@@ -181,7 +185,7 @@
         return out + self._set_timer(due_at, now)
 
     def _due_requests(self, now: float) -> tuple[float, dict[str, int]]:
-        """Return when the next request is due, and the calls by tenant to request now."""
+        """Return when the next request is due, and the calls by tenant if sent now."""
         wanted: dict[str, int] = {}
         due_at = math.inf
         self._due &= self._tenants.keys()
@@ -200,7 +204,11 @@
         return max(due_at, earliest), wanted
 
     def _due_at(self, state: RelayTenant) -> float:
-        """Return when to request calls: at once if nodes wait, else later for debts."""
+        """Return when to request calls for a tenant, never before its denial ends.
+
+        Calls are requested at once if nodes wait or if the debts exceed half of the calls
+        allowed in advance, otherwise when the oldest debt is ``MAX_DEBT_AGE_SECONDS`` old.
+        """
         if state.waiting or len(state.debts) > max(1, state.ahead // 2):
             return state.denied_until
         return max(state.denied_until, state.debts[0] + MAX_DEBT_AGE_SECONDS)
--- a/src/peppershore/process/quotas/terms.py
+++ b/src/peppershore/process/quotas/terms.py
@@ -19,7 +19,8 @@
 lease."""
 
 MIN_LEASE_SECONDS = 0.1
-"""An answer must arrive within it, also if a process had to wait for the processor."""
+"""Minimum lease of a grant. An answer must arrive within it, also if a process had to wait
+for the processor."""
 
 MAX_LEASE_SECONDS = 1.0
 
@@ -61,11 +62,11 @@
     return allowed * (1.0 + quotas.overshoot) + quotas.slack
 
 
-def bucket_terms(rate: float, burst: float, quotas: QuotaSettings) -> BucketTerms:
+def terms_of(rate: float, burst: float, quotas: QuotaSettings) -> BucketTerms:
     """Return the bucket terms of a limit.
 
-    Where the window's bound is too tight for the limit's own rate, the bucket fills more
-    slowly and no calls are granted in advance.
+    Where the window's bound is too tight for the limit's own rate, the bucket may fill
+    more slowly and no calls are granted in advance.
     """
     bound = most_calls(rate, burst, quotas)
     counted_seconds = quotas.window_seconds + CLOCK_MARGIN * lease_seconds(quotas)
--- a/src/peppershore/process/quotas/usage.py
+++ b/src/peppershore/process/quotas/usage.py
@@ -16,10 +16,10 @@
 
 
 class LimitEnded(msgspec.Struct, frozen=True):
-    """A tenant's limit stopped refusing calls.
+    """A tenant's limit refused no call for ``NOT_BINDING_SECONDS``.
 
-    ``seconds`` is the time from its first to its last refusal; ``granted`` and ``refused``
-    count the calls of that time.
+    ``seconds`` is the time from its first to its last refusal. ``granted`` and ``refused``
+    count the calls from the first refusal until this change.
     """
 
     tenant: str
@@ -120,7 +120,7 @@
             self._changes.append(LimitBegan(tenant))
 
     def changes(self, now: float) -> list[LimitChange]:
-        """Return the limits that started or stopped binding since the last call."""
+        """Return the limits that started or stopped binding since the last query."""
         for tenant, use in self._uses.items():
             ended = use.end_if_not_binding(tenant, now)
             if ended is not None:
--- a/src/peppershore/process/storage/errors.py
+++ b/src/peppershore/process/storage/errors.py
@@ -26,7 +26,7 @@
 
 
 class StoreFailed(msgspec.Struct, frozen=True):
-    """A write failed and stored nothing; ``final`` if the store accepts no more writes."""
+    """A write failed as a whole; ``final`` if the store accepts no more writes."""
 
     reason: str
     final: bool
--- a/src/peppershore/process/storage/log_store.py
+++ b/src/peppershore/process/storage/log_store.py
@@ -62,7 +62,7 @@
         self._broken = False
 
     def write(self, records: list[Record]) -> Result[None, StoreFailed]:
-        """Write all records in one synced commit; if it fails, none is stored."""
+        """Make all records durable in one synced commit, or none of them."""
         if self._broken:
             return Failure(StoreFailed("the store is closed after an error", final=True))
         before = (
@@ -105,8 +105,8 @@
     def _failed(self, problem: sqlite3.Error) -> StoreFailed:
         """Roll back after an error, and return the failure.
 
-        Unless the disk was full the store accepts no more writes: after a failed sync it
-        is unknown what the disk holds, so a retry is not safe.
+        Unless the disk was full and the rollback worked, the store accepts no more writes:
+        after a failed sync it is unknown what the disk holds, so a retry is not safe.
         """
         final = code_of(problem) not in DISK_FULL_CODES
         try:
--- a/src/peppershore/process/storage/opening.py
+++ b/src/peppershore/process/storage/opening.py
@@ -61,7 +61,7 @@
 def open_store(
     folder: Path, cluster: str, replica: str
 ) -> Result[OpenedStore, StoreRefused]:
-    """Open the store in ``folder``, or create it.
+    """Open the store in ``folder``, or create it; return it with its stored state.
 
     Refuse a file that is damaged, in use, unreadable, of a newer format, or that belongs
     to another replica.
--- a/src/peppershore/process/storage/rows.py
+++ b/src/peppershore/process/storage/rows.py
@@ -23,13 +23,16 @@
 
 
 class DamagedStoreError(Exception):
-    """A row of the store is missing or doesn't match its checksum or its neighbours."""
+    """A row of the store is missing or doesn't match its checksum or its neighbours.
+
+    Raised and caught inside this package only.
+    """
 
 
 class Owner(msgspec.Struct, frozen=True):
     """The replica that a store belongs to.
 
-    ``identity`` is a random number drawn when the store was created; ``group_id`` is the
+    ``identity`` is a random number chosen when the store was created; ``group_id`` is the
     replica's group.
     """
 
--- a/tests/claims/test_claim_keys.py
+++ b/tests/claims/test_claim_keys.py
@@ -41,7 +41,7 @@
 
 @given(st.integers(4, DAY), st.integers(-DAY, DAY), st.integers(-DAY, DAY))
 def test_a_timed_key_is_taken_within_one_horizon_only(horizon, first, second):
-    """If two nodes accept the same key, its first record is not expired in between."""
+    """Whenever two nodes take the same key, its first record is still kept."""
     key = timed_key(NOW)
     if all(is_successful(check_key(key, NOW + at, horizon)) for at in (first, second)):
         assert abs(first - second) <= horizon
--- a/tests/quotas/test_quota_bound.py
+++ b/tests/quotas/test_quota_bound.py
@@ -150,7 +150,7 @@
 
 
 def test_a_leader_that_was_suspended_grants_nothing_when_it_goes_on() -> None:
-    """Its leadership has expired by its clock, so it can't answer the pending requests."""
+    """Its lease has expired by its clock, so it answers pending requests as unknown."""
     world = settled()
     for tenant, limit in limits().items():
         world.offer(tenant, 4.0 * limit.rate, 14.0)
@@ -206,7 +206,7 @@
     check_all(world)
 
 
-def test_relays_that_restart_in_turn_give_no_more_ahead() -> None:
+def test_relays_that_restart_in_turn_grant_no_more_in_advance() -> None:
     world = settled()
     for tenant, limit in limits().items():
         world.offer(tenant, 5.0 * limit.rate, 24.0)
--- a/tests/quotas/test_quota_group.py
+++ b/tests/quotas/test_quota_group.py
@@ -133,10 +133,7 @@
 
 
 def test_a_resumed_leader_grants_nothing_before_its_voters_confirm_it() -> None:
-    """The resumed leader is cut off, so a grant would be made without its voters.
-
-    Another leader may have been elected during the suspension.
-    """
+    """The resumed leader is cut off, so it would grant calls by its own decision alone."""
     for seed in range(1, 6):
         cluster, askers, leader = started(seed)
         for asker in askers.values():
--- a/tests/quotas/test_quota_parts.py
+++ b/tests/quotas/test_quota_parts.py
@@ -26,7 +26,7 @@
 )
 from peppershore.process.quotas.relay_pool import RelayPool
 from peppershore.process.quotas.relay_tenant import RelayTenant
-from peppershore.process.quotas.terms import bucket_terms, lease_seconds, most_calls
+from peppershore.process.quotas.terms import lease_seconds, most_calls, terms_of
 from peppershore.process.quotas.turns import MAX_RETRY_SECONDS, Turns
 from peppershore.process.settings import QuotaSettings
 from peppershore.version.model import Tenant
@@ -55,7 +55,7 @@
     rate: float, burst: float, window: float, overshoot: float, slack: float
 ) -> None:
     quotas = QuotaSettings(window_seconds=window, overshoot=overshoot, slack=slack)
-    terms = bucket_terms(rate, burst, quotas)
+    terms = terms_of(rate, burst, quotas)
     counted = window + lease_seconds(quotas)
     most = terms.capacity + terms.rate * counted + terms.ahead
     assert most <= most_calls(rate, burst, quotas) * (1.0 + 1e-9) + 1e-6
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("rate", [1.0, 2.0, 10.0, 40.0, 350.0, 3_000.0])
 @pytest.mark.parametrize("burst_seconds", [0.0, 0.1, 1.0, 3.0])
 def test_a_limit_fills_as_fast_as_it_says(rate: float, burst_seconds: float) -> None:
-    terms = bucket_terms(rate, rate * burst_seconds, QUOTAS)
+    terms = terms_of(rate, rate * burst_seconds, QUOTAS)
     assert terms.rate == rate
     assert terms.capacity >= rate * burst_seconds
 
@@ -87,14 +87,14 @@
     return deciding.answer(asker, 1, asks, now).grants[0]
 
 
-def test_a_bucket_begins_empty_and_says_when_there_is_one() -> None:
+def test_a_bucket_starts_empty_and_returns_the_wait_for_one_call() -> None:
     grant = grant_of(decider(), START)
     assert (grant.calls, grant.wait_milliseconds) == (0, 25)
 
 
 def test_a_bucket_never_holds_more_than_its_capacity() -> None:
     grant = grant_of(decider(), START + 3_600.0)
-    assert grant.calls == int(bucket_terms(40.0, 40.0, QUOTAS).capacity)
+    assert grant.calls == int(terms_of(40.0, 40.0, QUOTAS).capacity)
 
 
 def test_a_tenant_without_limit_is_granted_all() -> None:
@@ -114,7 +114,7 @@
     grant_of(deciding, START)
     assert grant_of(deciding, START + wait - 0.01).ahead == 0
     alone = grant_of(deciding, START + wait).ahead
-    assert alone == bucket_terms(40.0, 40.0, QUOTAS).ahead
+    assert alone == terms_of(40.0, 40.0, QUOTAS).ahead
     reborn = START + wait + 1.0
     assert grant_of(deciding, reborn, asker="r1/2").ahead == 0
     assert grant_of(deciding, reborn).ahead == alone // 2
@@ -122,14 +122,14 @@
     assert grant_of(deciding, reborn + wait, asker="r1/2").ahead == alone // 2
 
 
-def test_all_shares_of_what_is_given_ahead_fit_into_it() -> None:
+def test_shares_of_all_relays_stay_within_the_advance_grants() -> None:
     deciding = decider()
     askers = [f"r{number}/1" for number in range(11)]
     for asker in askers:
         grant_of(deciding, START, asker=asker)
     later = START + 8.0
     shares = [grant_of(deciding, later, asker=asker).ahead for asker in askers]
-    assert sum(shares) <= bucket_terms(40.0, 40.0, QUOTAS).ahead
+    assert sum(shares) <= terms_of(40.0, 40.0, QUOTAS).ahead
     assert all(shares)
 
 
@@ -186,7 +186,7 @@
     return pool
 
 
-def test_what_a_relay_holds_is_given_with_the_rest_of_its_lease() -> None:
+def test_calls_held_by_a_relay_are_granted_for_the_rest_of_their_lease() -> None:
     pool = relay_with(3)
     (answer,) = sent(asked_by(pool, 2, START + 0.3, 9), NODE)
     assert isinstance(answer, QuotaGranted)
@@ -194,12 +194,12 @@
     assert answer.lease_milliseconds <= 100
 
 
-def test_what_a_relay_holds_ends_one_lease_after_its_ask() -> None:
+def test_calls_held_by_a_relay_expire_one_lease_after_their_request() -> None:
     pool = relay_with(3)
     assert sent(asked_by(pool, 1, START + LEASE, 9), NODE) == []
 
 
-def test_an_answer_that_comes_after_its_lease_brings_nothing() -> None:
+def test_an_answer_that_arrives_after_its_lease_grants_nothing() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     late = START + LEASE + 0.01
@@ -213,7 +213,7 @@
     assert sent(asked_by(pool, 1, START + 0.03, 9), NODE) == []
 
 
-def test_a_relay_gives_ahead_no_more_than_it_was_told_of() -> None:
+def test_a_relay_grants_no_more_in_advance_than_it_was_allowed() -> None:
     pool = relay_with(0, ahead=2)
     first = sent(asked_by(pool, 1, START + 0.02, 7), NODE)
     second = sent(asked_by(pool, 1, START + 0.03, 8), NODE)
@@ -221,7 +221,7 @@
     assert [len(first), len(second), len(third)] == [1, 1, 0]
 
 
-def test_what_was_given_ahead_is_paid_for_before_anything_else() -> None:
+def test_grants_cover_debts_before_anything_else() -> None:
     pool = relay_with(0, ahead=1)
     asked_by(pool, 1, START + 0.02, 7)
     (ask,) = sent(asked_by(pool, 1, START + 0.1, 8), SOURCE)
@@ -234,7 +234,7 @@
     assert answer.grants[0].wait_milliseconds >= 50
 
 
-def test_a_grant_pays_for_nothing_that_was_given_after_its_ask() -> None:
+def test_a_grant_covers_no_debt_made_after_its_request() -> None:
     """The grant may be older than the call, and one window could then hold too many."""
     state = RelayTenant()
     state.ahead = 2
@@ -244,13 +244,13 @@
     assert list(state.debts) == [START + 0.2]
 
 
-def test_nothing_is_given_ahead_when_the_group_was_not_heard_for_a_while() -> None:
+def test_nothing_is_granted_in_advance_without_a_recent_answer() -> None:
     pool = relay_with(0, ahead=5)
     at = START + AHEAD_SECONDS + 0.01
     assert sent(asked_by(pool, 1, at, 9), NODE) == []
 
 
-def test_another_epoch_ends_what_was_told_before() -> None:
+def test_a_new_epoch_ends_the_allowed_advance_grants() -> None:
     pool = relay_with(0, ahead=5)
     (ask,) = sent(asked_by(pool, 6, START + 0.05, 8), SOURCE)
     other = QuotaGranted(ask.number, (TenantGrant("studio", 0, 1, 0),), 400, epoch=6)
@@ -258,7 +258,7 @@
     assert sent(asked_by(pool, 1, START + 0.2, 9), NODE) == []
 
 
-def test_a_denial_is_passed_on_at_once_while_it_lasts() -> None:
+def test_a_denial_is_forwarded_at_once_while_it_lasts() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     pool.granted(granted(ask.number, 0, wait=300), SOURCE, START + 0.01)
@@ -290,7 +290,7 @@
     assert sent(pool.timer(SOURCE, START + 0.07), SOURCE)
 
 
-def test_a_tenant_of_which_nobody_asks_any_more_is_forgotten_with_its_ask_open() -> None:
+def test_an_idle_tenant_is_dropped_while_its_request_is_open() -> None:
     pool = RelayPool(QUOTAS)
     assert sent(asked_by(pool, 1, START), SOURCE)
     pool.link_closed(NODE)
@@ -302,7 +302,7 @@
 # --- the node
 
 
-def test_a_tenant_taken_away_is_forgotten_with_its_ask_open() -> None:
+def test_a_removed_tenant_is_dropped_while_its_request_is_open() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 0.1), START)
     assert grants.due_ask(START) is not None
@@ -328,7 +328,7 @@
     assert grants.take("studio", late, START + LEASE) is None
 
 
-def test_calls_that_wait_share_an_ask_and_are_decided_in_order() -> None:
+def test_waiting_calls_share_a_request_and_are_decided_in_order() -> None:
     grants = NodeGrants(QUOTAS)
     waiters = [Waiter(number, START + 1.0) for number in range(3)]
     for waiter in waiters:
@@ -353,7 +353,7 @@
     assert len(grants.answered(answer, now + 0.001)) == calls
 
 
-def test_far_over_the_limit_repeats_ask_for_nothing_and_first_sends_go_on() -> None:
+def test_far_over_the_limit_retries_send_no_request_and_first_attempts_do() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 6, START)
     repeat = Waiter("repeat", START + 1.0, is_repeat=True)
@@ -363,14 +363,14 @@
     assert grants.due_ask(START + 0.1) is not None
 
 
-def test_a_repeat_of_a_clump_that_was_denied_once_is_asked_for() -> None:
+def test_a_retry_after_one_denied_clump_is_requested() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 1, START)
     repeat = Waiter("repeat", START + 1.0, is_repeat=True)
     assert grants.take("studio", repeat, START + 0.1) is None
 
 
-def test_repeats_are_asked_for_again_once_the_limit_denies_no_more() -> None:
+def test_retries_are_requested_again_once_the_limit_denies_no_more() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 6, START)
     repeat = Waiter("repeat", START + 9.0, is_repeat=True)
@@ -389,7 +389,7 @@
     assert grants.next_due(START + 1.0) is None or grants.due_ask(START + 1.0) is None
 
 
-def test_an_answer_to_an_ask_of_before_the_lease_brings_nothing() -> None:
+def test_an_answer_to_a_request_older_than_the_lease_grants_nothing() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 9.0), START)
     ask = grants.due_ask(START)
--- a/tests/quotas/test_quota_usage.py
+++ b/tests/quotas/test_quota_usage.py
@@ -28,7 +28,7 @@
 WINDOW = QUOTAS.window_seconds
 
 
-def test_a_node_tells_each_refused_call_once_with_its_next_ask() -> None:
+def test_a_node_reports_each_refused_call_once_with_its_next_request() -> None:
     grants = NodeGrants(QUOTAS)
     for number in range(3):
         grants.take("studio", Waiter(number, START + 9.0), START)
@@ -46,7 +46,7 @@
     assert told == [3, 0]
 
 
-def test_a_relay_passes_on_what_its_nodes_refused() -> None:
+def test_a_relay_forwards_the_refusals_of_its_nodes() -> None:
     pool = RelayPool(QUOTAS)
     told: list[int] = []
     for number, refused in enumerate((4, 5, -1)):
--- a/tests/quotas/test_quota_ways.py
+++ b/tests/quotas/test_quota_ways.py
@@ -72,7 +72,7 @@
     assert site.relay_of("n1")
 
 
-def test_an_ask_comes_back_granted_through_relay_and_replica() -> None:
+def test_a_request_is_granted_through_relay_and_replica() -> None:
     site = GrantingSite(quotas=QUOTAS)
     with_node(site)
     site.network.give("n1", QuotaWanted(ASK))
@@ -83,7 +83,7 @@
     assert 300 < answer.lease_milliseconds <= 400
 
 
-def test_a_relay_that_knows_no_replica_asks_as_soon_as_it_does() -> None:
+def test_a_relay_without_a_replica_sends_its_request_once_it_has_one() -> None:
     site = GrantingSite(quotas=QUOTAS)
     with_node(site)
     relay = site.relay_of("n1")
@@ -105,7 +105,7 @@
     assert site.count_sent("n1", QuotaAsked) == 0
 
 
-def test_a_relay_without_the_setting_asks_nobody() -> None:
+def test_a_relay_without_the_setting_sends_no_request() -> None:
     site = GrantingSite()
     with_node(site)
     relay = site.relay_of("n1")
--- a/tests/storage/test_disk_full.py
+++ b/tests/storage/test_disk_full.py
@@ -32,7 +32,7 @@
 LARGE_PAGES = 1_000_000
 PADDING = "x" * 200
 AFTERWARDS = 9_000
-"""Number of an edit that is larger than that of any edit sent before."""
+"""Number of an edit that no edit sent before has."""
 BOUND_SECONDS = 30.0
 
 
--- a/tests/storage/test_snapshot_parts.py
+++ b/tests/storage/test_snapshot_parts.py
@@ -1,4 +1,7 @@
-"""Snapshots in parts: parts written before the snapshot; upgrade of the first format."""
+"""Snapshots in parts: parts are written first and count once a snapshot names them.
+
+A store in the first format, with the snapshot in one blob, is upgraded.
+"""
 
 import sqlite3
 from pathlib import Path
