--- a/tests/quotas/test_quota_ways.py
+++ b/tests/quotas/test_quota_ways.py
@@ -1,4 +1,4 @@
-"""Asks go from a node's gate to its relay and the group, and answers come back."""
+"""Path of quota requests from a node through its relay to the group, and back."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class GrantingReplica(ScriptedReplica):
-    """Grants whatever is asked for."""
+    """A replica that grants all requested calls."""
 
     def step(self, event: events.Event, now: float) -> list[Command]:
         if isinstance(event, events.MessageReceived) and isinstance(
@@ -49,7 +49,7 @@
 
 
 class GrantingSite(Site):
-    """A site whose replica grants."""
+    """A site whose replica grants all requested calls."""
 
     def __init__(self, **relay_settings: object) -> None:
         super().__init__(**relay_settings)  # type: ignore[arg-type]
@@ -72,7 +72,7 @@
     assert site.relay_of("n1")
 
 
-def test_an_ask_comes_back_granted_through_relay_and_replica() -> None:
+def test_a_request_is_granted_through_relay_and_replica() -> None:
     site = GrantingSite(quotas=QUOTAS)
     with_node(site)
     site.network.give("n1", QuotaWanted(ASK))
@@ -83,7 +83,7 @@
     assert 300 < answer.lease_milliseconds <= 400
 
 
-def test_a_relay_that_knows_no_replica_asks_as_soon_as_it_does() -> None:
+def test_a_relay_without_a_replica_sends_its_request_once_it_has_one() -> None:
     site = GrantingSite(quotas=QUOTAS)
     with_node(site)
     relay = site.relay_of("n1")
@@ -105,7 +105,7 @@
     assert site.count_sent("n1", QuotaAsked) == 0
 
 
-def test_a_relay_without_the_setting_asks_nobody() -> None:
+def test_a_relay_without_the_setting_sends_no_request() -> None:
     site = GrantingSite()
     with_node(site)
     relay = site.relay_of("n1")
