--- a/src/peppershore/process/__init__.py
+++ b/src/peppershore/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a process: cores and shells of each role, settings, logs."""
+"""Processes: the core and shell of each role, settings, logging and metrics."""
--- a/src/peppershore/process/admin_http.py
+++ b/src/peppershore/process/admin_http.py
@@ -1,7 +1,8 @@
-"""The admin listener of a process: metrics, health, readiness and pages.
+"""HTTP listener of a process for metrics, health, readiness and admin pages.
 
-``GET /metrics``, ``/healthz`` (the loop turns), ``/readyz`` (200 only if
-the role's own condition holds, else 503 with the reason), and the role's pages.
+Serves ``GET /metrics``, ``/healthz`` (200 while the event loop runs), ``/readyz`` (200 if
+the process fulfils its role's readiness condition, else 503 with the reason) and the
+pages of the role.
 """
 
 from __future__ import annotations
@@ -31,14 +32,14 @@
 
 
 class Readiness(msgspec.Struct, frozen=True):
-    """Whether the process does its job now, and why not."""
+    """Whether the process can do its work now, and the reason if it can't."""
 
     ready: bool
     reason: str = ""
 
 
 class Page(msgspec.Struct, frozen=True):
-    """One answer of the admin listener."""
+    """One response of the admin listener."""
 
     body: bytes
     content_type: str = HTML
@@ -46,7 +47,7 @@
 
 
 PageSource = Callable[[str], Page]
-"""Gives a page for the query string of the request (without "?")."""
+"""Returns a page for the query string of the request (without "?")."""
 
 
 class AdminServer:
@@ -59,9 +60,11 @@
         pages: Mapping[str, PageSource] | None = None,
         services: Mapping[str, Answerer] | None = None,
     ) -> None:
-        """Serve the standard pages, ``pages`` (by path, such as "/status") and services.
+        """Serve the standard pages, ``pages`` and ``services``.
 
-        ``services``, by the first part of the path, answer whatever method it is.
+        ``pages`` maps a path such as "/status" to its source; only GET and HEAD are
+        allowed. ``services`` maps the first segment of a path to a handler, which gets
+        requests of every method and has precedence over pages.
         """
         self._services = dict(services or {})
         self._pages: dict[str, PageSource] = {
@@ -73,7 +76,7 @@
         self._service = HttpService(self._answer, max_connections=MAX_CONNECTIONS)
 
     async def start(self, listen: str) -> int:
-        """Listen on "IP:port"; give the port bound."""
+        """Listen on "IP:port" and return the bound port."""
         return await self._service.start(listen)
 
     async def close(self) -> None:
--- a/src/peppershore/process/boot_clock.py
+++ b/src/peppershore/process/boot_clock.py
@@ -1,9 +1,10 @@
-"""The one clock of all decisions: it also counts the time a machine was suspended.
+"""The clock of all decisions, which also counts the time a machine was suspended.
 
-Leases, slot loans, ages and silences are agreed between machines.  The usual steady clock
-stands still while a machine is suspended, so a leader that wakes would go on with a lease
-that the others have long given to another.  Weighed: the time of day (it can be set back),
-a timer that notices suspensions (it comes after the first decisions).
+Leases, slot loans, ages and silence time-outs are agreed between machines. The usual
+monotonic clock stops while a machine is suspended, so that a resumed leader would still
+rely on a lease that the other replicas have already granted to another leader.
+Alternatives: the time of day can be set back, and a timer that detects suspensions fires
+only after the first decisions.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 
 
 def boot_seconds() -> float:
-    """Give the seconds since the machine's boot, suspended or not; never goes back."""
+    """Return the seconds since boot, including suspensions; the value never decreases."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time is that clock.
+    """An event loop that schedules its timers by ``boot_seconds``.
 
-    What fell due during a suspension runs at the first event after it, at the latest when
-    the wait ends that the suspension interrupted: no role waits longer than 0.5 s.
+    Timers that fell due during a suspension run at the first event after it, at the latest
+    when the interrupted wait of the loop ends. In every role such a wait is at most 0.5 s.
     """
 
     def time(self) -> float:
-        """Give the seconds since the boot."""
+        """Return the seconds since boot."""
         return boot_seconds()
--- a/src/peppershore/process/commands.py
+++ b/src/peppershore/process/commands.py
@@ -1,6 +1,6 @@
-"""What a core asks its shell to do: the outputs of every ``step``.
+"""Commands: the outputs of a core's ``step``, which its shell executes in order.
 
-Commands are verbs.  A shell carries them out in order.
+A command's class is named by a verb.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
     """Base of all commands."""
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the length of values of type bytes."""
         return describe(self)
 
 
 class OpenLink(Command, frozen=True):
-    """Connect to ``address`` ("IP:port"); answered by LinkOpened or LinkClosed."""
+    """Connect to ``address`` ("IP:port"); LinkOpened or LinkClosed follows."""
 
     link: LinkId
     address: str
 
 
 class CloseLink(Command, frozen=True):
-    """Send what is queued on the link, then close it; no LinkClosed follows."""
+    """Send the queued messages of the link, then close it; no LinkClosed follows."""
 
     link: LinkId
     reason: str
@@ -42,27 +42,30 @@
 
 
 class SendEncoded(Command, frozen=True):
-    """Send a message encoded before with ``codec.encode_message``, shared by links."""
+    """Send a message already encoded with ``codec.encode_message``.
+
+    Several links may share one encoded message.
+    """
 
     link: LinkId
     payload: bytes
 
 
 class SetTimer(Command, frozen=True):
-    """Fire ``timer`` once after ``delay_seconds``; replaces a timer of that name."""
+    """Fire ``timer`` once after ``delay_seconds``; replaces a timer of the same name."""
 
     timer: str
     delay_seconds: float
 
 
 class CancelTimer(Command, frozen=True):
-    """Forget a timer."""
+    """Cancel a timer; does nothing if it is not set."""
 
     timer: str
 
 
 class PersistRecords(Command, frozen=True):
-    """Base of role-specific durable writes; answered by RecordsPersisted or -Failed.
+    """Base of the durable writes of a role; RecordsPersisted or RecordsFailed follows.
 
     The shell may merge the writes of several tokens into one synced commit.
     """
@@ -71,20 +74,20 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """Base of what a core reports to logs and metrics.
+    """Base of the events that are logged and counted in metrics.
 
-    The class name in snake case is the log event's stable name, its fields are
-    the log record's fields.  A notice holds no key material.
+    The class name in snake case is the stable name of the log event; the fields become
+    the fields of the log line. A notice holds no key material.
     """
 
 
 class Report(Command, frozen=True):
-    """Write one structured log line and count it."""
+    """Write a notice as one structured log line and count it in the metrics."""
 
     notice: Notice
 
 
 class Exit(Command, frozen=True):
-    """The planned stop is complete; end the process."""
+    """End the process: its planned stop is complete."""
 
     reason: str
--- a/src/peppershore/process/configuration_page.py
+++ b/src/peppershore/process/configuration_page.py
@@ -1,4 +1,4 @@
-"""A node's admin page that shows what it really holds; key material never."""
+"""Admin page that shows the active configuration of a node, without key material."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HeldSecret(msgspec.Struct, frozen=True):
-    """A secret as shown: everything but its material."""
+    """A secret as shown on the page, without its key material."""
 
     name: str
     generations: tuple[int, ...]
@@ -26,9 +26,10 @@
 
 
 class HeldTenant(msgspec.Struct, frozen=True):
-    """A tenant as shown: how many keys it has, and what holds for it.
+    """A tenant as shown on the page: the number of its keys, its limit and priority.
 
-    ``rate_per_second`` 0: no limit; ``priority`` None: that of the route.
+    A ``rate_per_second`` of 0 means no limit; a ``priority`` of None means that of the
+    route.
     """
 
     name: str
@@ -39,7 +40,7 @@
 
 
 class HeldConfiguration(msgspec.Struct, frozen=True):
-    """What one node holds; version 0 means that it holds nothing yet."""
+    """The active configuration of one node; version 0 means that it has none yet."""
 
     node: str
     scope: Scope | None = None
@@ -52,7 +53,7 @@
 
 
 def view_configuration(node: str, active: ActiveConfiguration | None) -> HeldConfiguration:
-    """Give the shown form of a node's configuration."""
+    """Return a node's configuration in the form shown on its admin page."""
     if active is None:
         return HeldConfiguration(node)
     return HeldConfiguration(
@@ -84,5 +85,5 @@
 
 
 def configuration_page(node: str, active: ActiveConfiguration | None) -> Page:
-    """Give the page as JSON."""
+    """Return the configuration of ``node`` as a JSON page."""
     return Page(msgspec.json.encode(view_configuration(node, active)), JSON)
--- a/src/peppershore/process/core.py
+++ b/src/peppershore/process/core.py
@@ -1,4 +1,4 @@
-"""The shape of everything that decides: ``step(event, now) -> commands``."""
+"""Interface of the deterministic cores: ``step(event, now) -> commands``."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
     """A deterministic state machine without sockets, clocks, files or randomness."""
 
     def step(self, event: Event, now: float) -> list[Command]:
-        """Take one event at monotonic time ``now`` (seconds); give what to do."""
+        """Process one event at monotonic time ``now`` (seconds); return the commands."""
         ...
--- a/src/peppershore/process/events.py
+++ b/src/peppershore/process/events.py
@@ -1,7 +1,7 @@
-"""What can happen to a core: the inputs of every ``step``.
+"""Events: the inputs of a core's ``step``, named in the past tense.
 
-Events are past facts.  The asyncio shell, the simulator, the hollow nodes and
-the model checker all hand the same events to the same cores.
+The asyncio shell, the simulator, the hollow nodes and the model checker all pass the
+same events to the same cores.
 """
 
 from __future__ import annotations
@@ -11,8 +11,11 @@
 from peppershore.connection.messages.base import Message
 
 LinkId = int
-"""Names one link within a process.  Links a core opens are odd and chosen by
-the core; accepted links are even and chosen by the shell.  Never reused."""
+"""Number of a link, unique within a process and never reused.
+
+A core assigns odd numbers to the links it opens; the shell assigns even numbers to
+accepted links.
+"""
 
 
 class Event(msgspec.Struct, frozen=True):
@@ -20,13 +23,16 @@
 
 
 class Started(Event, frozen=True):
-    """The process runs; ``seed`` feeds the core's random choices."""
+    """The process has started; ``seed`` seeds the random choices of the core."""
 
     seed: int
 
 
 class LinkOpened(Event, frozen=True):
-    """A link is usable.  ``address`` is the peer's; ``identity`` its certificate name."""
+    """A link is usable; ``address`` and ``identity`` (from its certificate) are the peer's.
+
+    ``identity`` is empty without TLS.
+    """
 
     link: LinkId
     address: str
@@ -34,37 +40,37 @@
 
 
 class LinkClosed(Event, frozen=True):
-    """A link is gone or could not be opened; nothing more comes on it."""
+    """A link was closed or could not be opened; no more events follow for it."""
 
     link: LinkId
     reason: str
 
 
 class MessageReceived(Event, frozen=True):
-    """A whole, decoded message came on a link."""
+    """A complete message was received on a link and decoded."""
 
     link: LinkId
     message: Message
 
 
 class TimerFired(Event, frozen=True):
-    """A timer set by the core ran out; it is no longer set."""
+    """A timer set by the core expired and is no longer set."""
 
     timer: str
 
 
 class StopRequested(Event, frozen=True):
-    """The process was asked to stop in a planned way."""
+    """A planned stop of the process was requested."""
 
 
 class RecordsPersisted(Event, frozen=True):
-    """What ``PersistRecords`` with this token asked for is on disk and synced."""
+    """The records of the ``PersistRecords`` with this token are written and synced."""
 
     token: int
 
 
 class RecordsFailed(Event, frozen=True):
-    """The disk refused; nothing of that token may be counted on."""
+    """The disk write failed; no record of this token may be relied on."""
 
     token: int
     reason: str
--- a/src/peppershore/process/http_service.py
+++ b/src/peppershore/process/http_service.py
@@ -1,6 +1,7 @@
-"""Small HTTP/1.1 interfaces of a process, by h11: one request after another.
+"""HTTP/1.1 server for the small interfaces of a process, based on h11.
 
-For operators, back ends and probes; calls go through ``connection.http_server``.
+It serves operators, back ends and probes, one request at a time per connection. Calls
+between services go through ``connection.http_server``.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class ServiceRequest(msgspec.Struct, frozen=True):
-    """One request; ``query`` is without "?"."""
+    """One request; ``query`` does not include the "?"."""
 
     method: str
     path: str
@@ -32,7 +33,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """One answer; ``fields`` go into its head beside type and length."""
+    """One response; ``fields`` are header fields besides content type and length."""
 
     status: int = STATUS_OK
     body: bytes = b""
@@ -44,7 +45,7 @@
 
 
 class HttpService:
-    """Listens on one address and has each request answered."""
+    """Listens on one address and passes each request to a handler."""
 
     def __init__(
         self,
@@ -52,7 +53,10 @@
         max_body_bytes: int = 0,
         max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """Refuse bodies above ``max_body_bytes``."""
+        """Answer requests by ``answer``, and those with a too large body by status 413.
+
+        A ``max_body_bytes`` of 0 means that bodies are read and discarded.
+        """
         self._answer = answer
         self._max_body_bytes = max_body_bytes
         self._max_connections = max_connections
@@ -60,7 +64,7 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self, listen: str) -> int:
-        """Listen on "IP:port"; give the port bound."""
+        """Listen on "IP:port" and return the bound port."""
         host, _, port = listen.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
         return int(self._server.sockets[0].getsockname()[1])
@@ -95,13 +99,13 @@
         connection = h11.Connection(h11.SERVER)
         while True:
             async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
-                exchange = await self._next_request(connection, reader)
-                if exchange is None:
+                received = await self._next_request(connection, reader)
+                if received is None:
                     return
-                if isinstance(exchange, ServiceAnswer):
-                    answer, method = exchange, ""
+                if isinstance(received, ServiceAnswer):
+                    answer, method = received, ""
                 else:
-                    answer, method = await self._answer(exchange), exchange.method
+                    answer, method = await self._answer(received), received.method
                 writer.write(_encode(connection, method, answer))
                 await writer.drain()
             if connection.our_state is not h11.DONE:
@@ -111,7 +115,10 @@
     async def _next_request(
         self, connection: h11.Connection, reader: asyncio.StreamReader
     ) -> ServiceRequest | ServiceAnswer | None:
-        """Give the next whole request, a refusal of it, or None when the peer is done."""
+        """Return the next complete request, or the response that rejects it.
+
+        Return None when the peer has closed the connection.
+        """
         head: h11.Request | None = None
         body = bytearray()
         while True:
@@ -127,12 +134,12 @@
                 if self._max_body_bytes == 0:
                     body.clear()
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return _request(head, bytes(body))
+                return _to_request(head, bytes(body))
             else:
                 return None
 
 
-def _request(head: h11.Request, body: bytes) -> ServiceRequest:
+def _to_request(head: h11.Request, body: bytes) -> ServiceRequest:
     target = head.target.decode("ascii", "replace")
     path, _, query = target.partition("?")
     return ServiceRequest(head.method.decode("ascii"), path, query, body)
--- a/src/peppershore/process/link_numbers.py
+++ b/src/peppershore/process/link_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers of the links a core opens: odd, rising, never used twice."""
+"""Numbers of the links that a core opens: odd, increasing and never reused."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class LinkNumbers:
-    """Hands out the link numbers of one core."""
+    """Allocates the link numbers of one core."""
 
     def __init__(self) -> None:
-        """Begin at 1."""
+        """Start at 1."""
         self._next = 1
 
     def take(self) -> LinkId:
-        """Give a number that was never given before."""
+        """Return the next unused number."""
         number = self._next
         self._next += LINK_STEP
         return number
--- a/src/peppershore/process/link_report.py
+++ b/src/peppershore/process/link_report.py
@@ -1,4 +1,4 @@
-"""What went over the links of this process: metrics, and a line at each interval."""
+"""Traffic on the links of this process: metrics and a periodic log line."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 
 MILLISECONDS = 1_000
 Octets = dict[str, int]
+"""Bytes by kind of message."""
 
 
 class LinkTraffic(Notice, frozen=True):
     """Bytes by kind of message within the last ``milliseconds``.
 
-    ``round_trip_milliseconds`` is the longest that an answer took which the other end
-    gave at once, 0 without one: what a message waits for the links of both ends.
+    ``round_trip_milliseconds`` is the longest round trip of a request that the peer
+    answered at once, 0 if there was none. It shows how long messages wait for the network
+    links of both machines.
     """
 
     level: ClassVar[str] = "info"
@@ -34,7 +36,7 @@
 
 
 class LinkReporter:
-    """Writes a line of the traffic at each interval."""
+    """Logs the traffic on all links at a fixed interval."""
 
     def __init__(
         self,
@@ -42,79 +44,85 @@
         interval_milliseconds: int,
         notice_sink: Callable[[Notice], None],
     ) -> None:
-        """Write nothing with an interval of 0; ``link_megabits`` is for the reader."""
+        """Report to ``notice_sink``; an interval of 0 turns reports off.
+
+        ``link_megabits`` is only shown in the log line.
+        """
         self._link_megabits = link_megabits
-        self._seconds = interval_milliseconds / MILLISECONDS
+        self._interval_seconds = interval_milliseconds / MILLISECONDS
         self._notice_sink = notice_sink
-        self._before = (Octets(), Octets())
-        self._at = 0.0
+        self._previous = (Octets(), Octets())
+        self._interval_start = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin; must run on the loop."""
-        if self._seconds > 0.0:
-            self._at = asyncio.get_running_loop().time()
-            self._before = (_octets(TRAFFIC.sent), _octets(TRAFFIC.received))
-            self._later()
+        """Start the first interval; call it on the event loop."""
+        if self._interval_seconds > 0.0:
+            self._interval_start = asyncio.get_running_loop().time()
+            self._previous = (
+                _octets_by_kind(TRAFFIC.sent),
+                _octets_by_kind(TRAFFIC.received),
+            )
+            self._schedule()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop reporting."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _later(self) -> None:
+    def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._seconds, self._report)
+        self._timer = loop.call_later(self._interval_seconds, self._report)
 
     def _report(self) -> None:
         now = asyncio.get_running_loop().time()
-        sent, received = _octets(TRAFFIC.sent), _octets(TRAFFIC.received)
+        sent, received = _octets_by_kind(TRAFFIC.sent), _octets_by_kind(TRAFFIC.received)
         round_trips = TRAFFIC.take_round_trips()
-        line = LinkTraffic(
-            milliseconds=round((now - self._at) * MILLISECONDS),
+        notice = LinkTraffic(
+            milliseconds=round((now - self._interval_start) * MILLISECONDS),
             link_megabits=self._link_megabits,
             round_trips=round_trips.count,
             round_trip_milliseconds=round(round_trips.longest * MILLISECONDS),
-            sent=_growth(self._before[0], sent),
-            received=_growth(self._before[1], received),
+            sent=_increase(self._previous[0], sent),
+            received=_increase(self._previous[1], received),
         )
-        self._before = (sent, received)
-        self._at = now
-        if line.sent or line.received:
-            self._notice_sink(line)
-        self._later()
+        self._previous = (sent, received)
+        self._interval_start = now
+        if notice.sent or notice.received:
+            self._notice_sink(notice)
+        self._schedule()
 
 
 class TrafficFigures:
-    """Metrics of the bytes on all links."""
+    """Metrics of the bytes on all links by direction and kind of message."""
 
     def __init__(self, traffic: Traffic = TRAFFIC) -> None:
-        """Show ``traffic``."""
+        """Export the counts of ``traffic``."""
         self._traffic = traffic
 
     def collect(self) -> Iterator[Metric]:
-        """Give the metrics, as the library's registry asks for them."""
+        """Return the current metrics; called by the registry of the client library."""
         from prometheus_client import core  # noqa: PLC0415
 
-        counted = core.CounterMetricFamily(
+        byte_counts = core.CounterMetricFamily(
             "peppershore_link_kind_bytes",
             "Bytes on links by direction and kind of message.",
             labels=["direction", "kind"],
         )
         for direction, tallies in _directions(self._traffic):
-            for kind, octets in sorted(_octets(tallies).items()):
-                counted.add_metric([direction, kind], octets)
-        yield counted
+            for kind, octets in sorted(_octets_by_kind(tallies).items()):
+                byte_counts.add_metric([direction, kind], octets)
+        yield byte_counts
 
 
 def _directions(traffic: Traffic) -> tuple[tuple[str, Tallies], tuple[str, Tallies]]:
     return (("sent", traffic.sent), ("received", traffic.received))
 
 
-def _octets(tallies: Tallies) -> Octets:
+def _octets_by_kind(tallies: Tallies) -> Octets:
     return {kind_name(kind): tally.octets for kind, tally in tallies.items()}
 
 
-def _growth(before: Octets, now: Octets) -> Octets:
-    grown = {kind: octets - before.get(kind, 0) for kind, octets in now.items()}
-    return {kind: octets for kind, octets in grown.items() if octets}
+def _increase(before: Octets, now: Octets) -> Octets:
+    increases = {kind: octets - before.get(kind, 0) for kind, octets in now.items()}
+    return {kind: octets for kind, octets in increases.items() if octets}
--- a/src/peppershore/process/link_security.py
+++ b/src/peppershore/process/link_security.py
@@ -1,4 +1,4 @@
-"""TLS contexts of one process, kept in step with its files, and its permissions."""
+"""TLS contexts of a process, reloaded when its files change, and message permissions."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 
 
 class CertificateReloaded(Notice, frozen=True):
-    """The process took changed certificate files for its new links."""
+    """Changed certificate files were loaded and are used for new links."""
 
 
 class CertificateReloadFailed(Notice, frozen=True):
-    """Changed certificate files can't be used; the old ones stay."""
+    """Changed certificate files can't be used; the former certificate stays in use."""
 
     level: ClassVar[str] = "warning"
     reason: str
 
 
 class UnusableCertificateError(OSError):
-    """The process can't start with its certificate files; the text says why."""
+    """The process can't start with its certificate files; the message says why."""
 
 
 class LinkSecurity:
-    """What a role's shell gives its links: contexts and permissions.
+    """TLS contexts and message permissions for the links of a role's shell.
 
-    Without TLS files there are no contexts, and every message is allowed.
-    Raises OSError at the start when the files are unusable.
+    Without TLS files there are no contexts and every message is allowed. The constructor
+    raises OSError when the files can't be used.
     """
 
     def __init__(self, role: str, files: TlsFiles | None) -> None:
-        """Read the files of a process of ``role``."""
+        """Read the TLS files of a process with the given role."""
         self.authorize: Authorize = allow_all
         self.client: ssl.SSLContext | None = None
         self.server: ssl.SSLContext | None = None
@@ -60,7 +60,7 @@
         if files is None:
             return
         paths = TlsPaths(files.certificate, files.key, files.authority)
-        own = _own_identity(paths, role)
+        local = _read_local_identity(paths, role)
         try:
             client = client_context(paths)
             server = server_context(paths)
@@ -68,12 +68,12 @@
             reason = f"the TLS files do not fit together: {problem}"
             raise UnusableCertificateError(reason) from problem
         self._reloading = (client, server)
-        self.authorize = authorizer(own)
+        self.authorize = authorizer(local)
         self.client = client.context
         self.server = server.context
 
     def start(self, metrics: ProcessMetrics) -> None:
-        """Look at the files every few seconds; show when the certificate ends."""
+        """Check the files for changes every 5 s and export the time until expiry."""
         if not self._reloading:
             return
         metrics.gauge(
@@ -84,7 +84,7 @@
         self._schedule(metrics.notice)
 
     def close(self) -> None:
-        """Look no more."""
+        """Stop checking the files."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -102,9 +102,9 @@
         self._schedule(notice_sink)
 
 
-def _own_identity(paths: TlsPaths, role: str) -> PeerIdentity:
-    """Read whose certificate the process has: it must be one of its role."""
-    # Imported where TLS is used: it takes a third of a process's start.
+def _read_local_identity(paths: TlsPaths, role: str) -> PeerIdentity:
+    """Return the identity in the process's certificate, which must have the given role."""
+    # Imported only if TLS is used: the import takes a third of a process's start-up time.
     from peppershore.connection.certificates import read_issued  # noqa: PLC0415
 
     issued = read_issued(Path(paths.certificate))
@@ -114,8 +114,8 @@
     if isinstance(identity, Failure):
         reason = f"the identity in {paths.certificate} {identity.failure().reason}"
         raise UnusableCertificateError(reason)
-    own = identity.unwrap()
-    if own.role != role:
-        reason = f"{paths.certificate} is the certificate of a {own.role}, not a {role}"
+    local = identity.unwrap()
+    if local.role != role:
+        reason = f"{paths.certificate} is the certificate of a {local.role}, not a {role}"
         raise UnusableCertificateError(reason)
-    return own
+    return local
--- a/src/peppershore/process/logging.py
+++ b/src/peppershore/process/logging.py
@@ -1,9 +1,9 @@
-"""JSON lines on standard error or standard output, through ``absl.logging``.
+"""Logging as JSON lines on standard error or standard output, through ``absl.logging``.
 
-Each line is one object: ``time`` (Unix milliseconds), ``monotonic`` (seconds, of this
-machine), ``level``, ``event`` (a
-stable snake-case name), ``role`` and ``process``, then the event's own fields.
-Bytes never reach a line: key material is always bytes in this system.
+Each line is one object: ``time`` (Unix milliseconds), ``monotonic`` (seconds since this
+machine's boot), ``level``, ``event`` (a stable snake-case name), ``role`` and
+``process``, then the event's own fields. Values of type bytes are never written, because
+key material is always bytes in this system.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     "warning": absl_logging.WARNING,
     "error": absl_logging.ERROR,
 }
-"""Names allowed for ``log_level`` and absl's number for each."""
+"""Level numbers of absl by the names allowed for the setting ``log_level``."""
 
 STANDARD_ERROR = "standard-error"
 STANDARD_OUTPUT = "standard-output"
@@ -47,7 +47,7 @@
 
 
 class LogIdentity(msgspec.Struct, frozen=True):
-    """Which process writes: its role and its name in the cluster."""
+    """The process that writes the log: its role and its name in the cluster."""
 
     role: str
     process: str
@@ -55,20 +55,19 @@
 
 @functools.cache
 def event_name(notice_type: type[Notice]) -> str:
-    """Give the stable event name of a notice: its class name in snake case."""
+    """Return the stable event name of a notice: its class name in snake case."""
     return _WORD_START.sub("_", notice_type.__name__).lower()
 
 
 def configure_logging(
     identity: LogIdentity, level: str, log_to: str = STANDARD_ERROR
 ) -> None:
-    """Send every log record of this process, also of libraries, out as JSON lines.
+    """Write every log record of this process and its libraries as a JSON line.
 
-    ``level`` is one of ``LEVELS``, ``log_to`` one of ``LOG_TARGETS``; settings are
-    checked before they come here.  On standard output lines are bounded and never
-    wait for their reader.
+    ``level`` is one of ``LEVELS`` and ``log_to`` one of ``LOG_TARGETS``; the settings
+    loader has checked both. Standard output is bounded and never blocks the process.
     """
-    flags.FLAGS.mark_as_parsed()  # click reads the command line, not absl
+    flags.FLAGS.mark_as_parsed()  # click parses the command line, not absl
     absl_logging.use_absl_handler()
     absl_logging.set_verbosity(LEVELS[level])
     handler = absl_logging.get_absl_handler()
@@ -85,7 +84,7 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to a bounded output; those of single calls are also counted."""
+    """Writes log lines to a bounded output and limits the rate of those about calls."""
 
     def __init__(self, output: BoundedOutput) -> None:
         """Write to ``output``."""
@@ -94,7 +93,7 @@
         self._budget = LineBudget(CALL_LINES_PER_SECOND, CALL_LINES_BURST)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, unless there are too many of its kind."""
+        """Write one record; drop it if it is about a call and the rate limit is reached."""
         notice = getattr(record, _RECORD_FIELDS, None)
         is_call = bool(getattr(type(notice), "is_call", False))
         if is_call and not self._budget.take(boot_seconds()):
@@ -113,7 +112,7 @@
 
 
 def notice_level(notice: Notice) -> int:
-    """Give the ``logging`` level of a notice: its class's ``level``, or info."""
+    """Return the ``logging`` level of a notice: the ``level`` of its class, else info."""
     level = str(getattr(type(notice), "level", "info"))
     return logging.getLevelNamesMapping()[level.upper()]
 
@@ -122,12 +121,12 @@
     """Formats a log record as one JSON object."""
 
     def __init__(self, identity: LogIdentity) -> None:
-        """Put ``identity`` on every line."""
+        """Add the role and process of ``identity`` to every line."""
         super().__init__()
         self._identity = identity
 
     def format(self, record: logging.LogRecord) -> str:
-        """Give the line without its line feed."""
+        """Return the log line without a line feed."""
         line: dict[str, object] = {
             "time": int(record.created * MILLISECONDS_PER_SECOND),
             "monotonic": round(boot_seconds(), 3),
@@ -137,28 +136,28 @@
         }
         notice = getattr(record, _RECORD_FIELDS, None)
         if notice is None:
-            line |= _foreign_fields(record)
+            line |= _library_fields(record)
         else:
             line["event"] = record.getMessage()
-            line |= _notice_fields(notice, taken=line.keys())
+            line |= _notice_fields(notice, reserved=line.keys())
         return msgspec.json.encode(line, enc_hook=repr).decode()
 
 
-def _notice_fields(notice: Notice, taken: object) -> dict[str, object]:
-    assert hasattr(taken, "__contains__")
+def _notice_fields(notice: Notice, reserved: object) -> dict[str, object]:
+    assert hasattr(reserved, "__contains__")
     fields = public_struct(notice)
     return {
-        (f"{name}_" if name in taken else name): value for name, value in fields.items()
+        (f"{name}_" if name in reserved else name): value for name, value in fields.items()
     }
 
 
-def _foreign_fields(record: logging.LogRecord) -> dict[str, object]:
-    """Fields of a record that a library or the interpreter wrote."""
+def _library_fields(record: logging.LogRecord) -> dict[str, object]:
+    """Return the fields of a record written by a library or the interpreter."""
     fields: dict[str, object] = {"event": "library_message", "logger": record.name}
     fields["message"] = record.getMessage()
     if record.exc_info is not None and record.exc_info[0] is not None:
-        kind, _, frames = record.exc_info
-        fields["exception"] = kind.__name__
+        exception_type, _, frames = record.exc_info
+        fields["exception"] = exception_type.__name__
         fields["frames"] = [
             f"{frame.filename}:{frame.lineno} {frame.name}"
             for frame in traceback.extract_tb(frames)
--- a/src/peppershore/process/metrics.py
+++ b/src/peppershore/process/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics of one process in the Prometheus text format, by its client library.
+"""Metrics of one process in the Prometheus text format, through its client library.
 
-Every process has: notices counted by event and level, bytes sent and received
-on internal links, seconds since start, and gauges that its shell adds.  Counts are
-plain numbers and gauges are read when the page is asked for, so that a core holds no
-metric objects and a process that nobody asks never loads the library.
+Every process exports the number of notices by event, its role and name, the seconds since
+its start, and the gauges and sources that its shell adds. Counts are plain numbers and
+gauges are read at each scrape, so that a core holds no metric objects and a process that
+is never scraped does not load the library.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 
 class MetricSource(Protocol):
-    """Something that has metrics of its own."""
+    """An object that exports metrics of its own."""
 
     def collect(self) -> Iterator[Metric]:
-        """Give the metrics of this moment."""
+        """Return the current metrics."""
 
 
 class _Gauge(msgspec.Struct, frozen=True):
@@ -39,10 +39,10 @@
 
 
 class ProcessMetrics:
-    """What one process counts; also its notice sink."""
+    """Metrics registry and notice sink of one process."""
 
     def __init__(self, identity: LogIdentity) -> None:
-        """Start counting; ``identity`` labels the process's information metric."""
+        """Start the uptime; ``identity`` labels the metric of process information."""
         self._identity = identity
         self._started = time.monotonic()
         self._created = time.time()
@@ -57,15 +57,15 @@
         write_notice(notice)
 
     def gauge(self, name: str, meaning: str, read: Callable[[], float]) -> None:
-        """Add ``peppershore_<name>``, read by ``read`` at each scrape."""
+        """Add the gauge ``peppershore_<name>``; ``read`` is called at each scrape."""
         self._gauges.append(_Gauge(f"{NAMESPACE}_{name}", meaning, read))
 
     def add_source(self, source: MetricSource) -> None:
-        """Show the metrics of ``source`` too."""
+        """Export the metrics of ``source`` too."""
         self._sources.append(source)
 
     def render(self) -> bytes:
-        """Give the page in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest  # noqa: PLC0415
 
         registry = CollectorRegistry()
@@ -74,15 +74,15 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Give the metrics of this moment, as the library's registry asks for them."""
+        """Return the current metrics; called by the registry of the client library."""
         from prometheus_client import core  # noqa: PLC0415
 
-        counted = core.CounterMetricFamily(
+        event_counts = core.CounterMetricFamily(
             f"{NAMESPACE}_events", "Log events by name.", labels=["event"]
         )
         for event, count in sorted(self._events.items()):
-            counted.add_metric([event], count, created=self._created)
-        yield counted
+            event_counts.add_metric([event], count, created=self._created)
+        yield event_counts
         information = core.GaugeMetricFamily(
             f"{NAMESPACE}_process_information",
             "Always 1; the labels say which process this is.",
--- a/src/peppershore/process/public_value.py
+++ b/src/peppershore/process/public_value.py
@@ -1,4 +1,4 @@
-"""Values made fit to be shown: without key material, in bytes or in fields of its names."""
+"""Redaction for output: hides bytes and the values of fields that may hold keys."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def public_value(value: object) -> object:
-    """Give ``value`` ready for JSON with bytes and sensitive fields hidden."""
+    """Return ``value`` ready for JSON, with bytes and sensitive fields hidden."""
     if isinstance(value, bytes | bytearray | memoryview):
         return HIDDEN
     if isinstance(value, msgspec.Struct):
@@ -24,7 +24,7 @@
 
 
 def public_struct(value: msgspec.Struct) -> dict[str, object]:
-    """Give a structure's fields ready for JSON with sensitive ones hidden."""
+    """Return the fields of a struct ready for JSON, with sensitive ones hidden."""
     names = value.__struct_fields__
     return {name: _public_item(name, getattr(value, name)) for name in names}
 
--- a/src/peppershore/process/randomness.py
+++ b/src/peppershore/process/randomness.py
@@ -1,7 +1,7 @@
 """Seeded random choices for the cores.
 
-The one module through which a core draws random numbers; the same seed gives
-the same choices, so every run of a core can be repeated.
+Cores draw random numbers only through this module. The same seed produces the same
+choices, so that every run of a core can be reproduced.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 
 class Randomness:
-    """A stream of random numbers that its seed decides."""
+    """A stream of pseudo-random numbers determined by its seed."""
 
     def __init__(self, seed: int) -> None:
-        """Begin the stream of ``seed``."""
+        """Start the stream for ``seed``."""
         self._generator = random.Random(seed)
 
     def below(self, limit: float) -> float:
-        """Give a number from 0 up to ``limit``."""
+        """Return a uniform random number of at least 0 and below ``limit``."""
         return self._generator.random() * limit
 
     def between(self, low: float, high: float) -> float:
-        """Give a number from ``low`` up to ``high``."""
+        """Return a uniform random number between ``low`` and ``high``."""
         return low + self._generator.random() * (high - low)
 
     def backoff_seconds(self, attempt: int, base: float, ceiling: float) -> float:
-        """Give a wait with full jitter: uniform up to ``base * 2**attempt``.
+        """Return a back-off in seconds with full jitter: uniform from 0 to its bound.
 
-        ``attempt`` counts from 0; the bound never passes ``ceiling``.
+        The bound is ``base * 2**attempt``, at most ``ceiling``; ``attempt`` counts from 0.
         """
         bound = min(ceiling, base * 2.0 ** min(attempt, MAX_EXPONENT))
         return self.below(bound)
--- a/src/peppershore/process/rendezvous.py
+++ b/src/peppershore/process/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which relay serves which node.
+"""Rendezvous hashing, by which each node chooses the relay that serves it.
 
-Every node ranks the relays by a hash of both names.  The relays of one zone
-share its nodes evenly, and the nodes of a lost relay spread over all others.
+Every node ranks the relays by a hash of both names. The relays of a zone therefore share
+its nodes evenly, and the nodes of a failed relay spread over all the others.
 """
 
 from __future__ import annotations
@@ -14,14 +14,17 @@
 
 
 def weight(node: str, relay: str) -> int:
-    """Give the unsigned 64-bit weight of a pair; the highest weight wins."""
+    """Return the unsigned 64-bit weight of the pair; a node prefers the highest weight."""
     return xxhash.xxh3_64_intdigest(f"{node}\x00{relay}".encode())
 
 
 def rank_relays(node: str, zone: str, relays: Iterable[PeerRelay]) -> tuple[PeerRelay, ...]:
-    """Order relays for a node: those of its own zone first, then by weight."""
+    """Return the relays in the node's order of preference.
 
-    def position(relay: PeerRelay) -> tuple[bool, int, str]:
+    Relays in the node's zone come first; within each group the highest weight is first.
+    """
+
+    def sort_key(relay: PeerRelay) -> tuple[bool, int, str]:
         return (relay.zone != zone, -weight(node, relay.name), relay.name)
 
-    return tuple(sorted(relays, key=position))
+    return tuple(sorted(relays, key=sort_key))
--- a/src/peppershore/process/seeds.py
+++ b/src/peppershore/process/seeds.py
@@ -1,6 +1,7 @@
-"""Seeds: a few addresses of hubs, which may lag, be down or be exchanged.
+"""Seeds: a few addresses of hubs through which a process finds the cluster.
 
-Only their hosts count; each kind of link has its port, the same on every hub.
+A listed hub may lag, be down or have been replaced. Only the hosts of the addresses are
+used; each kind of link has its own port, the same on every hub.
 """
 
 from __future__ import annotations
@@ -9,13 +10,16 @@
 
 
 def seed_addresses(seeds: tuple[str, ...], port: int) -> tuple[str, ...]:
-    """Give addresses at the hosts of seeds, on another port, each once."""
+    """Return the distinct hosts of the seeds as addresses with ``port``."""
     hosts = dict.fromkeys(seed.rpartition(":")[0] for seed in seeds)
     return tuple(f"{host}:{port}" for host in hosts)
 
 
 def seed_relays(seeds: tuple[str, ...], port: int) -> tuple[PeerRelay, ...]:
-    """Give relays at the hosts of seeds; their zones are learned from them."""
+    """Return the hosts of the seeds as relays with ``port``.
+
+    Their zone is empty until the relay itself reports it.
+    """
     return tuple(
         PeerRelay(name=address, zone="", address=address)
         for address in seed_addresses(seeds, port)
--- a/src/peppershore/process/settings_examples.py
+++ b/src/peppershore/process/settings_examples.py
@@ -1,4 +1,4 @@
-"""Example settings files, one for each role; all are checked by a test."""
+"""Example settings files, one for each role; a test loads all of them."""
 
 from __future__ import annotations
 
@@ -208,11 +208,11 @@
     "claims": _CLAIMS + _TLS,
     "operator": _OPERATOR + _TLS,
 }
-"""An example file for each kind of settings, by the role's name."""
+"""Text of the example settings file by role."""
 
 _MEANING = re.compile(r"^(?:# )?(?:\[{1,2})?(\w+)(?:\]{1,2}| = .*?) +# (.*)$", re.MULTILINE)
 
 
 def meanings(role: str) -> dict[str, str]:
-    """Give what each setting of a role means, as its example says."""
+    """Return the meaning of each setting of a role, taken from its example's comments."""
     return dict(_MEANING.findall(EXAMPLES[role]))
--- a/src/peppershore/process/settings_loader.py
+++ b/src/peppershore/process/settings_loader.py
@@ -1,11 +1,11 @@
-"""Reads settings from TOML and flags and reports everything that is wrong at once.
+"""Reads settings from TOML and flags and reports all problems at once.
 
-A flag goes before the file.  Each problem names the key, the reason and what
-is allowed.  Nothing is raised for bad input.
+A flag overrides the file. Each problem names the key, the reason and what is allowed.
+Bad input never raises an exception.
 
-Settings that a person wrote are taken as they are or refused.  Those that a platform
-filled from figures of its own may be adjusted: a process that refuses them would end at
-every start, on every machine.
+Settings written by a person are accepted unchanged or rejected. Settings that a platform
+generated from its own values may be adjusted, because a process that rejects them would
+exit at every start, on every machine.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
     "claims": ClaimsSettings,
     "operator": OperatorSettings,
 }
-"""Settings of each role that ``serve`` starts, and of the command line."""
+"""Settings type of each role that ``serve`` starts, and of the command line."""
 
 MIN_HEARTBEATS_PER_ELECTION = 3
 MAX_FILE_BYTES = 4 * 1024 * 1024
 SEED_KEYS = ("seeds", "relays")
 WAITS_FOR_SEEDS = "nothing: the process waits until its settings name some"
 MAX_SHOWN = 200
-"""Characters of a value in a message: more tell nothing."""
+"""Maximum length of a value in a message; longer text would tell the reader nothing."""
 
 WHOLE_FILE = "(file)"
-_TYPE_WORDS: dict[Any, str] = {
+_TYPE_DESCRIPTIONS: dict[Any, str] = {
     str: "text",
     int: "a whole number",
     float: "a number",
@@ -62,7 +62,7 @@
 
 
 class SettingProblem(msgspec.Struct, frozen=True):
-    """One thing wrong with the settings."""
+    """One problem in the settings: its key, the reason and what is allowed."""
 
     key: str
     reason: str
@@ -73,7 +73,7 @@
 
 
 class SettingAdjustment(msgspec.Struct, frozen=True):
-    """A setting that could not be used as given, and what stands in its place."""
+    """A setting that could not be used as given, and the value used instead."""
 
     key: str
     given: str
@@ -81,7 +81,7 @@
 
 
 class AdjustedSettings(msgspec.Struct, Generic[Kind], frozen=True):
-    """Settings to start with, and where they differ from what was given."""
+    """Settings to start with, and the adjustments made to the given ones."""
 
     settings: Kind
     adjustments: tuple[SettingAdjustment, ...]
@@ -90,21 +90,24 @@
 def load_settings(
     kind: type[Kind], path: Path | None, flags: Mapping[str, Any]
 ) -> Result[Kind, Problems]:
-    """Read the file, if any, put the flags over it, and check the whole."""
+    """Read the file, if any, apply the flags over it and check the result."""
     return _read_text(path).bind(lambda text: parse_settings(kind, text, flags))
 
 
 def load_adjusted_settings(
     kind: type[Kind], path: Path | None, flags: Mapping[str, Any]
 ) -> Result[AdjustedSettings[Kind], Problems]:
-    """Like ``load_settings``, but use the nearest value where one can't be used."""
+    """Like ``load_settings``, but adjust values that can't be used as given.
+
+    See ``adjust_settings``.
+    """
     return _read_text(path).bind(lambda text: adjust_settings(kind, text, flags))
 
 
 def parse_settings(
     kind: type[Kind], text: str, flags: Mapping[str, Any]
 ) -> Result[Kind, Problems]:
-    """Check settings given as TOML text, with flags over them."""
+    """Read and check settings from TOML text; flags override the text."""
     read = _parse(kind, text, flags, _Reader(adjusts=False))
     return read.map(lambda found: found.settings)
 
@@ -112,7 +115,12 @@
 def adjust_settings(
     kind: type[Kind], text: str, flags: Mapping[str, Any]
 ) -> Result[AdjustedSettings[Kind], Problems]:
-    """Read settings given as TOML text; only what has no nearest value is a problem."""
+    """Read settings from TOML text and replace values that can't be used.
+
+    A number becomes the nearest allowed one, another optional setting gets its default.
+    Unknown keys are ignored. Only what can't be replaced, such as a missing required
+    setting, is a problem.
+    """
     return _parse(kind, text, flags, _Reader(adjusts=True))
 
 
@@ -127,14 +135,14 @@
     if reader.problems:
         return Failure(tuple(reader.problems))
     settings = kind(**values)
-    problems = [each for each in _cross_checks(settings) if not reader.takes(each)]
+    problems = [each for each in _cross_checks(settings) if not reader.tolerates(each)]
     if problems:
         return Failure(tuple(problems))
     return Success(AdjustedSettings(settings, tuple(reader.adjustments)))
 
 
 def _read_text(path: Path | None) -> Result[str, Problems]:
-    """Give the text of a settings file; the empty text where there is none."""
+    """Return the text of a settings file; the empty text if ``path`` is None."""
     if path is None:
         return Success("")
     try:
@@ -151,10 +159,10 @@
 
 
 class _Reader:
-    """Walks a table along a settings type and collects every problem.
+    """Reads a TOML table by the fields of a settings type and collects every problem.
 
-    One that ``adjusts`` takes the nearest value that can be used, or the default, and
-    notes it as an adjustment.
+    With ``adjusts``, the nearest usable value or the default replaces a value that can't
+    be used, and the replacement is recorded as an adjustment.
     """
 
     def __init__(self, adjusts: bool) -> None:
@@ -165,47 +173,55 @@
     def read_struct(
         self, kind: type[SettingsValue], table: Mapping[str, Any], prefix: str
     ) -> dict[str, Any]:
-        """Give the checked values of one table."""
+        """Return the checked values of one table by field name."""
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
         for key in sorted(table.keys() - fields.keys()):
             if self._adjusts:
-                self._adjusted(prefix + key, table[key], "nothing: no setting here")
+                self._add_adjustment(prefix + key, table[key], "nothing: no setting here")
             else:
-                self._add(prefix + key, "is no setting here", "one of " + ", ".join(fields))
+                self._add_problem(
+                    prefix + key, "is no setting here", "one of " + ", ".join(fields)
+                )
         values: dict[str, Any] = {}
         for name, field in fields.items():
             if name in table:
                 values[name] = self._read_or_adjust(field, table[name], prefix + name)
             elif field.required:
-                self._add(prefix + name, "is missing", _type_words(field.type))
+                self._add_problem(
+                    prefix + name, "is missing", _type_description(field.type)
+                )
         return values
 
     def _read_or_adjust(self, field: FieldInfo, value: Any, key: str) -> Any:
-        """Give the value of a field; the nearest one or the default if that is allowed."""
+        """Return the value of a field, replaced by a usable one if adjusting is on."""
         if not self._adjusts:
             return self._read_field(field, value, key)
         used = _nearest_number(field, value)
         if used is not None:
             if used != value:
-                self._adjusted(key, value, used)
+                self._add_adjustment(key, value, used)
             return used
-        known = len(self.problems)
+        problems_before = len(self.problems)
         read = self._read_field(field, value, key)
-        if field.required or len(self.problems) == known:
+        if field.required or len(self.problems) == problems_before:
             return read
-        del self.problems[known:]
-        self._adjusted(key, value, field.default)
+        del self.problems[problems_before:]
+        self._add_adjustment(key, value, field.default)
         return field.default
 
-    def takes(self, problem: SettingProblem) -> bool:
-        """Whether to start all the same: changed settings may still name seeds."""
+    def tolerates(self, problem: SettingProblem) -> bool:
+        """Return whether the process may start despite this problem.
+
+        When adjusting, missing seeds or relays are tolerated and recorded as an adjustment,
+        because later changes of the settings may name some.
+        """
         if not self._adjusts or problem.key not in SEED_KEYS:
             return False
         self.adjustments.append(SettingAdjustment(problem.key, "nothing", WAITS_FOR_SEEDS))
         return True
 
-    def _adjusted(self, key: str, given: Any, used: Any) -> None:
-        self.adjustments.append(SettingAdjustment(key, _shown(given), _shown(used)))
+    def _add_adjustment(self, key: str, given: Any, used: Any) -> None:
+        self.adjustments.append(SettingAdjustment(key, _shortened(given), _shortened(used)))
 
     def _read_field(self, field: FieldInfo, value: Any, key: str) -> Any:
         nested = _nested_type(field.type)
@@ -214,18 +230,20 @@
         if nested is not None:
             return self._read_table(nested, value, key)
         if field.type == tuple[str, ...]:
-            return self._read_texts(field.name, value, key)
+            return self._read_strings(field.name, value, key)
         if field.type is float and type(value) is int:
             value = _as_float(value)
         if type(value) is not field.type:
-            self._add(key, f"is {_value_words(value)}", _type_words(field.type))
+            self._add_problem(
+                key, f"is {_value_description(value)}", _type_description(field.type)
+            )
             return None
         self._check_rule(field.name, value, key)
         return value
 
-    def _read_texts(self, name: str, value: Any, key: str) -> tuple[str, ...]:
+    def _read_strings(self, name: str, value: Any, key: str) -> tuple[str, ...]:
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            self._add(key, f"is {_value_words(value)}", "a list of texts")
+            self._add_problem(key, f"is {_value_description(value)}", "a list of texts")
             return ()
         for position, item in enumerate(value):
             self._check_rule(name, item, f"{key}[{position}]")
@@ -233,7 +251,7 @@
 
     def _read_tables(self, kind: type[SettingsValue], value: Any, key: str) -> Any:
         if not isinstance(value, list):
-            self._add(key, f"is {_value_words(value)}", f"tables [[{key}]]")
+            self._add_problem(key, f"is {_value_description(value)}", f"tables [[{key}]]")
             return ()
         return tuple(
             self._read_table(kind, item, f"{key}[{position}]")
@@ -242,7 +260,7 @@
 
     def _read_table(self, kind: type[SettingsValue], value: Any, key: str) -> Any:
         if not isinstance(value, dict):
-            self._add(key, f"is {_value_words(value)}", "a table")
+            self._add_problem(key, f"is {_value_description(value)}", "a table")
             return None
         before = len(self.problems)
         values = self.read_struct(kind, value, prefix=f"{key}.")
@@ -252,14 +270,14 @@
         rule = FIELD_RULES.get(name)
         fault = rule(value) if rule is not None else None
         if fault is not None:
-            self._add(key, f"{_shown(value)} {fault.reason}", fault.allowed)
+            self._add_problem(key, f"{_shortened(value)} {fault.reason}", fault.allowed)
 
-    def _add(self, key: str, reason: str, allowed: str) -> None:
+    def _add_problem(self, key: str, reason: str, allowed: str) -> None:
         self.problems.append(SettingProblem(key, reason, allowed))
 
 
 def _cross_checks(settings: SettingsValue) -> Problems:
-    """Check what concerns several settings together."""
+    """Return the problems that concern a combination of settings."""
     problems: list[SettingProblem] = []
     if isinstance(settings, ControlSettings | ClaimsSettings):
         problems += _check_group(settings)
@@ -276,7 +294,7 @@
 
 def _check_group(settings: ControlSettings | ClaimsSettings) -> list[SettingProblem]:
     listed = [peer.name for peer in settings.replicas]
-    problems = _check_names("replicas", listed, empty=settings.join)
+    problems = _check_names("replicas", listed, may_be_empty=settings.join)
     names = set(listed)
     if not settings.data_folder:
         problems.append(SettingProblem("data_folder", "is empty", "a folder on disk"))
@@ -294,7 +312,9 @@
 
 def _check_relay(settings: RelaySettings) -> list[SettingProblem]:
     problems = _check_names("replicas", [peer.name for peer in settings.replicas])
-    problems += _check_names("relays", [peer.name for peer in settings.relays], empty=True)
+    problems += _check_names(
+        "relays", [peer.name for peer in settings.relays], may_be_empty=True
+    )
     if settings.stale_after_milliseconds < settings.freshness_milliseconds:
         reason = "is shorter than freshness_milliseconds"
         allowed = f"at least {settings.freshness_milliseconds}"
@@ -317,7 +337,7 @@
 
 def _check_node(settings: NodeSettings) -> list[SettingProblem]:
     names = [peer.name for peer in settings.relays]
-    problems = _check_names("relays", names, empty=bool(settings.seeds))
+    problems = _check_names("relays", names, may_be_empty=bool(settings.seeds))
     if settings.seeds and not settings.relay_port:
         reason = "is missing, but there are seeds"
         problems.append(SettingProblem("relay_port", reason, "the port of relays"))
@@ -330,14 +350,16 @@
 
 
 def _check_claims(settings: NodeSettings) -> list[SettingProblem]:
-    """Check one group under ``claims``, or several under ``claims_groups``."""
-    problems = _check_names("claims", [peer.name for peer in settings.claims], empty=True)
+    """Check the claims groups: one in ``claims`` or several in ``claims_groups``."""
+    problems = _check_names(
+        "claims", [peer.name for peer in settings.claims], may_be_empty=True
+    )
     groups = (
         ("claims_groups", settings.claims_groups),
         ("previous_claims_groups", settings.previous_claims_groups),
     )
     for key, listed in groups:
-        problems += _check_names(key, [group.name for group in listed], empty=True)
+        problems += _check_names(key, [group.name for group in listed], may_be_empty=True)
         for group in listed:
             names = [peer.name for peer in group.replicas]
             problems += _check_names(f"{key}.replicas", names)
@@ -357,9 +379,11 @@
     return problems
 
 
-def _check_names(key: str, names: list[str], empty: bool = False) -> list[SettingProblem]:
+def _check_names(
+    key: str, names: list[str], may_be_empty: bool = False
+) -> list[SettingProblem]:
     problems: list[SettingProblem] = []
-    if not names and not empty:
+    if not names and not may_be_empty:
         problems.append(SettingProblem(key, "is empty", f"at least one [[{key}]]"))
     for name in sorted({name for name in names if names.count(name) > 1}):
         problems.append(SettingProblem(key, f"lists {name!r} twice", "each name once"))
@@ -367,19 +391,25 @@
 
 
 def _merge(table: Mapping[str, Any], flags: Mapping[str, Any]) -> dict[str, Any]:
-    """Put flags over the file; tables are merged key by key, lists replaced."""
+    """Return the file's table overridden by flags.
+
+    Nested tables are merged key by key; lists are replaced.
+    """
     merged = dict(table)
     for key, value in flags.items():
-        below = merged.get(key)
-        if isinstance(value, dict) and isinstance(below, dict):
-            merged[key] = {**below, **value}
+        from_file = merged.get(key)
+        if isinstance(value, dict) and isinstance(from_file, dict):
+            merged[key] = {**from_file, **value}
         else:
             merged[key] = value
     return merged
 
 
 def _nearest_number(field: FieldInfo, value: Any) -> float | None:
-    """Give the usable number next to a number; None where either is something else."""
+    """Return the allowed number nearest to ``value``.
+
+    Return None if the field or the value is not a number, or if the field has no range.
+    """
     rule = FIELD_RULES.get(field.name)
     if field.type not in (int, float) or type(value) not in (int, float):
         return None
@@ -387,21 +417,21 @@
 
 
 def _as_float(value: int) -> float:
-    """Give a whole number as a float; infinity beyond what a float holds."""
+    """Return an integer as a float; infinity (signed) if it exceeds the range of floats."""
     try:
         return float(value)
     except OverflowError:
         return math.inf if value > 0 else -math.inf
 
 
-def _shown(value: Any) -> str:
-    """Give a value as text, cut where it is long."""
+def _shortened(value: Any) -> str:
+    """Return the ``repr`` of a value, truncated to ``MAX_SHOWN`` characters."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
 
 
 def _nested_type(annotation: Any) -> type[SettingsValue] | None:
-    """Give the settings type inside ``tuple[X, ...]`` or ``X | None``, if any."""
+    """Return the settings type X of ``X``, ``tuple[X, ...]`` or ``X | None``, else None."""
     candidates = typing.get_args(annotation) or (annotation,)
     for candidate in candidates:
         if isinstance(candidate, type) and issubclass(candidate, SettingsValue):
@@ -409,17 +439,17 @@
     return None
 
 
-def _type_words(annotation: Any) -> str:
+def _type_description(annotation: Any) -> str:
     nested = _nested_type(annotation)
     if nested is None:
-        return _TYPE_WORDS[annotation]
+        return _TYPE_DESCRIPTIONS[annotation]
     names = ", ".join(field.name for field in msgspec.structs.fields(nested))
-    many = typing.get_origin(annotation) not in (types.UnionType, typing.Union)
-    return f"{'tables' if many else 'a table'} with {names}"
+    has_many_tables = typing.get_origin(annotation) not in (types.UnionType, typing.Union)
+    return f"{'tables' if has_many_tables else 'a table'} with {names}"
 
 
-def _value_words(value: Any) -> str:
-    return _TYPE_WORDS.get(type(value), f"a {type(value).__name__}")
+def _value_description(value: Any) -> str:
+    return _TYPE_DESCRIPTIONS.get(type(value), f"a {type(value).__name__}")
 
 
 def _failure(key: str, reason: str, allowed: str) -> Failure[Problems]:
--- a/src/peppershore/process/settings_rules.py
+++ b/src/peppershore/process/settings_rules.py
@@ -1,6 +1,6 @@
-"""What each setting may hold, by the name of its field.
+"""Validation rules of settings, by the name of the field.
 
-A rule gives None for a good value, else what is wrong and what is allowed.
+A rule returns None for a valid value, otherwise what is wrong and what is allowed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Why a value is refused and what would be taken."""
+    """Why a value is rejected and which values are allowed."""
 
     reason: str
     allowed: str
@@ -41,14 +41,14 @@
 
 
 def tree_name_rule(value: object) -> Fault | None:
-    """Accept the name of a service or zone, as the tree names them."""
+    """Accept the name of a service or zone, as used in the configuration tree."""
     if isinstance(value, str) and is_name(value):
         return None
     return Fault("is not a name of the tree", NAME_RULE)
 
 
 def folder_rule(value: object) -> Fault | None:
-    """Accept a path that the machine can hold; it need not exist yet."""
+    """Accept a non-empty path without a zero byte; it need not exist yet."""
     if isinstance(value, str) and value and "\0" not in value:
         return None
     return Fault("is not a path", "a path without a zero byte")
@@ -62,7 +62,7 @@
 
 
 def log_target_rule(value: object) -> Fault | None:
-    """Accept where log lines go."""
+    """Accept the name of an output for log lines."""
     if value in LOG_TARGETS:
         return None
     return Fault("is no place for log lines", ", ".join(LOG_TARGETS))
@@ -76,7 +76,7 @@
     host, separator, port = value.rpartition(":")
     if not separator or not _is_port(port, lowest_port):
         return Fault("has no usable port", allowed)
-    if not _is_ip_number(host):
+    if not _is_ip_address(host):
         return Fault("has no IP number before the port", allowed)
     return None
 
@@ -89,14 +89,14 @@
 
 
 def host_rule(value: object) -> Fault | None:
-    """Accept an IP number without a port."""
-    if isinstance(value, str) and _is_ip_number(value):
+    """Accept an IP address without a port."""
+    if isinstance(value, str) and _is_ip_address(value):
         return None
     return Fault("is no IP number", "an IP number, such as 10.1.0.7 or [::1]")
 
 
 def listen_rule(value: object) -> Fault | None:
-    """Accept an address to listen on; port 0 takes a free port."""
+    """Accept an address to listen on; port 0 binds a free port."""
     return address_rule(value, lowest_port=0)
 
 
@@ -106,7 +106,7 @@
 
 
 def optional(rule: Rule) -> Rule:
-    """Let a rule also accept the empty string, which turns the feature off."""
+    """Return a rule that also accepts the empty string, which turns the feature off."""
 
     def accept(value: object) -> Fault | None:
         return None if value == "" else rule(value)
@@ -115,7 +115,7 @@
 
 
 class NumberRule(msgspec.Struct, frozen=True):
-    """Accepts numbers from ``lowest`` to ``highest``; whole ones only if ``is_whole``."""
+    """Accepts numbers from ``lowest`` to ``highest``, only integers if ``is_whole``."""
 
     lowest: float
     highest: float
@@ -123,7 +123,7 @@
     is_whole: bool
 
     def __call__(self, value: object) -> Fault | None:
-        """Give what is wrong with a value, if anything is."""
+        """Return the fault of a value, or None if it is valid."""
         kinds = int if self.is_whole else (int, float)
         if isinstance(value, kinds) and self.lowest <= value <= self.highest:
             return None
@@ -131,20 +131,20 @@
         return Fault("is out of bounds", allowed.rstrip())
 
     def nearest(self, value: float) -> float:
-        """Give the number next to ``value`` that is accepted; the lowest for no number."""
+        """Return the allowed number nearest to ``value``; the lowest one for NaN."""
         if isinstance(value, float) and math.isnan(value):
             return self.lowest
-        within = min(max(value, self.lowest), self.highest)
-        return round(within) if self.is_whole else float(within)
+        clamped = min(max(value, self.lowest), self.highest)
+        return round(clamped) if self.is_whole else float(clamped)
 
 
 def between(lowest: int, highest: int, unit: str) -> Rule:
-    """Accept whole numbers from ``lowest`` to ``highest``."""
+    """Return a rule for integers from ``lowest`` to ``highest``."""
     return NumberRule(lowest, highest, unit, is_whole=True)
 
 
 def amount(lowest: float, highest: float, unit: str) -> Rule:
-    """Accept numbers, whole or not, from ``lowest`` to ``highest``."""
+    """Return a rule for numbers from ``lowest`` to ``highest``, integer or not."""
     return NumberRule(lowest, highest, unit, is_whole=False)
 
 
@@ -223,7 +223,7 @@
     "max_records": between(1, 50_000_000, "records"),
     "max_answer_megabytes": between(0, 65_536, "megabytes"),
 }
-"""The rule of each field name, the same in every kind of settings."""
+"""Rule of each field name; a name has the same rule in all settings types."""
 
 
 def _is_port(text: str, lowest: int) -> bool:
@@ -232,7 +232,7 @@
     return lowest <= int(text) <= MAX_PORT
 
 
-def _is_ip_number(host: str) -> bool:
+def _is_ip_address(host: str) -> bool:
     bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
     try:
         number = ipaddress.ip_address(bare)
--- a/src/peppershore/process/settings_watch.py
+++ b/src/peppershore/process/settings_watch.py
@@ -1,6 +1,6 @@
-"""Settings that change while a process runs: on SIGHUP, or the file alone.
+"""Reloads settings while a process runs: on SIGHUP or when the file changes.
 
-A file that can't be read or is wrong changes nothing; the reason is reported.
+A file that can't be read or is invalid changes nothing; the reason is logged.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class SettingsReloaded(Notice, frozen=True):
-    """The process took changed settings; ``cause`` is "signal" or "file"."""
+    """Changed settings are in use; ``cause`` is "signal" or "file"."""
 
     cause: str
 
 
 class SettingsReloadFailed(Notice, frozen=True):
-    """Changed settings can't be used; the former ones stay."""
+    """Changed settings can't be used; the former ones stay in use."""
 
     level: ClassVar[str] = "warning"
     cause: str
@@ -43,35 +43,38 @@
 
 
 class SettingsWatch(Generic[Kind]):
-    """Looks at one settings file and hands on what it says now."""
+    """Watches one settings file and passes on changed settings."""
 
     def __init__(
         self, kind: type[Kind], path: Path, current: Kind, adjusts: bool = False
     ) -> None:
-        """``current`` is what the process started with, adjusted if it ``adjusts``."""
+        """Watch ``path``; ``current`` are the settings the process started with.
+
+        With ``adjusts``, values that can't be used are adjusted as at the start.
+        """
         self._kind = kind
         self._adjusts = adjusts
         self._path = path
         self._current = current
-        self._seen = self._stamp()
-        self._use: Callable[[Kind], None] | None = None
+        self._last_stamp = self._file_stamp()
+        self._on_change: Callable[[Kind], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, use: Callable[[Kind], None]) -> None:
-        """Hand changed settings to ``use`` from now on."""
-        self._use = use
+        """Start watching; call ``use`` with the settings whenever they change."""
+        self._on_change = use
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self.look, "signal")
-        self._timer = loop.call_later(LOOK_SECONDS, self._look_at_file)
+        self._timer = loop.call_later(LOOK_SECONDS, self._check_file)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking the file for changes."""
         if self._timer is not None:
             self._timer.cancel()
 
     def look(self, cause: str) -> None:
-        """Read the file again and hand it on if it says something else."""
-        self._seen = self._stamp()
+        """Reload the file and pass the settings on if they differ from the current ones."""
+        self._last_stamp = self._file_stamp()
         loaded = self._load()
         if isinstance(loaded, Failure):
             problem = loaded.failure()[0]
@@ -81,25 +84,25 @@
         if settings == self._current:
             return
         self._current = settings
-        assert self._use is not None
-        self._use(settings)
+        assert self._on_change is not None
+        self._on_change(settings)
         write_notice(SettingsReloaded(cause))
 
     def _load(self) -> Result[Kind, Problems]:
         if not self._adjusts:
             return load_settings(self._kind, self._path, {})
         adjusted = load_adjusted_settings(self._kind, self._path, {})
-        return adjusted.map(lambda found: found.settings)
+        return adjusted.map(lambda status: status.settings)
 
-    def _look_at_file(self) -> None:
+    def _check_file(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(LOOK_SECONDS, self._look_at_file)
-        if self._stamp() != self._seen:
+        self._timer = loop.call_later(LOOK_SECONDS, self._check_file)
+        if self._file_stamp() != self._last_stamp:
             self.look("file")
 
-    def _stamp(self) -> tuple[int, int, int]:
+    def _file_stamp(self) -> tuple[int, int, int]:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return (0, 0, 0)
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
--- a/src/peppershore/process/shell.py
+++ b/src/peppershore/process/shell.py
@@ -1,7 +1,8 @@
-"""The asyncio shell that carries out a core's commands and feeds it events.
+"""The asyncio shell that executes a core's commands and passes events to it.
 
-One shell drives one core on one loop.  It owns sockets, timers and the clock;
-role shells subclass it to add durable records, HTTP listeners or a back end.
+One shell drives one core on one event loop. It owns the sockets, timers and the clock.
+The shells of the roles are subclasses that add durable records, HTTP listeners or a back
+end.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class Shell:
-    """Drives one core: events in, commands out."""
+    """Drives one core: passes events to it and executes the commands it returns."""
 
     def __init__(
         self,
@@ -49,9 +50,10 @@
         server_tls: ssl.SSLContext | None = None,
         authorize: Authorize = allow_all,
     ) -> None:
-        """Bind a core to the running loop; nothing starts before ``run``.
+        """Set up the shell without starting anything; see ``listen`` and ``start``.
 
-        A message that ``authorize`` refuses ends its link.
+        ``authorize`` returns why a message is refused, or an empty string. After a refused
+        message its link is closed.
         """
         self.core = core
         self.stopped = asyncio.Event()
@@ -81,38 +83,38 @@
         command_type: type[CommandType],
         handler: Callable[[CommandType], None],
     ) -> None:
-        """Let ``handler`` carry out commands of exactly this type."""
+        """Register the handler for commands of exactly this type (not its subclasses)."""
         self._handlers[command_type] = handler
 
     @property
     def refused_handshakes(self) -> int:
-        """Connections refused because too many TLS handshakes were under way."""
+        """Number of connections refused because of too many TLS handshakes in progress."""
         return sum(listener.refused_handshakes for listener in self._listeners)
 
     @property
     def now(self) -> float:
-        """Monotonic seconds, as given to the core."""
+        """Time of the event loop in seconds, as passed to the core."""
         return asyncio.get_running_loop().time()
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept links on an address; give the port bound."""
+        """Accept links on an address and return the bound port."""
         listener = LinkListener(self._accepted, self._server_tls)
         bound_port = await listener.start(host, port)
         self._listeners.append(listener)
         return bound_port
 
     def start(self, seed: int | None = None) -> None:
-        """Hand the core its ``Started`` event."""
+        """Pass ``Started`` to the core, with a random seed if none is given."""
         chosen = secrets.randbits(63) if seed is None else seed
         self.dispatch(events.Started(chosen))
 
     def dispatch(self, event: events.Event) -> None:
-        """Step the core once and carry out its commands in order."""
+        """Step the core with ``event`` and execute its commands in order."""
         for command in self.core.step(event, self.now):
             self.execute(command)
 
     async def close(self) -> None:
-        """Close listeners, links and timers; the core hears nothing of it."""
+        """Close listeners, links and timers without passing events to the core."""
         for timer in self._timers.values():
             timer.cancel()
         for task in self._opening.values():
@@ -124,9 +126,9 @@
         self._links.clear()
 
     def execute(self, command: commands.Command) -> None:
-        """Carry out one command; a command no shell knows is a broken invariant."""
+        """Execute one command by its handler; a missing handler is a programming error."""
         handler = self._handlers.get(type(command))
-        assert handler is not None, f"no shell carries out {type(command).__name__}"
+        assert handler is not None, f"no handler registered for {type(command).__name__}"
         handler(command)
 
     def _open_link(self, command: commands.OpenLink) -> None:
@@ -185,12 +187,12 @@
         if isinstance(outcome, str):
             self.dispatch(events.LinkClosed(command.link, outcome))
             return
-        self._adopt(command.link, outcome)
+        self._add_link(command.link, outcome)
 
     def _accepted(self, link: Link) -> None:
-        self._adopt(next(self._accepted_ids), link)
+        self._add_link(next(self._accepted_ids), link)
 
-    def _adopt(self, link_id: events.LinkId, link: Link) -> None:
+    def _add_link(self, link_id: events.LinkId, link: Link) -> None:
         self._links[link_id] = link
         self.dispatch(events.LinkOpened(link_id, link.peer_address, link.peer_identity))
         link.start(
--- a/src/peppershore/process/signals.py
+++ b/src/peppershore/process/signals.py
@@ -1,4 +1,4 @@
-"""A signal from the machine becomes the core's planned stop."""
+"""Handling of stop signals: SIGTERM and SIGINT request a planned stop of the core."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def stop_on_signals(shell: Shell) -> None:
-    """Hand the core ``StopRequested`` on SIGTERM or SIGINT."""
+    """Pass ``StopRequested`` to the shell's core on SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, shell.dispatch, StopRequested())
--- a/src/peppershore/process/status_page.py
+++ b/src/peppershore/process/status_page.py
@@ -1,8 +1,8 @@
-"""The status page of a control replica: read-only HTML without outside assets.
+"""Status page of a control replica: read-only HTML without external assets.
 
-Shows the tree (secrets by name only, of tenants how many there are), the version
-in force in each zone, who lags and why, the replicas and the relays.
-The browser reloads it by itself.
+It shows the configuration tree (of secrets no key material, of tenants only their number),
+the version in force in each zone, the lagging nodes with the reason, the replicas and the
+relays. The browser reloads the page automatically.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One cell of a table; ``behind`` marks what needs a look."""
+    """One cell of a table; ``behind`` highlights a value that needs attention."""
 
     text: str
     behind: bool = False
 
 
 class ZoneProgress(msgspec.Struct, frozen=True):
-    """How far one zone is."""
+    """Progress of one zone: the version in force, its relays, nodes and lagging nodes."""
 
     zone: str
     in_force: Version
@@ -51,12 +51,15 @@
 
 
 def status_page(status: StatusAnswered, tree: Tree) -> Page:
-    """Give the whole page; ``status`` and ``tree`` are the replica's own view."""
+    """Return the complete page; ``status`` and ``tree`` are as known to the replica."""
     return Page(render_status(status, tree).encode(), HTML)
 
 
 def zone_progress(relays: Iterable[RelayStatus]) -> tuple[ZoneProgress, ...]:
-    """Give the version in force in each zone: the lowest of its relays."""
+    """Return the progress of each zone.
+
+    The version in force in a zone is the lowest of those of its relays.
+    """
     by_zone: dict[str, list[RelayStatus]] = {}
     for relay in relays:
         by_zone.setdefault(relay.zone, []).append(relay)
@@ -73,24 +76,24 @@
 
 
 def render_status(status: StatusAnswered, tree: Tree) -> str:
-    """Give the page's HTML; every text from outside is escaped."""
+    """Return the HTML of the page, with all variable text escaped."""
     title = f"{status.cluster}: version {status.version}"
     sections = (
         _summary(status, tree),
-        _section(
-            "Zones", ("Zone", "In force", "Relays", "Nodes", "Lagging"), _zones(status)
+        _render_section(
+            "Zones", ("Zone", "In force", "Relays", "Nodes", "Lagging"), _zone_rows(status)
         ),
-        _section(
+        _render_section(
             "Lagging nodes",
             ("Node", "Service", "Zone", "Holds", "Relay", "Reason"),
-            _lagging(status),
+            _lagging_rows(status),
         ),
-        _section(
+        _render_section(
             "Replicas",
             ("Replica", "Address", "Role", "Term", "Log synced to", "Voter"),
-            _replicas(status),
+            _replica_rows(status),
         ),
-        _section(
+        _render_section(
             "Relays",
             (
                 "Relay",
@@ -101,11 +104,11 @@
                 "Control bytes",
                 "Report age",
             ),
-            _relays(status),
+            _relay_rows(status),
         ),
-        _section("Tree", ("Path", "Revision", "Setting", "Value"), _nodes(tree)),
-        _section(
-            "Secrets", ("Secret", "Generations", "Signing", "Revision"), _secrets(tree)
+        _render_section("Tree", ("Path", "Revision", "Setting", "Value"), _tree_rows(tree)),
+        _render_section(
+            "Secrets", ("Secret", "Generations", "Signing", "Revision"), _secret_rows(tree)
         ),
     )
     return (
@@ -128,7 +131,7 @@
     return f'{summary}<ul class="behind">{remarks}</ul>' if remarks else summary
 
 
-def _zones(status: StatusAnswered) -> list[Sequence[Cell]]:
+def _zone_rows(status: StatusAnswered) -> list[Sequence[Cell]]:
     return [
         (
             Cell(item.zone),
@@ -141,7 +144,7 @@
     ]
 
 
-def _lagging(status: StatusAnswered) -> list[Sequence[Cell]]:
+def _lagging_rows(status: StatusAnswered) -> list[Sequence[Cell]]:
     return [
         (
             Cell(node.node),
@@ -156,7 +159,7 @@
     ]
 
 
-def _replicas(status: StatusAnswered) -> list[Sequence[Cell]]:
+def _replica_rows(status: StatusAnswered) -> list[Sequence[Cell]]:
     return [
         (
             Cell(item.replica),
@@ -171,13 +174,16 @@
 
 
 def _match_cell(match_version: Version, version: Version) -> Cell:
-    """Give how far a replica's log is; only the leader knows that of the others."""
+    """Return the cell for the version up to which a replica's log is synced.
+
+    Only the leader knows this of the other replicas; an unknown version (0) shows as "-".
+    """
     if not match_version:
         return Cell(UNKNOWN)
     return Cell(str(match_version), behind=match_version < version)
 
 
-def _relays(status: StatusAnswered) -> list[Sequence[Cell]]:
+def _relay_rows(status: StatusAnswered) -> list[Sequence[Cell]]:
     return [
         (
             Cell(item.relay),
@@ -195,7 +201,7 @@
     ]
 
 
-def _nodes(tree: Tree) -> list[Sequence[Cell]]:
+def _tree_rows(tree: Tree) -> list[Sequence[Cell]]:
     rows: list[Sequence[Cell]] = []
     for path, node in sorted(tree.nodes.items()):
         values = set_values(node.overrides) or {"": ""}
@@ -205,7 +211,7 @@
     return rows
 
 
-def _secrets(tree: Tree) -> list[Sequence[Cell]]:
+def _secret_rows(tree: Tree) -> list[Sequence[Cell]]:
     return [
         (
             Cell(name),
@@ -217,14 +223,16 @@
     ]
 
 
-def _section(title: str, header: Sequence[str], rows: Sequence[Sequence[Cell]]) -> str:
+def _render_section(
+    title: str, header: Sequence[str], rows: Sequence[Sequence[Cell]]
+) -> str:
     if not rows:
         return f'<h2>{escape(title)}</h2><p class="quiet">none</p>'
     head = "".join(f"<th>{escape(name)}</th>" for name in header)
-    body = "".join(f"<tr>{''.join(map(_cell, row))}</tr>" for row in rows)
+    body = "".join(f"<tr>{''.join(map(_render_cell, row))}</tr>" for row in rows)
     return f"<h2>{escape(title)}</h2><table><tr>{head}</tr>{body}</table>"
 
 
-def _cell(cell: Cell) -> str:
+def _render_cell(cell: Cell) -> str:
     mark = ' class="behind"' if cell.behind else ""
     return f"<td{mark}>{escape(cell.text)}</td>"
--- a/src/peppershore/process/status_remarks.py
+++ b/src/peppershore/process/status_remarks.py
@@ -1,4 +1,4 @@
-"""What a person should know of a cluster's state, in words: what waits, and why."""
+"""Remarks on a cluster's state for operators: what is delayed or unknown, and why."""
 
 from __future__ import annotations
 
@@ -12,37 +12,40 @@
 
 
 def status_remarks(status: StatusAnswered) -> tuple[str, ...]:
-    """Give a line for each thing that holds versions or rotations up, or hides them."""
+    """Return one line for each thing that delays versions or rotations.
+
+    Lines also name the parts of the state that the answering replica doesn't know.
+    """
     return (
         *(f"rotation waits: {text}" for text in status.rotations),
-        *(_awaited(relay, status) for relay in status.relays_awaited),
-        *(_unsettled(relay) for relay in status.relays if not relay.settled),
-        *(_silent(relay) for relay in status.relays if is_silent(relay)),
-        *_about_the_answer(status),
+        *(_awaited_remark(relay, status) for relay in status.relays_awaited),
+        *(_unsettled_remark(relay) for relay in status.relays if not relay.settled),
+        *(_silent_remark(relay) for relay in status.relays if is_silent(relay)),
+        *_answering_replica_remarks(status),
     )
 
 
 def is_silent(relay: RelayStatus) -> bool:
-    """Tell whether a relay has not reported for a while."""
+    """Return whether the last report of a relay is at least ``SILENT_MILLISECONDS`` old."""
     return relay.report_age_milliseconds >= SILENT_MILLISECONDS
 
 
-def _awaited(relay: str, status: StatusAnswered) -> str:
+def _awaited_remark(relay: str, status: StatusAnswered) -> str:
     return (
         f"relay {relay} is heard by other relays and has not reported to {status.replica}"
     )
 
 
-def _unsettled(relay: RelayStatus) -> str:
+def _unsettled_remark(relay: RelayStatus) -> str:
     return f"relay {relay.relay} started a moment ago and may not know all its nodes"
 
 
-def _silent(relay: RelayStatus) -> str:
+def _silent_remark(relay: RelayStatus) -> str:
     seconds = relay.report_age_milliseconds // MILLISECONDS_PER_SECOND
     return f"relay {relay.relay} has not reported for {seconds} s"
 
 
-def _about_the_answer(status: StatusAnswered) -> tuple[str, ...]:
+def _answering_replica_remarks(status: StatusAnswered) -> tuple[str, ...]:
     remarks: list[str] = []
     if not status.relays and not status.relays_awaited:
         remarks.append("no relay reports")
--- a/tests/admin/test_admin_http.py
+++ b/tests/admin/test_admin_http.py
@@ -1,4 +1,4 @@
-"""The admin listener: pages, readiness, and input that is no HTTP."""
+"""Admin listener: pages, readiness, refused methods and input that is not HTTP."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 HOST = "127.0.0.1"
 
 
-class Stage:
-    """An admin server whose readiness the test decides."""
+class RunningAdmin:
+    """A running admin server whose readiness is set by the test."""
 
     def __init__(self) -> None:
         self.readiness = Readiness(True)
@@ -30,7 +30,7 @@
         )
         self.port = 0
 
-    async def ask(self, data: bytes) -> bytes:
+    async def send(self, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(data)
         writer.write_eof()
@@ -39,84 +39,84 @@
         return answer
 
     async def get(self, target: str) -> bytes:
-        return await self.ask(
+        return await self.send(
             f"GET {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode()
         )
 
 
-def on_stage(work: Callable[[Stage], Awaitable[None]]) -> None:
-    async def play() -> None:
-        stage = Stage()
-        stage.port = await stage.server.start(f"{HOST}:0")
+def run_with_admin(work: Callable[[RunningAdmin], Awaitable[None]]) -> None:
+    async def serve() -> None:
+        admin = RunningAdmin()
+        admin.port = await admin.server.start(f"{HOST}:0")
         try:
-            await work(stage)
+            await work(admin)
         finally:
-            await stage.server.close()
+            await admin.server.close()
 
-    asyncio.run(play())
+    asyncio.run(serve())
 
 
 def test_pages_are_served() -> None:
-    async def work(stage: Stage) -> None:
-        assert b"200" in (await stage.get("/healthz")).split(b"\r\n")[0]
-        metrics = await stage.get("/metrics")
+    async def work(admin: RunningAdmin) -> None:
+        assert b"200" in (await admin.get("/healthz")).split(b"\r\n")[0]
+        metrics = await admin.get("/metrics")
         assert b"text/plain; version=0.0.4" in metrics
         assert b"peppershore_uptime_seconds" in metrics
-        assert (await stage.get("/echo?a=1")).endswith(b"\r\n\r\na=1")
-        missing = await stage.get("/nothing")
+        assert (await admin.get("/echo?a=1")).endswith(b"\r\n\r\na=1")
+        missing = await admin.get("/nothing")
         assert missing.startswith(b"HTTP/1.1 404")
         assert b"/readyz" in missing
 
-    on_stage(work)
+    run_with_admin(work)
 
 
-def test_readiness_says_why_not() -> None:
-    async def work(stage: Stage) -> None:
-        assert (await stage.get("/readyz")).startswith(b"HTTP/1.1 200")
-        stage.readiness = Readiness(False, "no leader within its lease")
-        answer = await stage.get("/readyz")
+def test_unready_answer_names_the_reason() -> None:
+    async def work(admin: RunningAdmin) -> None:
+        assert (await admin.get("/readyz")).startswith(b"HTTP/1.1 200")
+        admin.readiness = Readiness(False, "no leader within its lease")
+        answer = await admin.get("/readyz")
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"no leader within its lease" in answer
 
-    on_stage(work)
+    run_with_admin(work)
 
 
-def test_connection_is_used_again() -> None:
-    async def work(stage: Stage) -> None:
+def test_connection_is_reused() -> None:
+    async def work(admin: RunningAdmin) -> None:
         request = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
-        answer = await stage.ask(request * 3)
+        answer = await admin.send(request * 3)
         assert answer.count(b"HTTP/1.1 200") == 3
 
-    on_stage(work)
+    run_with_admin(work)
 
 
 @pytest.mark.parametrize("method", [b"POST", b"DELETE", b"PUT"])
-def test_nothing_can_be_changed(method: bytes) -> None:
-    async def work(stage: Stage) -> None:
-        answer = await stage.ask(method + b" /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
+def test_methods_that_could_change_state_are_refused(method: bytes) -> None:
+    async def work(admin: RunningAdmin) -> None:
+        answer = await admin.send(method + b" /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 405")
 
-    on_stage(work)
+    run_with_admin(work)
 
 
 @settings(max_examples=30)
 @given(st.lists(st.binary(max_size=60), max_size=4).map(b"\r\n".join))
 def test_garbage_ends_its_connection_only(data: bytes) -> None:
-    async def work(stage: Stage) -> None:
-        await stage.ask(data)
-        await stage.ask(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n" + data)
-        assert (await stage.get("/healthz")).startswith(b"HTTP/1.1 200")
+    async def work(admin: RunningAdmin) -> None:
+        await admin.send(data)
+        await admin.send(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n" + data)
+        assert (await admin.get("/healthz")).startswith(b"HTTP/1.1 200")
 
-    on_stage(work)
+    run_with_admin(work)
 
 
 def test_client_reads_a_page_and_names_what_is_wrong() -> None:
-    async def work(stage: Stage) -> None:
-        address = f"{HOST}:{stage.port}"
+    async def work(admin: RunningAdmin) -> None:
+        address = f"{HOST}:{admin.port}"
         assert (await fetch(address, "/echo?x", 5.0)).unwrap() == b"x"
         missing = await fetch(address, "/nothing", 5.0)
         assert isinstance(missing, Failure)
         assert "404" in missing.failure().message
         assert isinstance(await fetch("no address", "/", 5.0), Failure)
 
-    on_stage(work)
+    run_with_admin(work)
--- a/tests/admin/test_status_page.py
+++ b/tests/admin/test_status_page.py
@@ -1,4 +1,4 @@
-"""The status page: what it shows, and that it escapes and needs nothing else."""
+"""Status page: its contents, its escaping, and that it needs no external resources."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Texts(HTMLParser):
-    """Collects text and the tags met."""
+    """Collects the texts, tags and attribute names of a page."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/admin/test_status_process.py
+++ b/tests/admin/test_status_process.py
@@ -1,4 +1,4 @@
-"""The status page of running replicas: what is in force where, who lags and why."""
+"""Status page of running replicas: versions in force by zone and the lagging nodes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Tables(HTMLParser):
-    """Collects the rows of each table under its heading, and every attribute."""
+    """Collects table rows by heading, and attributes that refer to other resources."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/logging/test_bounded_output.py
+++ b/tests/logging/test_bounded_output.py
@@ -1,4 +1,8 @@
-"""Log lines on standard output never wait for their reader, and are bounded."""
+"""Log lines on standard output are bounded and never block on their reader.
+
+Guards against a process that stalls, or whose memory grows, because the reader of its log
+has stopped reading.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 class Pipe:
-    """A pipe whose reader reads only when told to."""
+    """A pipe that is read only when the test calls ``read``."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -37,7 +41,7 @@
             if descriptor >= 0:
                 os.close(descriptor)
 
-    def leave(self) -> None:
+    def close_reader(self) -> None:
         os.close(self.reader)
         self.reader = -1
 
@@ -53,8 +57,8 @@
     return json.dumps({"event": kind, "number": number, "pad": "x" * 200})
 
 
-def drained(pipe: Pipe, output: BoundedOutput) -> list[dict[str, object]]:
-    """Read all that is written until nothing waits."""
+def drain(pipe: Pipe, output: BoundedOutput) -> list[dict[str, object]]:
+    """Read and parse all lines until the output has none queued."""
     data = pipe.read()
     while output.waiting_bytes:
         output.pump()
@@ -66,10 +70,10 @@
     output = BoundedOutput(pipe.writer, BOUND)
     for number in range(20):
         output.write(line(number, "event"), is_call=False)
-    assert [entry["number"] for entry in drained(pipe, output)] == list(range(20))
+    assert [entry["number"] for entry in drain(pipe, output)] == list(range(20))
 
 
-def test_a_reader_that_stands_still_costs_bounded_memory(pipe: Pipe) -> None:
+def test_stalled_reader_costs_bounded_memory(pipe: Pipe) -> None:
     output = BoundedOutput(pipe.writer, BOUND)
     for number in range(5_000):
         output.write(line(number, "call"), is_call=True)
@@ -77,28 +81,28 @@
     assert output.dropped.calls > 0
 
 
-def test_lines_of_calls_go_before_others(pipe: Pipe) -> None:
+def test_lines_of_calls_are_dropped_before_others(pipe: Pipe) -> None:
     output = BoundedOutput(pipe.writer, BOUND)
     others = 100
     for number in range(5_000):
         output.write(line(number, "call"), is_call=True)
         if number % 50 == 0:
             output.write(line(number, "state"), is_call=False)
-    entries = drained(pipe, output)
+    entries = drain(pipe, output)
     assert sum(entry["event"] == "state" for entry in entries) == others
     assert output.dropped.others == 0
 
 
-def test_the_number_of_missing_lines_is_told_and_adds_up(pipe: Pipe) -> None:
+def test_number_of_dropped_lines_is_reported_and_adds_up(pipe: Pipe) -> None:
     output = BoundedOutput(pipe.writer, BOUND)
     for number in range(5_000):
         output.write(line(number, "call"), is_call=True)
-    entries = drained(pipe, output)
+    entries = drain(pipe, output)
     missing = [entry for entry in entries if entry["event"] == "log_lines_dropped"]
     written = [entry for entry in entries if entry["event"] == "call"]
     assert missing
-    told = sum(int(str(entry["calls"])) for entry in missing)
-    assert told + len(written) == 5_000
+    reported = sum(int(str(entry["calls"])) for entry in missing)
+    assert reported + len(written) == 5_000
 
 
 def test_others_alone_are_bounded_too_and_the_newest_stay(pipe: Pipe) -> None:
@@ -106,12 +110,12 @@
     for number in range(5_000):
         output.write(line(number, "state"), is_call=False)
     assert output.waiting_bytes <= BOUND + 4_096
-    assert drained(pipe, output)[-1]["number"] == 4_999
+    assert drain(pipe, output)[-1]["number"] == 4_999
 
 
-def test_a_reader_that_left_is_not_written_to(pipe: Pipe) -> None:
+def test_lines_for_a_closed_reader_are_discarded(pipe: Pipe) -> None:
     output = BoundedOutput(pipe.writer, BOUND)
-    pipe.leave()
+    pipe.close_reader()
     output.write(line(1, "state"), is_call=False)
     assert output.waiting_bytes == 0
 
--- a/tests/logging/test_hidden_keys.py
+++ b/tests/logging/test_hidden_keys.py
@@ -1,4 +1,7 @@
-"""No text that people or logs get holds a tenant's key."""
+"""No output for people or logs contains a tenant's key or its digest.
+
+Only the configuration that operators read back contains the keys.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
 def keyed(
     *keys: str, version: int = 1, base: int = 0, **more: object
 ) -> WholeConfiguration:
-    """Give a small configuration with a tenant that has these keys."""
+    """Return a small configuration with a tenant that has these keys."""
     tenants = {"studio": TenantDefinition(keys, 350, 100)} | more
     return msgspec.structs.replace(configuration(version, base), tenants=tenants)
 
@@ -155,15 +158,15 @@
     assert [each.subject for each in hidden] == ["tenant:studio"]
     assert key_fingerprint(OTHER_KEY) in hidden[0].after
     assert key_fingerprint(OTHER_KEY) in "".join(map(describe, edit.operations))
-    assert "keys" not in describe(SetTenant("studio", 5)), "kept keys are not told"
+    assert "keys" not in describe(SetTenant("studio", 5)), "unchanged keys are not shown"
 
 
-def test_changed_keys_are_told_by_fingerprints() -> None:
+def test_changed_keys_are_shown_by_fingerprints() -> None:
     change = ChangeTenantKeys("studio", (OTHER_KEY,), (key_fingerprint(KEY),))
-    told = f"tenant keys studio +{key_fingerprint(OTHER_KEY)} -{key_fingerprint(KEY)}"
-    assert describe(change) == told
+    expected = f"tenant keys studio +{key_fingerprint(OTHER_KEY)} -{key_fingerprint(KEY)}"
+    assert describe(change) == expected
     hidden = edits_without_material((CommittedEdit(2, Edit("id", (change,))),))[0]
-    assert describe(*hidden.edit.operations) == told
+    assert describe(*hidden.edit.operations) == expected
 
 
 def test_the_status_page_counts_tenants() -> None:
@@ -177,7 +180,7 @@
     assert KEY.encode() in encode_configuration(keyed(KEY))
 
 
-def test_a_group_takes_keys_gives_them_back_and_logs_none() -> None:
+def test_group_stores_and_returns_keys_but_logs_none() -> None:
     cluster = SelfKeptCluster(("a", "b", "c"))
     cluster.run_until(lambda: cluster.leader() is not None)
     assert isinstance(cluster.outcome(cluster.submit("b", keyed(KEY))), ReleaseTaken)
--- a/tests/logging/test_hidden_material.py
+++ b/tests/logging/test_hidden_material.py
@@ -1,4 +1,4 @@
-"""No text form of any message, and no log line, shows bytes given to it."""
+"""No text form of a message and no log line shows values of type bytes."""
 
 from __future__ import annotations
 
--- a/tests/logging/test_json_lines.py
+++ b/tests/logging/test_json_lines.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON with stable names; metrics count them."""
+"""Log lines are JSON objects with stable event names; metrics count the events."""
 
 from __future__ import annotations
 
--- a/tests/settings/test_settings_loader.py
+++ b/tests/settings/test_settings_loader.py
@@ -1,4 +1,7 @@
-"""Settings: every problem at once, flags over the file, arbitrary input never raises."""
+"""Settings: problems are reported all at once, and flags override the file.
+
+Arbitrary input never raises an exception.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +44,7 @@
     return parsed.failure()
 
 
-def test_flag_goes_over_the_file() -> None:
+def test_flag_overrides_the_file() -> None:
     parsed = parse_settings(ControlSettings, CONTROL, {"log_level": "debug"})
     settings = parsed.unwrap()
     assert settings.log_level == "debug"
