--- a/src/peppershore/process/settings_loader.py
+++ b/src/peppershore/process/settings_loader.py
@@ -212,8 +212,9 @@
     def tolerates(self, problem: SettingProblem) -> bool:
         """Return whether the process may start despite this problem.
 
-        When adjusting, missing seeds or relays are tolerated and recorded as an adjustment,
-        because later changes of the settings may name some.
+        When adjusting, a problem with the lists ``seeds`` or ``relays``, usually that they
+        are empty, is tolerated and recorded as an adjustment, because later changes of the
+        settings may name some.
         """
         if not self._adjusts or problem.key not in SEED_KEYS:
             return False
