--- a/src/peppershore/process/boot_clock.py
+++ b/src/peppershore/process/boot_clock.py
@@ -3,8 +3,8 @@
 Leases, slot loans, ages and silence time-outs are agreed between machines. The usual
 monotonic clock stops while a machine is suspended, so that a resumed leader would still
 rely on a lease that the other replicas have already granted to another leader.
-Alternatives: the time of day can be set back, and a timer that detects suspensions fires
-only after the first decisions.
+The alternatives are unsuitable: the time of day can be set back, and a timer that detects
+suspensions fires only after the first decisions.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/commands.py
+++ b/src/peppershore/process/commands.py
@@ -74,7 +74,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """Base of the events that are logged and counted in metrics.
+    """Base of log events, each written as a log line and counted in the metrics.
 
     The class name in snake case is the stable name of the log event; the fields become
     the fields of the log line. A notice holds no key material.
--- a/src/peppershore/process/http_service.py
+++ b/src/peppershore/process/http_service.py
@@ -55,7 +55,8 @@
     ) -> None:
         """Answer requests by ``answer``, and those with a too large body by status 413.
 
-        A ``max_body_bytes`` of 0 means that bodies are read and discarded.
+        A ``max_body_bytes`` of 0 means that bodies are read and discarded. Connections
+        beyond ``max_connections`` are closed at once.
         """
         self._answer = answer
         self._max_body_bytes = max_body_bytes
--- a/src/peppershore/process/link_report.py
+++ b/src/peppershore/process/link_report.py
@@ -56,7 +56,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start the first interval; call it on the event loop."""
+        """Start the first interval; must be called from the running event loop."""
         if self._interval_seconds > 0.0:
             self._interval_start = asyncio.get_running_loop().time()
             self._previous = (
--- a/src/peppershore/process/link_security.py
+++ b/src/peppershore/process/link_security.py
@@ -60,7 +60,7 @@
         if files is None:
             return
         paths = TlsPaths(files.certificate, files.key, files.authority)
-        local = _read_local_identity(paths, role)
+        local_identity = _read_local_identity(paths, role)
         try:
             client = client_context(paths)
             server = server_context(paths)
@@ -68,12 +68,15 @@
             reason = f"the TLS files do not fit together: {problem}"
             raise UnusableCertificateError(reason) from problem
         self._reloading = (client, server)
-        self.authorize = authorizer(local)
+        self.authorize = authorizer(local_identity)
         self.client = client.context
         self.server = server.context
 
     def start(self, metrics: ProcessMetrics) -> None:
-        """Check the files for changes every 5 s and export the time until expiry."""
+        """Check the files every 5 s for changes and export the certificate's time left.
+
+        Without TLS files nothing is checked or exported.
+        """
         if not self._reloading:
             return
         metrics.gauge(
@@ -114,8 +117,11 @@
     if isinstance(identity, Failure):
         reason = f"the identity in {paths.certificate} {identity.failure().reason}"
         raise UnusableCertificateError(reason)
-    local = identity.unwrap()
-    if local.role != role:
-        reason = f"{paths.certificate} is the certificate of a {local.role}, not a {role}"
+    local_identity = identity.unwrap()
+    if local_identity.role != role:
+        reason = (
+            f"{paths.certificate} is the certificate of a {local_identity.role}, "
+            f"not a {role}"
+        )
         raise UnusableCertificateError(reason)
-    return local
+    return local_identity
--- a/src/peppershore/process/log_output.py
+++ b/src/peppershore/process/log_output.py
@@ -22,7 +22,10 @@
 RETRY_SECONDS = 0.05
 CALL_LINES_PER_SECOND = 100
 CALL_LINES_BURST = 300
-"""Bounds on the log lines about single calls, independent of the load."""
+"""Token-bucket capacity, in lines, for log lines about single calls.
+
+Together with ``CALL_LINES_PER_SECOND`` it bounds these lines at any load.
+"""
 
 
 class Dropped(msgspec.Struct):
@@ -33,7 +36,7 @@
 
 
 class LineBudget:
-    """Token bucket that limits the rate of log lines of one kind."""
+    """Token bucket that limits the rate of log lines about single calls."""
 
     def __init__(self, per_second: float, burst: float) -> None:
         """Start with a full bucket of ``burst`` lines."""
--- a/src/peppershore/process/logging.py
+++ b/src/peppershore/process/logging.py
@@ -65,7 +65,8 @@
     """Write every log record of this process and its libraries as a JSON line.
 
     ``level`` is one of ``LEVELS`` and ``log_to`` one of ``LOG_TARGETS``; the settings
-    loader has checked both. Standard output is bounded and never blocks the process.
+    loader has checked both. Lines for standard output go into a bounded queue, and writing
+    them never blocks the process.
     """
     flags.FLAGS.mark_as_parsed()  # click parses the command line, not absl
     absl_logging.use_absl_handler()
--- a/src/peppershore/process/metrics.py
+++ b/src/peppershore/process/metrics.py
@@ -42,7 +42,7 @@
     """Metrics registry and notice sink of one process."""
 
     def __init__(self, identity: LogIdentity) -> None:
-        """Start the uptime; ``identity`` labels the metric of process information."""
+        """Start the uptime at 0; ``identity`` labels the process information metric."""
         self._identity = identity
         self._started = time.monotonic()
         self._created = time.time()
--- a/src/peppershore/process/public_value.py
+++ b/src/peppershore/process/public_value.py
@@ -1,4 +1,4 @@
-"""Redaction for output: hides bytes and the values of fields that may hold keys."""
+"""Redaction of key material: hides bytes and fields named in ``SENSITIVE_FIELDS``."""
 
 from __future__ import annotations
 
--- a/src/peppershore/process/settings_loader.py
+++ b/src/peppershore/process/settings_loader.py
@@ -49,7 +49,7 @@
 SEED_KEYS = ("seeds", "relays")
 WAITS_FOR_SEEDS = "nothing: the process waits until its settings name some"
 MAX_SHOWN = 200
-"""Maximum length of a value in a message; longer text would tell the reader nothing."""
+"""Maximum number of characters of a value in a message; more would not help the reader."""
 
 WHOLE_FILE = "(file)"
 _TYPE_DESCRIPTIONS: dict[Any, str] = {
@@ -118,8 +118,8 @@
     """Read settings from TOML text and replace values that can't be used.
 
     A number becomes the nearest allowed one, another optional setting gets its default.
-    Unknown keys are ignored. Only what can't be replaced, such as a missing required
-    setting, is a problem.
+    Unknown keys are ignored. Every such change is recorded as an adjustment. Only what
+    can't be replaced, such as a missing required setting, is a problem.
     """
     return _parse(kind, text, flags, _Reader(adjusts=True))
 
@@ -426,7 +426,7 @@
 
 
 def _shortened(value: Any) -> str:
-    """Return the ``repr`` of a value, truncated to ``MAX_SHOWN`` characters."""
+    """Return the ``repr`` of a value, cut to ``MAX_SHOWN`` characters plus "..."."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
 
--- a/src/peppershore/process/settings_rules.py
+++ b/src/peppershore/process/settings_rules.py
@@ -82,7 +82,7 @@
 
 
 def field_rule(value: object) -> Fault | None:
-    """Accept the name of a header field."""
+    """Accept the name of a header field: 1 to 64 letters, digits or "-"."""
     if isinstance(value, str) and FIELD_PATTERN.fullmatch(value):
         return None
     return Fault("is no name of a header field", "letters, digits and '-'")
--- a/src/peppershore/process/settings_watch.py
+++ b/src/peppershore/process/settings_watch.py
@@ -50,7 +50,7 @@
     ) -> None:
         """Watch ``path``; ``current`` are the settings the process started with.
 
-        With ``adjusts``, values that can't be used are adjusted as at the start.
+        With ``adjusts``, values that can't be used are adjusted, as in ``current``.
         """
         self._kind = kind
         self._adjusts = adjusts
@@ -92,7 +92,7 @@
         if not self._adjusts:
             return load_settings(self._kind, self._path, {})
         adjusted = load_adjusted_settings(self._kind, self._path, {})
-        return adjusted.map(lambda status: status.settings)
+        return adjusted.map(lambda result: result.settings)
 
     def _check_file(self) -> None:
         loop = asyncio.get_running_loop()
--- a/src/peppershore/process/shell.py
+++ b/src/peppershore/process/shell.py
@@ -93,7 +93,7 @@
 
     @property
     def now(self) -> float:
-        """Time of the event loop in seconds, as passed to the core."""
+        """Monotonic time of the event loop in seconds, as passed to the core."""
         return asyncio.get_running_loop().time()
 
     async def listen(self, host: str, port: int) -> int:
--- a/src/peppershore/process/token_bucket.py
+++ b/src/peppershore/process/token_bucket.py
@@ -31,7 +31,10 @@
         return True
 
     def retry_after_seconds(self) -> float:
-        """Count one more deferred hello and return the upper bound of its retry delay."""
+        """Count one more deferred hello and return the upper bound of its retry delay.
+
+        The bound grows with the number of deferred hellos, up to ``MAX_RETRY_SECONDS``.
+        """
         self._deferred += 1.0
         return min(MAX_RETRY_SECONDS, BURST_SECONDS + 2.0 * self._deferred / self._rate)
 
--- a/tests/admin/test_admin_http.py
+++ b/tests/admin/test_admin_http.py
@@ -18,7 +18,7 @@
 HOST = "127.0.0.1"
 
 
-class RunningAdmin:
+class Stage:
     """A running admin server whose readiness is set by the test."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         )
         self.port = 0
 
-    async def send(self, data: bytes) -> bytes:
+    async def ask(self, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(data)
         writer.write_eof()
@@ -39,84 +39,84 @@
         return answer
 
     async def get(self, target: str) -> bytes:
-        return await self.send(
+        return await self.ask(
             f"GET {target} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode()
         )
 
 
-def run_with_admin(work: Callable[[RunningAdmin], Awaitable[None]]) -> None:
+def on_stage(work: Callable[[Stage], Awaitable[None]]) -> None:
     async def serve() -> None:
-        admin = RunningAdmin()
-        admin.port = await admin.server.start(f"{HOST}:0")
+        stage = Stage()
+        stage.port = await stage.server.start(f"{HOST}:0")
         try:
-            await work(admin)
+            await work(stage)
         finally:
-            await admin.server.close()
+            await stage.server.close()
 
     asyncio.run(serve())
 
 
 def test_pages_are_served() -> None:
-    async def work(admin: RunningAdmin) -> None:
-        assert b"200" in (await admin.get("/healthz")).split(b"\r\n")[0]
-        metrics = await admin.get("/metrics")
+    async def work(stage: Stage) -> None:
+        assert b"200" in (await stage.get("/healthz")).split(b"\r\n")[0]
+        metrics = await stage.get("/metrics")
         assert b"text/plain; version=0.0.4" in metrics
         assert b"peppershore_uptime_seconds" in metrics
-        assert (await admin.get("/echo?a=1")).endswith(b"\r\n\r\na=1")
-        missing = await admin.get("/nothing")
+        assert (await stage.get("/echo?a=1")).endswith(b"\r\n\r\na=1")
+        missing = await stage.get("/nothing")
         assert missing.startswith(b"HTTP/1.1 404")
         assert b"/readyz" in missing
 
-    run_with_admin(work)
+    on_stage(work)
 
 
 def test_unready_answer_names_the_reason() -> None:
-    async def work(admin: RunningAdmin) -> None:
-        assert (await admin.get("/readyz")).startswith(b"HTTP/1.1 200")
-        admin.readiness = Readiness(False, "no leader within its lease")
-        answer = await admin.get("/readyz")
+    async def work(stage: Stage) -> None:
+        assert (await stage.get("/readyz")).startswith(b"HTTP/1.1 200")
+        stage.readiness = Readiness(False, "no leader within its lease")
+        answer = await stage.get("/readyz")
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"no leader within its lease" in answer
 
-    run_with_admin(work)
+    on_stage(work)
 
 
 def test_connection_is_reused() -> None:
-    async def work(admin: RunningAdmin) -> None:
+    async def work(stage: Stage) -> None:
         request = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
-        answer = await admin.send(request * 3)
+        answer = await stage.ask(request * 3)
         assert answer.count(b"HTTP/1.1 200") == 3
 
-    run_with_admin(work)
+    on_stage(work)
 
 
 @pytest.mark.parametrize("method", [b"POST", b"DELETE", b"PUT"])
 def test_methods_that_could_change_state_are_refused(method: bytes) -> None:
-    async def work(admin: RunningAdmin) -> None:
-        answer = await admin.send(method + b" /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
+    async def work(stage: Stage) -> None:
+        answer = await stage.ask(method + b" /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 405")
 
-    run_with_admin(work)
+    on_stage(work)
 
 
 @settings(max_examples=30)
 @given(st.lists(st.binary(max_size=60), max_size=4).map(b"\r\n".join))
 def test_garbage_ends_its_connection_only(data: bytes) -> None:
-    async def work(admin: RunningAdmin) -> None:
-        await admin.send(data)
-        await admin.send(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n" + data)
-        assert (await admin.get("/healthz")).startswith(b"HTTP/1.1 200")
+    async def work(stage: Stage) -> None:
+        await stage.ask(data)
+        await stage.ask(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n" + data)
+        assert (await stage.get("/healthz")).startswith(b"HTTP/1.1 200")
 
-    run_with_admin(work)
+    on_stage(work)
 
 
 def test_client_reads_a_page_and_names_what_is_wrong() -> None:
-    async def work(admin: RunningAdmin) -> None:
-        address = f"{HOST}:{admin.port}"
+    async def work(stage: Stage) -> None:
+        address = f"{HOST}:{stage.port}"
         assert (await fetch(address, "/echo?x", 5.0)).unwrap() == b"x"
         missing = await fetch(address, "/nothing", 5.0)
         assert isinstance(missing, Failure)
         assert "404" in missing.failure().message
         assert isinstance(await fetch("no address", "/", 5.0), Failure)
 
-    run_with_admin(work)
+    on_stage(work)
--- a/tests/admin/test_status_process.py
+++ b/tests/admin/test_status_process.py
@@ -1,4 +1,4 @@
-"""Status page of running replicas: versions in force by zone and the lagging nodes."""
+"""Status page of running replicas: versions in force by zone, lagging nodes and reasons."""
 
 from __future__ import annotations
 
