--- a/benchmarks/call_model.py
+++ b/benchmarks/call_model.py
@@ -16,7 +16,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch, Waiting
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import Failed, NotRun, Unknown
 from peppershore.request.picker import Choice, better_of_two
 from peppershore.request.retry_budget import RetryBudget, retry_delay
@@ -166,14 +166,14 @@
         self._free(work, "failed" if failure else "good")
         self._clock.after(HOP_SECONDS, lambda: work.done(failure))
 
-    def _free(self, work: Work, verdict: Verdict | None) -> None:
+    def _free(self, work: Work, result: AttemptResult | None) -> None:
         assert work.dispatch is not None
         self.running -= 1
         now = self._clock.now
         seconds = now - work.began
-        self._admission.finished(work.dispatch, seconds, verdict, now)
-        for ticket in self._admission.hopeless(now):
-            refusal = self._admission.refusal_of_hopeless(ticket, now)
+        self._admission.finished(work.dispatch, seconds, result, now)
+        for ticket in self._admission.take_unable_to_finish(now):
+            refusal = self._admission.refusal_of_unable_to_finish(ticket, now)
             self._finish(self._waiting.pop(ticket.number), refusal)
         for dispatch in self._admission.ready(now):
             self._run(self._waiting.pop(dispatch.ticket.number), dispatch)
@@ -280,11 +280,11 @@
             return
         dispatch = call.dispatch
         call.dispatch = None
-        verdict: Verdict = "good"
+        result: AttemptResult = "good"
         if failure is not None:
-            verdict = "shed" if isinstance(failure, NotRun) else "failed"
+            result = "shed" if isinstance(failure, NotRun) else "failed"
             call.excluded |= {dispatch.endpoint.node}
-        self._free(dispatch, call.began, verdict)
+        self._free(dispatch, call.began, result)
         if failure is not None and self._may_retry(call, failure):
             delay = retry_delay(call.attempts, self._random)
             if self._clock.now + delay < call.deadline and self._budget.spend():
@@ -298,17 +298,17 @@
             return False
         return failure.retryable if isinstance(failure, NotRun) else self._route.repeatable
 
-    def _free(self, dispatch: Dispatch, began: float, verdict: Verdict) -> None:
+    def _free(self, dispatch: Dispatch, began: float, result: AttemptResult) -> None:
         now = self._clock.now
-        self._admission.finished(dispatch, now - began, verdict, now)
+        self._admission.finished(dispatch, now - began, result, now)
         self._start_waiting()
 
     def _start_waiting(self) -> None:
         now = self._clock.now
-        for ticket in self._admission.hopeless(now):
+        for ticket in self._admission.take_unable_to_finish(now):
             call = self._waiting.pop(ticket.number)
             call.ticket = None
-            self._end(call, self._admission.refusal_of_hopeless(ticket, now))
+            self._end(call, self._admission.refusal_of_unable_to_finish(ticket, now))
         for started in self._admission.ready(now):
             self._dispatch(self._waiting.pop(started.ticket.number), started)
         self._kick_later()
--- a/benchmarks/choice_cost.py
+++ b/benchmarks/choice_cost.py
@@ -95,7 +95,7 @@
             for each in range(SLOTS):
                 load = OwnerLoad(SLOTS, 20, SLOTS, 0.2)
                 admission.note_load(f"node-{each}", load, "read", now)
-        admission.all_shed(now)
+        admission.all_refuse_for_load(now)
         admission.has_besides(frozenset(), now, for_free_slot=True)
         decision = admission.offer(ticket(number, now), now)
         if isinstance(decision, Dispatch):
--- a/benchmarks/fair_shares.py
+++ b/benchmarks/fair_shares.py
@@ -25,7 +25,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import LOAD_REASONS, NotRun
 from peppershore.request.tenants import weights as weights_module
 from peppershore.request.tenants.weights import ConfiguredWeights
@@ -160,11 +160,11 @@
     def start(self) -> None:
         """Start who has room now, and refuse who waits in vain."""
         now = self._clock.now
-        for ticket in self.admission.hopeless(now):
-            refusal = self.admission.refusal_of_hopeless(ticket, now)
+        for ticket in self.admission.take_unable_to_finish(now):
+            refusal = self.admission.refusal_of_unable_to_finish(ticket, now)
             self._waiting.pop(ticket.number)[1](refusal)
-        for ticket in self.admission.impatient(now):
-            refusal = self.admission.refusal_of_impatient(ticket, now)
+        for ticket in self.admission.take_timed_out(now):
+            refusal = self.admission.refusal_of_timed_out(ticket, now)
             self._waiting.pop(ticket.number)[1](refusal)
         for dispatch in self.admission.ready(now):
             self._waiting.pop(dispatch.ticket.number)[1](dispatch)
@@ -302,8 +302,8 @@
         work = round(state.known_work(ROUTE) * MICROSECONDS)
         load = OwnerLoad(state.in_flight, state.waiting, SLOTS, work)
         desk.admission.note_load(way.owner, load, ROUTE, now)
-        verdict: Verdict = "shed" if refusal is not None else "good"
-        desk.admission.finished(way.held, now - way.began, verdict, now)
+        result: AttemptResult = "shed" if refusal is not None else "good"
+        desk.admission.finished(way.held, now - way.began, result, now)
         desk.start()
         call.waits += 1
         call.tried |= {way.owner}
--- a/benchmarks/fingerprint_cost.py
+++ b/benchmarks/fingerprint_cost.py
@@ -49,7 +49,7 @@
     for number in range(SUSPECTS):
         suspect = Suspect(b"head-%d" % number, b"key-%d" % number)
         for life in ("one", "two"):
-            table.ended(suspect, life, 0.0)
+            table.record_crash(suspect, life, 0.0)
     return table
 
 
--- a/benchmarks/large_answers.py
+++ b/benchmarks/large_answers.py
@@ -111,8 +111,8 @@
         if self._way == "at once":
             self.link.carry(size, lambda: self._model.through(came))
             return
-        self.room.sized(transfer, size)
-        self.room.came(transfer, size, self._clock.now)
+        self.room.set_length(transfer, size)
+        self.room.received(transfer, size, self._clock.now)
         self._ready.append((transfer, came))
         if not self._is_ticking:
             self._tick()
@@ -151,7 +151,7 @@
 
     def _send(self, transfer: Transfer) -> None:
         octets = min(self._pace.piece, transfer.held)
-        self.room.went(transfer, octets)
+        self.room.forwarded(transfer, octets)
         self._pace.sent(octets)
         at = next(i for i, (each, _) in enumerate(self._ready) if each is transfer)
         _, came = self._ready.pop(at)
--- a/benchmarks/link_model.py
+++ b/benchmarks/link_model.py
@@ -19,7 +19,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch
-from peppershore.request.bodies_ahead import RUN_PATIENCE_SECONDS, BodiesAhead
+from peppershore.request.body_prefetch import MIN_RUN_WAIT_SECONDS, BodyPrefetch
 from peppershore.request.body_transfers import BYTES_PER_MEGABIT
 from peppershore.request.next_attempt import (
     AttemptTerms,
@@ -139,7 +139,7 @@
         self._owner = Admission(SERVICE, settings, ZONE, Randomness(1_000 + number))
         self._owner.use_endpoints((self.endpoint,), 0.0)
         self._waiting: dict[int, Callable[[Dispatch | NotRun], None]] = {}
-        self.ahead = BodiesAhead()
+        self.ahead = BodyPrefetch()
         self._numbers = itertools.count(1)
 
     # --- as a caller's node
@@ -163,8 +163,8 @@
             self.chooses.withdraw(ticket)
             call.done(False, 0.1)
             return
-        may_wait = call.progress.may_wait or self.chooses.all_shed(now)
-        may_wait = may_wait or self.chooses.seeking.is_in_vain(now)
+        may_wait = call.progress.may_wait or self.chooses.all_refuse_for_load(now)
+        may_wait = may_wait or self.chooses.probing.is_suspended(now)
         call.progress = msgspec.structs.replace(
             call.progress,
             tries=call.progress.tries + 1,
@@ -186,7 +186,7 @@
         self.chooses.finished(dispatch, 0.0, None, now)
         self.chooses.note_load(dispatch.endpoint.node, load, ROUTE, now)
         if why.reason == BUSY and not call.progress.may_wait:
-            self.chooses.seeking.refused(now)
+            self.chooses.probing.refused(now)
         call.excluded |= {dispatch.endpoint.node}
         has_other = self.chooses.has_besides(call.excluded, now, why.reason == BUSY)
         terms = AttemptTerms(False, 3, has_other, True)
@@ -205,7 +205,7 @@
         now = self._model.clock.now
         self.chooses.finished(dispatch, 0.0, None, now)
         self.chooses.note_load(dispatch.endpoint.node, load, ROUTE, now)
-        self.chooses.seeking.granted()
+        self.chooses.probing.granted()
         self.outward.carry(ANSWER_BYTES, lambda: call.done(True, 0.0))
 
     # --- as the back end's own node
@@ -230,7 +230,7 @@
     def _body_is_in(self, visit: Visit) -> None:
         self.ahead.end()
         visit.call.progress = msgspec.structs.replace(visit.call.progress, may_wait=True)
-        start_by = self._model.clock.now + RUN_PATIENCE_SECONDS
+        start_by = self._model.clock.now + MIN_RUN_WAIT_SECONDS
         self._offer(visit, start_by, is_away=False, priority=0)
 
     def _offer(
@@ -277,7 +277,7 @@
         decided = self._waiting.pop(ticket.number, None)
         if decided is not None:
             self._owner.withdraw(ticket)
-            decided(self._owner.refusal_of_impatient(ticket, self._model.clock.now))
+            decided(self._owner.refusal_of_timed_out(ticket, self._model.clock.now))
 
     def _fetch(self, visit: Visit, then: Callable[[], None]) -> None:
         """Ask the caller's node for the body."""
--- a/benchmarks/uneven_back_ends.py
+++ b/benchmarks/uneven_back_ends.py
@@ -25,9 +25,9 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch
-from peppershore.request.back_ends.own_report import OwnReport
-from peppershore.request.back_ends.told_load import ToldLoad
-from peppershore.request.next_attempt import MAX_SEEKS, MAX_TRIES
+from peppershore.request.back_ends.local_report import LocalReport
+from peppershore.request.back_ends.reported_load import ReportedLoad
+from peppershore.request.next_attempt import MAX_PROBES, MAX_TRIES
 from peppershore.request.outcome import NotRun
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
@@ -191,7 +191,7 @@
         )
         self.admission = Admission(SERVICE, SETTINGS, "a", Randomness(number))
         self.admission.use_endpoints((self.endpoint,), 0.0)
-        self.report = OwnReport()
+        self.report = LocalReport()
         self.runs = 0
         self.begun_slow = 0
         self.told_slow = False
@@ -307,7 +307,7 @@
         run.over = True
         now = self.model.clock.now
         running = self.admission.in_flight
-        told = ToldLoad(running, 0, SLOTS, round(100 * self.speed * self.pace(now)))
+        told = ReportedLoad(running, 0, SLOTS, round(100 * self.speed * self.pace(now)))
         self.report.heard(told, running, now)
         self.report.ended(ROUTE, now - run.began, now)
         assert run.owned is not None
@@ -367,8 +367,12 @@
         if self.home is not None:
             self.note(self.home, self.home.load())
         call.tries += 1
-        is_in_vain = self.admission.seeking.is_in_vain(now)
-        may_wait = call.tries > MAX_SEEKS or is_in_vain or self.admission.all_shed(now)
+        is_suspended = self.admission.probing.is_suspended(now)
+        may_wait = (
+            call.tries > MAX_PROBES
+            or is_suspended
+            or self.admission.all_refuse_for_load(now)
+        )
         ticket = Ticket(
             next(self._numbers),
             "normal",
@@ -405,7 +409,7 @@
         call.runs.remove(run)
         self.admission.finished(run.dispatch, 0.0, None, now)
         if not run.may_wait and load.running >= load.slots:
-            self.admission.seeking.refused(now)
+            self.admission.probing.refused(now)
         if call.runs:
             return
         is_late = now >= call.came + PATIENCE_SECONDS
@@ -440,7 +444,7 @@
         run.call.runs.remove(run)
         self.admission.finished(run.dispatch, now - run.began, "good", now)
         if not run.may_wait:
-            self.admission.seeking.granted()
+            self.admission.probing.granted()
         for other in list(run.call.runs):
             self._cancel(other)
         self.model.end(run.call, True)
@@ -450,7 +454,9 @@
         if call.over or call.is_hedged or model.hedges >= HEDGE_SHARE * model.calls:
             return
         now = model.clock.now
-        if self.admission.seeking.is_in_vain(now) or self.admission.all_shed(now):
+        if self.admission.probing.is_suspended(now) or self.admission.all_refuse_for_load(
+            now
+        ):
             return
         call.is_hedged = True
         model.hedges += 1
--- a/src/peppershore/process/node/data/verdicts.py
+++ b/src/peppershore/process/node/data/attempt_results.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import (
     FIRST_SERVER_ERROR,
     LINK_FULL,
+    PROBE_NEXT_REASONS,
     QUARANTINED,
     RUNS_ALONE,
-    SEEK_ON,
     STATUS_BAD_GATEWAY,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
@@ -23,14 +23,14 @@
 ``SHED_OUTCOME`` for a load-shedding answer, ``FAILED_OUTCOME`` for other server errors."""
 
 
-def verdict_of_status(status: int) -> Verdict:
+def result_of_status(status: int) -> AttemptResult:
     """Return the result of an attempt that got a complete answer with this status."""
     if status == STATUS_UNAVAILABLE:
         return "shed"
     return "failed" if status >= FIRST_SERVER_ERROR else "good"
 
 
-def verdict_of_failure(failed: Failed) -> Verdict | None:
+def result_of_failure(failed: Failed) -> AttemptResult | None:
     """Return the result of a failed attempt, or None if it says nothing about the back end.
 
     A refusal because of load or a drain counts as "shed", not as a fault of the back end.
@@ -44,5 +44,5 @@
     return "failed" if failed.reason in UNREACHABLE_REASONS else "shed"
 
 
-INCONCLUSIVE_REASONS = SEEK_ON | {LINK_FULL, QUARANTINED, RUNS_ALONE}
+INCONCLUSIVE_REASONS = PROBE_NEXT_REASONS | {LINK_FULL, QUARANTINED, RUNS_ALONE}
 UNREACHABLE_REASONS = frozenset({"back-end-unreachable", "owner-unreachable"})
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -16,18 +16,18 @@
 from peppershore.connection.messages.claims import KeptAnswer
 from peppershore.process.node.data.answer_relay import AnswerRelay
 from peppershore.process.node.data.attempt import Attempt, AttemptRequest
+from peppershore.process.node.data.attempt_results import (
+    FAILED_OUTCOME,
+    SHED_OUTCOME,
+    result_of_failure,
+    result_of_status,
+)
 from peppershore.process.node.data.call_story import CallRecorder
 from peppershore.process.node.data.calls import Calls
 from peppershore.process.node.data.request_body import (
     STREAMED_REPLAY_BYTES,
     RequestBody,
 )
-from peppershore.process.node.data.verdicts import (
-    FAILED_OUTCOME,
-    SHED_OUTCOME,
-    verdict_of_failure,
-    verdict_of_status,
-)
 from peppershore.request.admission import Dispatch, Waiting
 from peppershore.request.claim import (
     ClaimDenied,
@@ -36,7 +36,7 @@
     denied_as,
 )
 from peppershore.request.classification import CallPlan
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.fingerprint import Fingerprint, identity_of
 from peppershore.request.next_attempt import (
     AttemptTerms,
@@ -47,7 +47,7 @@
 )
 from peppershore.request.outcome import (
     BUSY,
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BODY_TOO_LARGE,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
@@ -57,8 +57,8 @@
     out_of_time,
     worse,
 )
-from peppershore.request.shared_patience import may_wait_on, wait_until
 from peppershore.request.tenants.callers import NOBODY
+from peppershore.request.wait_division import may_wait_on, wait_until
 from peppershore.request.waiting import Ticket
 
 SETTLE_TIMEOUT_SECONDS = 0.025
@@ -287,15 +287,15 @@
         self._calls.answered(
             self.plan, self._answer.status, self._request_id, self._recorder
         )
-        self._finish(verdict_of_status(self._answer.status))
+        self._finish(result_of_status(self._answer.status))
 
     def attempt_failed(self, failed: Failed) -> None:
         """Retry where that is safe and within the budget, else fail the call."""
         if failed.reason == BUSY and self._probes_for_slot:
             self._calls.admissions.asked_for_slot(self.plan, was_granted=False)
-        if self._retry_if_possible(failed, verdict_of_failure(failed)):
+        if self._retry_if_possible(failed, result_of_failure(failed)):
             return
-        self._discard_attempt(failed, verdict_of_failure(failed))
+        self._discard_attempt(failed, result_of_failure(failed))
         assert self._worst_failure is not None
         self._fail(self._worst_failure)
 
@@ -446,7 +446,7 @@
             self._ticket = None
             self._fail(worse(self._worst_failure, decision))
 
-    def _retry_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+    def _retry_if_possible(self, failed: Failed, result: AttemptResult | None) -> bool:
         """Schedule another attempt if that is safe, useful and within the retry budget.
 
         Return whether one was scheduled.
@@ -455,7 +455,7 @@
             return False
         self._progress = counted(self._progress, failed)
         step = next_step(
-            self._progress, failed, self._attempt_terms(failed.reason in SEEK_ON)
+            self._progress, failed, self._attempt_terms(failed.reason in PROBE_NEXT_REASONS)
         )
         if isinstance(step, GiveUp):
             return False
@@ -464,7 +464,7 @@
         )
         if delay is None:
             return False
-        self._discard_attempt(failed, verdict)
+        self._discard_attempt(failed, result)
         if not step.elsewhere:
             self._excluded = frozenset()
         self._progress = msgspec.structs.replace(self._progress, may_wait=step.may_wait)
@@ -475,7 +475,9 @@
     def _retries_error(self) -> bool:
         return self.plan.settings.retry_errors and self._answer.is_error
 
-    def _retry_elsewhere_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+    def _retry_elsewhere_if_possible(
+        self, failed: Failed, result: AttemptResult | None
+    ) -> bool:
         """Discard a complete answer and retry, if there is another back end to try.
 
         Return whether a retry was scheduled.
@@ -483,7 +485,7 @@
         tried = self._excluded | self._current_node
         if not self._calls.admissions.has_back_end_besides(self.plan, tried):
             return False
-        return self._retry_if_possible(failed, verdict)
+        return self._retry_if_possible(failed, result)
 
     def _attempt_terms(self, for_free_slot: bool) -> AttemptTerms:
         tried = self._excluded | self._current_node
@@ -514,13 +516,13 @@
         dispatch = self._dispatch
         return frozenset() if dispatch is None else frozenset({dispatch.endpoint.node})
 
-    def _discard_attempt(self, failed: Failed, verdict: Verdict | None) -> None:
+    def _discard_attempt(self, failed: Failed, result: AttemptResult | None) -> None:
         for node in self._current_node:
             self._recorder.note_failure(self._loop.time(), node, failed)
         self._attempt = None
         self._begun = False
         self._excluded |= self._current_node
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._worst_failure = worse(self._worst_failure, failed)
 
     def _schedule_retry(self, delay: float) -> None:
@@ -571,11 +573,11 @@
         else:
             refusal = out_of_time()
             failed = worse(self._worst_failure, refusal)
-        verdict: Verdict | None = "late" if self._begun else None
+        result: AttemptResult | None = "late" if self._begun else None
         if self._attempt is not None:
             self._attempt.cancel()
             self._attempt = None
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._fail(failed)
 
     def _body_too_large(self) -> None:
@@ -611,7 +613,7 @@
             self._attempt.cancel()
         self._finish(None)
 
-    def _finish(self, verdict: Verdict | None) -> None:
+    def _finish(self, result: AttemptResult | None) -> None:
         self._over = True
         self._attempt = None
         if self._timer is not None:
@@ -621,12 +623,12 @@
         if self._ticket is not None:
             self._calls.admissions.withdraw(self._ticket, self.plan)
             self._ticket = None
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._calls.remove_call(self)
 
-    def _free_slot(self, verdict: Verdict | None) -> None:
+    def _free_slot(self, result: AttemptResult | None) -> None:
         dispatch = self._dispatch
         self._dispatch = None
         if dispatch is not None:
             latency = self._loop.time() - self._attempt_began_at
-            self._calls.admissions.slot_freed(dispatch, self.plan, latency, verdict)
+            self._calls.admissions.slot_freed(dispatch, self.plan, latency, result)
--- a/src/peppershore/process/node/data/call_entry.py
+++ b/src/peppershore/process/node/data/call_entry.py
@@ -16,7 +16,7 @@
     Caller,
 )
 from peppershore.request.caller_rate import CallerRates
-from peppershore.request.classification import CallPlan, classify, first_in_line
+from peppershore.request.classification import CallPlan, classify, prioritize_nested
 from peppershore.request.client_retries import UsualDeadlines
 from peppershore.request.confirmation import RefusalBound
 from peppershore.request.outcome import (
@@ -34,7 +34,7 @@
     Parentage,
     TenantCallers,
 )
-from peppershore.request.vouching import Voucher
+from peppershore.request.token_signing import TokenSigner
 from peppershore.request.wire_names import WireNames
 from peppershore.version.active import ActiveConfiguration
 
@@ -110,7 +110,7 @@
         )
         self._backend_host = settings.backend.rpartition(":")[0]
         self._audience = AudienceCheck()
-        self._token_signer = Voucher(settings.service)
+        self._token_signer = TokenSigner(settings.service)
         self._rates = CallerRates()
         self._usual_deadlines = UsualDeadlines()
 
@@ -160,7 +160,7 @@
         whose = judged.unwrap()
         plan = self._with_tenant(plan, whose)
         if parentage.tenant is not None:
-            plan = first_in_line(plan, now)
+            plan = prioritize_nested(plan, now)
         checked = self._check_audience(plan, configuration, head, now)
         if isinstance(checked, Failure):
             return Failure(checked.failure())
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -253,7 +253,7 @@
 
     def _with_version_group(self, entry: EntryPlan) -> EntryPlan:
         """Choose a version group at random if the target's software is being rolled out."""
-        lane = self.admissions.draw_lane(entry.plan.target)
+        lane = self.admissions.choose_version_group(entry.plan.target)
         if lane == "any":
             return entry
         plan = msgspec.structs.replace(entry.plan, lane=lane)
@@ -306,7 +306,7 @@
         capacity = self.large_answers
         if capacity is None or not request.answer_is_large:
             return self._transport_attempt(dispatch, plan, request, sink)
-        work = self.admissions.told_work(plan)
+        work = self.admissions.reported_work(plan)
         terms = LargeTerms(plan.route, request.due, work, elsewhere=False)
         return PacedAnswer(
             capacity,
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -125,11 +125,11 @@
 
     def received(self, transfer: Transfer, octets: int) -> None:
         """Record that ``octets`` more bytes of an answer were received and buffered."""
-        self._room.came(transfer, octets, self._loop.time())
+        self._room.received(transfer, octets, self._loop.time())
 
     def forwarded(self, transfer: Transfer, octets: int) -> None:
         """Record that ``octets`` bytes of an answer are sent on the link now."""
-        self._room.went(transfer, octets)
+        self._room.forwarded(transfer, octets)
         self._large_octets += octets
 
     def may_buffer_more(self, transfer: Transfer) -> bool:
--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -26,7 +26,7 @@
 from peppershore.process.node.data.attempt import AttemptRequest, AttemptSink
 from peppershore.request.deadline import remaining_milliseconds
 from peppershore.request.outcome import (
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BAD_GATEWAY,
     STATUS_GATEWAY_TIMEOUT,
     Failed,
@@ -222,7 +222,7 @@
 
         An owner refuses a probe for a free slot at once: it adds no delay of its own.
         """
-        if reason in SEEK_ON and not self._request.may_wait:
+        if reason in PROBE_NEXT_REASONS and not self._request.may_wait:
             TRAFFIC.note_round_trip(asyncio.get_running_loop().time() - self._sent_at)
 
     def _send_start(self, data: bytes) -> None:
--- a/src/peppershore/process/node/data/own_attempt.py
+++ b/src/peppershore/process/node/data/own_attempt.py
@@ -13,18 +13,21 @@
 
 from peppershore.connection.http_head import AnswerHead, HeaderList
 from peppershore.process.node.data.attempt import AttemptRequest, AttemptSink
+from peppershore.process.node.data.attempt_results import (
+    result_of_failure,
+    result_of_status,
+)
 from peppershore.process.node.data.call_story import NEVER_RAN, ServedRun
 from peppershore.process.node.data.direct_attempt import DEFAULT_TERMS, DirectAttempt
 from peppershore.process.node.data.own_backend import OwnBackend
-from peppershore.process.node.data.verdicts import verdict_of_failure, verdict_of_status
 from peppershore.request.admission import Dispatch
-from peppershore.request.bodies_ahead import (
+from peppershore.request.body_prefetch import (
     FETCH_SECONDS,
+    MIN_RUN_WAIT_SECONDS,
     MOST_BYTES,
-    RUN_PATIENCE_SECONDS,
 )
 from peppershore.request.body_transfers import MOST_SECONDS, TRANSFER_SECONDS
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import (
     BACK_END_ENDED,
     BROKE_OFF,
@@ -164,7 +167,7 @@
             return
         self._end_fetch()
         now = asyncio.get_running_loop().time()
-        start_by = max(self._request.start_by, now + RUN_PATIENCE_SECONDS)
+        start_by = max(self._request.start_by, now + MIN_RUN_WAIT_SECONDS)
         self._request = msgspec.structs.replace(
             self._request, may_wait=True, start_by=start_by, priority=0
         )
@@ -294,17 +297,17 @@
     def answer_ended(self, trailers: HeaderList) -> None:
         """Forward the end of the answer, then free the slot."""
         self._sink.answer_ended(trailers)
-        verdict = verdict_of_status(self._status)
-        if verdict == "good":
+        result = result_of_status(self._status)
+        if result == "good":
             self._backend.ended_well(self._request.fingerprint)
-        self._end(verdict)
+        self._end(result)
 
     def attempt_failed(self, failed: Failed) -> None:
         """Free the slot, then forward the failure.
 
         If the connection broke off, first find out whether the back end crashed.
         """
-        self._end(verdict_of_failure(failed))
+        self._end(result_of_failure(failed))
         if failed.reason in ABSENT_REASONS:
             self._backend.refuse_not_there(self._terms.life)
         if failed.reason == BROKE_OFF:
@@ -357,7 +360,7 @@
         elif self._ticket is None:
             refusal = _no_body_capacity(NO_SLOT_IN_TIME)
         else:
-            refusal = self._backend.admission.refusal_of_impatient(self._ticket, now)
+            refusal = self._backend.admission.refusal_of_timed_out(self._ticket, now)
         self._end(None)
         self._sink.attempt_failed(refusal)
 
@@ -370,7 +373,7 @@
         else:
             self._sink.attempt_failed(out_of_time())
 
-    def _end(self, verdict: Verdict | None) -> None:
+    def _end(self, result: AttemptResult | None) -> None:
         if self._done:
             return
         self._done = True
@@ -385,7 +388,7 @@
         if dispatch is not None:
             self._mark_not_running()
             latency = asyncio.get_running_loop().time() - self._started
-            self._backend.finished(dispatch, latency, verdict)
+            self._backend.finished(dispatch, latency, result)
 
     def _mark_not_running(self) -> None:
         if self._is_running:
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -33,11 +33,11 @@
 from peppershore.process.node.data.quarantine_gate import QuarantineGate
 from peppershore.process.node.data.waiting_attempt import WaitingAttempt
 from peppershore.request.admission import Admission, Dispatch, Waiting
-from peppershore.request.back_ends.own_report import OwnReport
-from peppershore.request.back_ends.told_load import read_load
-from peppershore.request.bodies_ahead import BodiesAhead
+from peppershore.request.back_ends.local_report import LocalReport
+from peppershore.request.back_ends.reported_load import read_load
+from peppershore.request.body_prefetch import BodyPrefetch
 from peppershore.request.body_transfers import BodyTransfers
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.fingerprint import Fingerprint
 from peppershore.request.outcome import SLOW_NOW, STATUS_UNAVAILABLE, NotRun
 from peppershore.request.picker import RandomSource
@@ -84,11 +84,11 @@
         self.quarantine = quarantine or QuarantineGate(asyncio.get_running_loop().time)
         self.transfers = transfers or BodyTransfers()
         self.evidence = VersionEvidence()
-        self.report = OwnReport()
+        self.report = LocalReport()
         self.refused_while_slow = 0
         """Number of calls refused while the machine was slow, so that they go elsewhere."""
         self._warm_at = 0.0
-        self._prefetches = BodiesAhead()
+        self._prefetches = BodyPrefetch()
         self._awaiting_transfer: dict[WaitingAttempt, None] = {}
         self._endpoint = endpoint
         self.service = endpoint.service
@@ -221,7 +221,7 @@
             warming_milliseconds=0,
         )
         now = asyncio.get_running_loop().time()
-        self.report = OwnReport()
+        self.report = LocalReport()
         self.admission.use_endpoints((self._endpoint,), now)
         self.pool.close_idle()
 
@@ -362,14 +362,16 @@
         self._waiting.pop(ticket.number, None)
         self.admission.withdraw(ticket)
 
-    def finished(self, dispatch: Dispatch, latency: float, verdict: Verdict | None) -> None:
+    def finished(
+        self, dispatch: Dispatch, latency: float, result: AttemptResult | None
+    ) -> None:
         """Release the slot of an attempt that ended and start the next ones."""
         now = asyncio.get_running_loop().time()
         route, is_warm = dispatch.ticket.route, now >= self._warm_at
-        self.evidence.note(route, latency, verdict, is_warm)
-        if verdict == "good":
+        self.evidence.note(route, latency, result, is_warm)
+        if result == "good":
             self.report.ended(route, latency, now)
-        self.admission.finished(dispatch, latency, verdict, now)
+        self.admission.finished(dispatch, latency, result, now)
         self.start_waiting()
 
     def start_waiting(self) -> None:
@@ -381,9 +383,9 @@
             return
         now = asyncio.get_running_loop().time()
         self._set_limit(now)
-        for ticket in self.admission.hopeless(now):
+        for ticket in self.admission.take_unable_to_finish(now):
             given_up = self._waiting.pop(ticket.number)
-            given_up.refused(self.admission.refusal_of_hopeless(ticket, now))
+            given_up.refused(self.admission.refusal_of_unable_to_finish(ticket, now))
         for dispatch in self.admission.ready(now):
             attempt = self._waiting.pop(dispatch.ticket.number, None)
             if attempt is not None:
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -134,7 +134,7 @@
         """Store the head until the first piece is sent."""
         self._head = head
         if head.content_length is not None and self._transfer is not None:
-            self._scheduler.room.sized(self._transfer, head.content_length)
+            self._scheduler.room.set_length(self._transfer, head.content_length)
 
     def answer_data(self, data: bytes) -> None:
         """Buffer a piece of the answer; pause reading when there is no room for more."""
--- a/src/peppershore/process/node/data/quarantine_gate.py
+++ b/src/peppershore/process/node/data/quarantine_gate.py
@@ -78,7 +78,7 @@
         """Return the number of known crashes of back ends during a request."""
         if not self._may_concern(fingerprint):
             return 0
-        return self._quarantine.ends(fingerprint.key)
+        return self._quarantine.crash_count(fingerprint.key)
 
     # --- at the back end's local node
 
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -40,7 +40,7 @@
 from peppershore.process.node.data.request_body import RequestBody
 from peppershore.request.fingerprint import Fingerprint
 from peppershore.request.outcome import (
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BAD_REQUEST,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
@@ -205,7 +205,7 @@
         if self._link is not None:
             self._link.send(_failure_message(self._stream, failed, self._load()))
         self._close()
-        if failed.reason not in SEEK_ON:
+        if failed.reason not in PROBE_NEXT_REASONS:
             self._log_end(failure_end(failed))
 
     def sending_paused(self) -> None:
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -22,11 +22,11 @@
 from peppershore.process.settings import NodeSettings
 from peppershore.request.admission import Admission, Decision, Dispatch, Waiting
 from peppershore.request.classification import CallPlan
-from peppershore.request.endpoint_state import EndpointState, Verdict
+from peppershore.request.endpoint_state import AttemptResult, EndpointState
 from peppershore.request.outcome import STATUS_UNAVAILABLE, NotRun
 from peppershore.request.picker import RandomSource
 from peppershore.request.tenants.weights import ConfiguredWeights
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
 
@@ -109,10 +109,10 @@
         if self._recheck_timer is not None:
             self._recheck_timer.cancel()
 
-    def draw_lane(self, service: str) -> Lane:
+    def choose_version_group(self, service: str) -> VersionGroup:
         """Choose at random which version of the service's software is to serve one call."""
         admission = self._admission(service)
-        return "any" if admission is None else admission.draw_lane()
+        return "any" if admission is None else admission.choose_version_group()
 
     @property
     def looks_for_free_slots(self) -> bool:
@@ -135,7 +135,9 @@
         if admission is None or not self.looks_for_free_slots:
             return False
         now = self._loop.time()
-        return admission.seeking.is_in_vain(now) or admission.all_shed(now, plan.lane)
+        return admission.probing.is_suspended(now) or admission.all_refuse_for_load(
+            now, plan.lane
+        )
 
     def asked_for_slot(self, plan: CallPlan, was_granted: bool) -> None:
         """Record whether an owner granted a free slot to a call that may not wait."""
@@ -143,9 +145,9 @@
         if admission is None:
             return
         if was_granted:
-            admission.seeking.granted()
+            admission.probing.granted()
         else:
-            admission.seeking.refused(self._loop.time())
+            admission.probing.refused(self._loop.time())
 
     def ticket(
         self, plan: CallPlan, excluded: frozenset[str], tries_another_zone: bool = False
@@ -195,11 +197,15 @@
             self._admissions[plan.target].withdraw(ticket)
 
     def slot_freed(
-        self, dispatch: Dispatch, plan: CallPlan, latency: float, verdict: Verdict | None
+        self,
+        dispatch: Dispatch,
+        plan: CallPlan,
+        latency: float,
+        result: AttemptResult | None,
     ) -> None:
         """Record the result of an attempt that ended, and start waiting calls."""
         admission = self._admissions[plan.target]
-        ejected = admission.finished(dispatch, latency, verdict, self._loop.time())
+        ejected = admission.finished(dispatch, latency, result, self._loop.time())
         if ejected is not None:
             node = dispatch.endpoint.node
             self._notice_sink(notices.BackendEjected(plan.target, node, ejected))
@@ -217,10 +223,10 @@
             nodes, self._loop.time(), for_free_slot, plan.lane
         )
 
-    def told_work(self, plan: CallPlan) -> float:
+    def reported_work(self, plan: CallPlan) -> float:
         """Return a route's mean service time in seconds by owners' reports; 0: unknown."""
         admission = self._admission(plan.target)
-        return 0.0 if admission is None else admission.told_work(plan.route)
+        return 0.0 if admission is None else admission.reported_work(plan.route)
 
     def state_of(self, service: str, node: str) -> EndpointState | None:
         """Return what this node knows of the state of one back end; None if nothing."""
@@ -303,13 +309,13 @@
         if not admission.waiting:
             return
         now = self._loop.time()
-        for ticket in admission.hopeless(now):
+        for ticket in admission.take_unable_to_finish(now):
             self._waiting.pop(ticket.number).refused(
-                admission.refusal_of_hopeless(ticket, now)
+                admission.refusal_of_unable_to_finish(ticket, now)
             )
-        for ticket in admission.impatient(now):
+        for ticket in admission.take_timed_out(now):
             self._waiting.pop(ticket.number).refused(
-                admission.refusal_of_impatient(ticket, now)
+                admission.refusal_of_timed_out(ticket, now)
             )
         for dispatch in admission.ready(self._loop.time()):
             call = self._waiting.pop(dispatch.ticket.number, None)
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -28,7 +28,9 @@
         """
         if isinstance(event, BackEndEnded):
             under = event.under
-            records = tuple(self.table.ended(each, event.life, now) for each in under)
+            records = tuple(
+                self.table.record_crash(each, event.life, now) for each in under
+            )
         else:
             cleared = self.table.cleared(event.key, now)
             records = () if cleared is None else (cleared,)
--- a/src/peppershore/process/quarantine/api.py
+++ b/src/peppershore/process/quarantine/api.py
@@ -102,7 +102,7 @@
             key = bytes.fromhex(fingerprint)
         except ValueError:
             return _error(NOT_FOUND, f"{fingerprint!r} is no fingerprint")
-        if not self._table.ends(key):
+        if not self._table.crash_count(key):
             return _error(NOT_FOUND, "no back end is known to have ended under it")
         self._release(key)
         return _answer(ReleasedRequest(key.hex()))
--- a/src/peppershore/process/quarantine/notices.py
+++ b/src/peppershore/process/quarantine/notices.py
@@ -6,7 +6,7 @@
 
 from peppershore.connection.messages.crashes import CrashRecord
 from peppershore.process.commands import Notice
-from peppershore.request.quarantine import HELD_LIVES
+from peppershore.request.quarantine import HOLD_CRASHES
 
 
 class RequestQuarantined(Notice, frozen=True):
@@ -27,7 +27,7 @@
     """Give what is to be reported of records that are news."""
     found: list[Notice] = []
     for record in records:
-        if len(record.lives) >= HELD_LIVES:
+        if len(record.lives) >= HOLD_CRASHES:
             found.append(RequestQuarantined(record.key.hex(), record.lives))
         elif record.generation and not record.lives:
             found.append(RequestCleared(record.key.hex()))
--- a/src/peppershore/request/admission.py
+++ b/src/peppershore/request/admission.py
@@ -14,7 +14,8 @@
 
 from peppershore.connection.messages.calls import OwnerLoad
 from peppershore.connection.messages.endpoints import WARMING_NOT_TOLD, Endpoint
-from peppershore.request.endpoint_state import EndpointState, Verdict
+from peppershore.request.endpoint_state import AttemptResult, EndpointState
+from peppershore.request.free_slot_probing import FreeSlotProbing
 from peppershore.request.outcome import (
     BUSY,
     DEADLINE_TOO_SHORT,
@@ -34,9 +35,12 @@
     pick,
     wider_link_of_two,
 )
-from peppershore.request.seeking import FreeSlotProbing
 from peppershore.request.tenants.weights import ConfiguredWeights, ShareWeights
-from peppershore.request.version_lanes import Lane, draw_lane, group_by_version
+from peppershore.request.version_routing import (
+    VersionGroup,
+    choose_version_group,
+    group_by_version,
+)
 from peppershore.request.waiting import Ticket, WaitingQueue
 from peppershore.request.work_times import WorkTimes
 from peppershore.version.model import ServiceSettings
@@ -102,11 +106,11 @@
         self._home = home
         self._states: dict[str, EndpointState] = {}
         self._offered: dict[str, EndpointState] = {}
-        self._lanes: dict[Lane, tuple[dict[str, EndpointState], ...]] = {}
+        self._lanes: dict[VersionGroup, tuple[dict[str, EndpointState], ...]] = {}
         self._regroup_by_version()
         self._shares = ShareWeights(weights or ConfiguredWeights())
         self._queue = WaitingQueue(self._shares.weight)
-        self.seeking = FreeSlotProbing()
+        self.probing = FreeSlotProbing()
         self._bulk_in_flight = 0
         self._work = WorkTimes()
         self._reported_work = WorkTimes()
@@ -121,16 +125,16 @@
         """Number of calls that hold a slot."""
         return sum(state.in_flight for state in self._states.values())
 
-    def draw_lane(self) -> Lane:
+    def choose_version_group(self) -> VersionGroup:
         """Choose at random which version of the service's software handles one call."""
-        return draw_lane(self.settings, self._random)
+        return choose_version_group(self.settings, self._random)
 
     def has_besides(
         self,
         nodes: frozenset[str],
         now: float,
         for_free_slot: bool = False,
-        lane: Lane = "any",
+        lane: VersionGroup = "any",
     ) -> bool:
         """Report whether a back end outside ``nodes`` can accept a call now.
 
@@ -141,21 +145,23 @@
         return any(
             node not in nodes
             and state.can_accept_call(now)
-            and not (for_free_slot and state.sheds(now))
+            and not (for_free_slot and state.refused_for_load(now))
             for group in self._lanes[lane]
             for node, state in group.items()
         )
 
-    def all_shed(self, now: float, lane: Lane = "any") -> bool:
+    def all_refuse_for_load(self, now: float, lane: VersionGroup = "any") -> bool:
         """Report whether every back end was full or refused for load a moment ago."""
         groups = self._lanes[lane]
-        return all(state.sheds(now) for group in groups for state in group.values())
+        return all(
+            state.refused_for_load(now) for group in groups for state in group.values()
+        )
 
     def known_work(self, route: str) -> float:
         """Return the mean duration, in seconds, of a route's calls seen here; 0 if none."""
         return self._work.known(route)
 
-    def told_work(self, route: str) -> float:
+    def reported_work(self, route: str) -> float:
         """Return a route's mean duration in seconds by reports of owners; 0 if unknown."""
         return self._reported_work.known(route)
 
@@ -215,11 +221,11 @@
         return self._enqueue(ticket, now)
 
     def finished(
-        self, dispatch: Dispatch, latency: float, verdict: Verdict | None, now: float
+        self, dispatch: Dispatch, latency: float, result: AttemptResult | None, now: float
     ) -> float | None:
         """Free the slot of an attempt and learn from its result.
 
-        A ``verdict`` of None says nothing about the back end. Return the duration of the
+        A ``result`` of None says nothing about the back end. Return the duration of the
         ejection, in seconds, if this failure caused one, else None.
         """
         state = self._states.get(dispatch.endpoint.node)
@@ -229,18 +235,18 @@
             return None
         state.in_flight -= 1
         assert state.in_flight >= 0, "a slot was freed twice"
-        if verdict is None:
+        if result is None:
             return None
-        state.observe(latency, verdict, now)
-        if verdict == "good":
+        state.observe(latency, result, now)
+        if result == "good":
             self._work.observe(dispatch.ticket.route, latency)
         return self._eject_outlier(state, now)
 
-    def impatient(self, now: float) -> list[Ticket]:
+    def take_timed_out(self, now: float) -> list[Ticket]:
         """Remove and return the waiting calls whose wait time-out has passed."""
         return self._queue.remove_matching(lambda ticket: ticket.start_by <= now)
 
-    def hopeless(self, now: float) -> list[Ticket]:
+    def take_unable_to_finish(self, now: float) -> list[Ticket]:
         """Remove and return the waiting calls that can no longer finish in time.
 
         If started, they would hold a slot and still miss their deadline. Under overload,
@@ -387,7 +393,7 @@
         self._queue.push(ticket)
         return Waiting(evicted)
 
-    def refusal_of_hopeless(self, ticket: Ticket, now: float) -> NotRun:
+    def refusal_of_unable_to_finish(self, ticket: Ticket, now: float) -> NotRun:
         """Return the refusal for a call whose remaining time has become too short."""
         return self._refusal(DEADLINE_TOO_SHORT, self._expected_wait(ticket, now))
 
@@ -404,7 +410,7 @@
         ahead = self._queue.ahead_of(ticket)
         return (ahead + 1) * self._work.of_all / slots
 
-    def refusal_of_impatient(self, ticket: Ticket, now: float) -> NotRun:
+    def refusal_of_timed_out(self, ticket: Ticket, now: float) -> NotRun:
         """Return the refusal for a call whose wait time-out has passed."""
         return self._refusal(NO_SLOT_IN_TIME, self._expected_wait(ticket, now))
 
--- a/src/peppershore/request/back_ends/link_room.py
+++ b/src/peppershore/request/back_ends/link_room.py
@@ -123,12 +123,12 @@
         """Return the seconds until one more transfer, ready now, would complete."""
         return self._completion_time(self._all.octets, now, now) - now
 
-    def sized(self, transfer: Transfer, length: int) -> None:
+    def set_length(self, transfer: Transfer, length: int) -> None:
         """Record the length of a transfer, which is known now."""
         transfer.length = length
         transfer.left = max(0.0, float(length - transfer.sent))
 
-    def came(self, transfer: Transfer, octets: int, now: float) -> None:
+    def received(self, transfer: Transfer, octets: int, now: float) -> None:
         """Record that more bytes of a transfer have arrived here."""
         transfer.held += octets
         transfer.ready_at = min(transfer.ready_at, now)
@@ -144,7 +144,7 @@
             return None
         return min(sendable, key=lambda each: self._rank(each, now))
 
-    def went(self, transfer: Transfer, octets: int) -> None:
+    def forwarded(self, transfer: Transfer, octets: int) -> None:
         """Record that this many bytes of a transfer were handed to the link."""
         transfer.begun = True
         transfer.sent += octets
--- a/src/peppershore/request/back_ends/own_report.py
+++ b/src/peppershore/request/back_ends/local_report.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from peppershore.request.back_ends.pace import PACE_SAMPLES, USUAL_PERCENT, slow_seconds
-from peppershore.request.back_ends.told_load import PACE_NOT_REPORTED, ToldLoad
+from peppershore.request.back_ends.reported_load import PACE_NOT_REPORTED, ReportedLoad
 from peppershore.request.work_times import WorkTimes
 
 COUNT_SECONDS = 0.5
@@ -24,7 +24,7 @@
 MILLISECONDS = 1_000
 
 
-class OwnReport:
+class LocalReport:
     """The reported values of one incarnation of a back end, with their ages."""
 
     __slots__ = (
@@ -45,7 +45,7 @@
         self._reported_paces: deque[int] = deque(maxlen=PACE_SAMPLES)
         self._work = WorkTimes()
 
-    def heard(self, reported: ToldLoad, known: int, now: float) -> None:
+    def heard(self, reported: ReportedLoad, known: int, now: float) -> None:
         """Record the load in an answer, read while the node knew of ``known`` calls there.
 
         Answers that end at about the same time may be read in another order than they were
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/reported_load.py
@@ -26,7 +26,7 @@
 VALUES_WITH_PACE = 4
 
 
-class ToldLoad(msgspec.Struct, frozen=True):
+class ReportedLoad(msgspec.Struct, frozen=True):
     """Running and waiting calls of a back end, its slots, and its machine's pace.
 
     ``pace_percent`` is how long work takes now: 100 as usual, 0 if it is not reported.
@@ -38,7 +38,7 @@
     pace_percent: int = PACE_NOT_REPORTED
 
 
-def read_load(value: bytes) -> ToldLoad | None:
+def read_load(value: bytes) -> ReportedLoad | None:
     """Parse the field's value; return None if it is missing or malformed."""
     if not value or len(value) > MAX_FIELD_BYTES:
         return None
@@ -49,7 +49,7 @@
     if running is None or waiting is None or not slots:
         return None
     pace = parts[3] if len(parts) == VALUES_WITH_PACE else b""
-    return ToldLoad(running, waiting, slots, _percent(pace))
+    return ReportedLoad(running, waiting, slots, _percent(pace))
 
 
 def _count(part: bytes) -> int | None:
--- a/src/peppershore/request/bodies_ahead.py
+++ b/src/peppershore/request/body_prefetch.py
@@ -20,12 +20,12 @@
 FETCH_SECONDS = 1.0
 """Time-out for fetching a body; a sender that takes longer has stalled."""
 
-RUN_PATIENCE_SECONDS = 0.3
+MIN_RUN_WAIT_SECONDS = 0.3
 """Minimum wait time-out of a call whose body has arrived, since the transfer is already
 paid for."""
 
 
-class BodiesAhead:
+class BodyPrefetch:
     """Counts the bodies being fetched for calls that hold no slot yet."""
 
     __slots__ = ("coming",)
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -17,7 +17,7 @@
     NotRun,
 )
 from peppershore.request.picker import RandomSource
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.request.wire_names import OWN_NAMES, WireNames
 from peppershore.version.active import ActiveConfiguration
 from peppershore.version.model import CallClass, HopMode, RouteResource, RouteSettings
@@ -72,7 +72,7 @@
     remaining: float | None = None
     is_client_retry: bool = False
     crossing_seconds: float = math.inf
-    lane: Lane = "any"
+    lane: VersionGroup = "any"
     tenant: str = ""
     is_counted: bool = False
     due: float = math.inf
@@ -150,7 +150,7 @@
     return latency * CROSS_ZONE_GAIN_SHARE / MILLISECONDS
 
 
-def first_in_line(plan: CallPlan, now: float) -> CallPlan:
+def prioritize_nested(plan: CallPlan, now: float) -> CallPlan:
     """Return the plan of a call nested in a running one, placed ahead of new calls.
 
     Its refusal would waste all the work done so far, so it may also wait longer.
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -13,7 +13,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.request.back_ends.speed import Speed
 
-Verdict = Literal["good", "failed", "shed", "late"]
+AttemptResult = Literal["good", "failed", "shed", "late"]
 """Result of an attempt as far as it concerns the back end. "shed": the back end is alive
 and refused for load; "late": no answer within the time that the caller allowed."""
 
@@ -129,7 +129,7 @@
         """Report whether the back end is ejected because of failures."""
         return now < self.ejected_until
 
-    def sheds(self, now: float) -> bool:
+    def refused_for_load(self, now: float) -> bool:
         """Report whether it refused for load a moment ago, so that others are preferred."""
         return now < self.passed_over_until
 
@@ -221,20 +221,20 @@
         """Smoothed duration of a call, in seconds."""
         return self._latency
 
-    def observe(self, latency: float, verdict: Verdict, now: float) -> None:
+    def observe(self, latency: float, result: AttemptResult, now: float) -> None:
         """Record the result of one finished attempt."""
-        if verdict == "late":
+        if result == "late":
             if latency < LATE_FACTOR * self._latency:
                 return
-            verdict = "failed"
+            result = "failed"
         elapsed = max(0.0, now - self._last_seen)
         self._last_seen = now
-        self._observe_failure(verdict != "good", elapsed)
-        if verdict == "failed":
+        self._observe_failure(result != "good", elapsed)
+        if result == "failed":
             self.consecutive_failures += 1
-        if verdict == "shed":
+        if result == "shed":
             self._pass_over(now)
-        if verdict != "good":
+        if result != "good":
             return
         self.consecutive_failures = 0
         self._ejections = 0
--- a/src/peppershore/request/seeking.py
+++ b/src/peppershore/request/free_slot_probing.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-ASKS_IN_VAIN = 4
+MAX_REFUSED_PROBES = 4
 """Number of refused probes in a row that shows a shortage. With a tenth of all slots
 free, four probes fail by chance two times in three; with half of them free, one time in
 sixteen."""
@@ -27,14 +27,14 @@
         self._refusals_in_a_row = 0
         self._pause_until = 0.0
 
-    def is_in_vain(self, now: float) -> bool:
+    def is_suspended(self, now: float) -> bool:
         """Report whether a call should wait in the queue without probing."""
         return now < self._pause_until
 
     def refused(self, now: float) -> None:
         """Record that a probed back end had no free slot."""
         self._refusals_in_a_row += 1
-        if self._refusals_in_a_row >= ASKS_IN_VAIN:
+        if self._refusals_in_a_row >= MAX_REFUSED_PROBES:
             self._pause_until = now + PAUSE_SECONDS
 
     def granted(self) -> None:
--- a/src/peppershore/request/next_attempt.py
+++ b/src/peppershore/request/next_attempt.py
@@ -14,7 +14,7 @@
     BACK_END_ENDED,
     LOAD_REASONS,
     NO_SLOT_IN_TIME,
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_GATEWAY_TIMEOUT,
     Failed,
     NotRun,
@@ -28,7 +28,7 @@
 that seemed free were full, the information about the other near ones is equally
 outdated."""
 
-MAX_SEEKS = NEAR_PROBES + 1
+MAX_PROBES = NEAR_PROBES + 1
 """Number of back ends that a call probes before it waits. The last one is in another zone,
 where slots may be free. With 41 back ends, of which each node sees little traffic, calls
 without this bound visited eight of them and were refused without a wait."""
@@ -143,9 +143,9 @@
         return TryAgain(elsewhere=True, may_wait=True)
     if not failed.retryable or _waits_are_used_up(progress, failed):
         return GIVE_UP
-    is_probing = failed.reason in SEEK_ON and not progress.may_wait
+    is_probing = failed.reason in PROBE_NEXT_REASONS and not progress.may_wait
     if terms.has_other:
-        may_wait = progress.may_wait or (is_probing and progress.tries >= MAX_SEEKS)
+        may_wait = progress.may_wait or (is_probing and progress.tries >= MAX_PROBES)
         return TryAgain(elsewhere=True, may_wait=may_wait)
     if is_probing:
         return TryAgain(elsewhere=False, may_wait=True)
--- a/src/peppershore/request/outcome.py
+++ b/src/peppershore/request/outcome.py
@@ -29,7 +29,7 @@
 SLOW_NOW = "slow-now"
 """Reason of a refusal because the back end's machine is slow at the moment."""
 
-SEEK_ON = frozenset({BUSY, SLOW_NOW})
+PROBE_NEXT_REASONS = frozenset({BUSY, SLOW_NOW})
 """Reasons for which a call that may not wait is refused; the next back end is then
 probed."""
 
@@ -55,7 +55,12 @@
 DISPLACED = "displaced"
 DEADLINE_TOO_SHORT = "deadline-too-short"
 
-LOAD_REASONS = SEEK_ON | {NO_SLOT_IN_TIME, QUEUE_FULL, DISPLACED, DEADLINE_TOO_SHORT}
+LOAD_REASONS = PROBE_NEXT_REASONS | {
+    NO_SLOT_IN_TIME,
+    QUEUE_FULL,
+    DISPLACED,
+    DEADLINE_TOO_SHORT,
+}
 """Reasons of refusals for lack of slots; the caller may retry later."""
 
 ROOM_REASONS = LOAD_REASONS | {LINK_FULL}
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -18,12 +18,12 @@
 
 from peppershore.connection.messages.crashes import CrashRecord
 
-SUSPECT_LIVES = 2
+SUSPECT_CRASHES = 2
 """Number of crashes after which a request runs in isolation from other suspects. With one,
 all requests that ran in a crashed back end would wait for each other: 18 at a time,
 whenever a back end crashes for another reason."""
 
-HELD_LIVES = 3
+HOLD_CRASHES = 3
 """Number of crashes after which a request is held. Of 70 calls that broke off in one
 recorded series of crashes, 12 had two crashes, 10 of these at the same two back ends within
 0.1 s: nearly all of them only ran at the same time as the request that was the cause."""
@@ -71,11 +71,11 @@
     @property
     def is_notable(self) -> bool:
         """Whether all nodes must know of it: it is isolated or held, or was cleared."""
-        return len(self.lives) >= SUSPECT_LIVES or self.generation > 0
+        return len(self.lives) >= SUSPECT_CRASHES or self.generation > 0
 
     def is_held(self, now: float) -> bool:
         ends = len(self.lives)
-        return ends >= HELD_LIVES and now - self.changed_at < hold_seconds(ends)
+        return ends >= HOLD_CRASHES and now - self.changed_at < hold_seconds(ends)
 
     def is_old(self, now: float) -> bool:
         return now - self.changed_at >= hold_seconds(len(self.lives)) + RETENTION_SECONDS
@@ -105,11 +105,11 @@
     def standing(self, key: bytes, now: float) -> Standing:
         """Return whether a request may run: freely, with no other suspect, or not."""
         entry = self._entries.get(key)
-        if entry is None or len(entry.lives) < SUSPECT_LIVES:
+        if entry is None or len(entry.lives) < SUSPECT_CRASHES:
             return "clear"
         return "held" if entry.is_held(now) else "suspect"
 
-    def ends(self, key: bytes) -> int:
+    def crash_count(self, key: bytes) -> int:
         """Return the number of back ends known to have crashed while running a request."""
         entry = self._entries.get(key)
         return 0 if entry is None else len(entry.lives)
@@ -123,7 +123,7 @@
 
     # --- updates
 
-    def ended(self, suspect: Suspect, life: str, now: float) -> CrashRecord:
+    def record_crash(self, suspect: Suspect, life: str, now: float) -> CrashRecord:
         """Record that an incarnation of a back end crashed while running a request."""
         entry = self._entries.get(suspect.key)
         lives = frozenset({life}) if entry is None else entry.lives | {life}
@@ -215,7 +215,7 @@
     def _put(self, key: bytes, entry: _Entry) -> None:
         self._drop(key)
         self._entries[key] = entry
-        if len(entry.lives) >= SUSPECT_LIVES:
+        if len(entry.lives) >= SUSPECT_CRASHES:
             self._suspects.setdefault(entry.identity, set()).add(key)
         if len(self._entries) > MAX_ENTRIES:
             self._drop(min(self._entries, key=self._rank))
@@ -237,9 +237,9 @@
 
 def hold_seconds(ends: int) -> float:
     """Return for how long a request with this many crashes is held after the last one."""
-    if ends < HELD_LIVES:
+    if ends < HOLD_CRASHES:
         return 0.0
-    return min(MAX_HOLD_SECONDS, HOLD_SECONDS * 2.0 ** (ends - HELD_LIVES))
+    return min(MAX_HOLD_SECONDS, HOLD_SECONDS * 2.0 ** (ends - HOLD_CRASHES))
 
 
 def _bounded(lives: frozenset[str]) -> frozenset[str]:
--- a/src/peppershore/request/vouching.py
+++ b/src/peppershore/request/token_signing.py
@@ -14,7 +14,7 @@
 RENEW_BEFORE_SECONDS = 30
 
 
-class Voucher:
+class TokenSigner:
     """Signs tokens for one service.
 
     A token is reused until shortly before it expires, while its key is the signing one.
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -10,7 +10,7 @@
 import math
 
 from peppershore.connection.messages.rollouts import RouteEvidence
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.version.model import ServiceSettings
 from peppershore.version.rollout import RUNNING
 
@@ -68,20 +68,20 @@
         self._has_changed = began_milliseconds > 0
 
     def note(
-        self, route: str, seconds: float, verdict: Verdict | None, is_warm: bool
+        self, route: str, seconds: float, result: AttemptResult | None, is_warm: bool
     ) -> None:
         """Count one call that the back end began.
 
         A refusal for load says nothing about the version, nor does the duration of a call
         at a back end that is still warming up.
         """
-        if not self.began_milliseconds or verdict in (None, "shed"):
+        if not self.began_milliseconds or result in (None, "shed"):
             return
         if route not in self._routes and len(self._routes) >= MAX_ROUTES:
             route = ""
         counts = self._routes.setdefault(route, _RouteCounts())
         counts.calls += 1
-        counts.failed += verdict == "failed"
+        counts.failed += result == "failed"
         if is_warm:
             bucket = bucket_of(seconds)
             counts.times[bucket] = counts.times.get(bucket, 0) + 1
--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_routing.py
@@ -18,8 +18,8 @@
 from peppershore.version.model import ServiceSettings
 from peppershore.version.rollout import ALL_CALLS, RUNNING
 
-Lane = Literal["any", "new", "old"]
-LANES: tuple[Lane, ...] = ("any", "new", "old")
+VersionGroup = Literal["any", "new", "old"]
+LANES: tuple[VersionGroup, ...] = ("any", "new", "old")
 State = TypeVar("State")
 
 SUBSET_BELOW_SHARE = ALL_CALLS // 2
@@ -35,7 +35,7 @@
 version gets a load like that of the old one, and has room for concurrent calls."""
 
 
-def draw_lane(settings: ServiceSettings, random: RandomSource) -> Lane:
+def choose_version_group(settings: ServiceSettings, random: RandomSource) -> VersionGroup:
     """Choose the version for one call at random."""
     if settings.rollout_state != RUNNING:
         return "any"
@@ -46,7 +46,7 @@
 
 def group_by_version(
     states: dict[str, State], versions: dict[str, str], settings: ServiceSettings
-) -> dict[Lane, tuple[dict[str, State], ...]]:
+) -> dict[VersionGroup, tuple[dict[str, State], ...]]:
     """Return for each version group the back ends to try, one set after the other.
 
     ``versions`` is the software version of each node.
@@ -67,7 +67,7 @@
 
 def _while_running(
     new: dict[str, State], old: dict[str, State], share: int
-) -> dict[Lane, tuple[dict[str, State], ...]]:
+) -> dict[VersionGroup, tuple[dict[str, State], ...]]:
     if share >= ALL_CALLS:
         return dict.fromkeys(LANES, (new or old,))
     few = _subset_of(new, share)
--- a/src/peppershore/request/shared_patience.py
+++ b/src/peppershore/request/wait_division.py
@@ -8,7 +8,7 @@
 
 import math
 
-LEAST_WAIT_SECONDS = 0.005
+MIN_WAIT_SECONDS = 0.005
 """A shorter wait yields no slot and only costs the network round trip."""
 
 
@@ -21,7 +21,7 @@
     left = most_waits - waits + 1
     if start_by == math.inf or left <= 1 or now >= start_by:
         return start_by
-    return min(start_by, now + max(LEAST_WAIT_SECONDS, (start_by - now) / left))
+    return min(start_by, now + max(MIN_WAIT_SECONDS, (start_by - now) / left))
 
 
 def may_wait_on(now: float, start_by: float, waits: int, most_waits: int) -> bool:
@@ -29,5 +29,5 @@
 
     It must have time left until ``start_by``, and fewer waits than ``most_waits``.
     """
-    has_time = start_by == math.inf or now + LEAST_WAIT_SECONDS <= start_by
+    has_time = start_by == math.inf or now + MIN_WAIT_SECONDS <= start_by
     return has_time and waits < most_waits
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from peppershore.request.tenants.fair_shares import FairQueue, WeightOf, equal_weight
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.version.model import CallClass
 
 RANKS: dict[CallClass, int] = {"critical": 0, "normal": 1, "bulk": 2}
@@ -57,7 +57,7 @@
     route: str = ""
     crossing_seconds: float = math.inf
     prefers_far: bool = False
-    lane: Lane = "any"
+    lane: VersionGroup = "any"
     tenant: str = ""
     answer_is_large: bool = False
     due: float = math.inf
--- a/tests/back_ends/test_told_load.py
+++ b/tests/back_ends/test_told_load.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from peppershore.request.back_ends.told_load import ToldLoad, read_load
+from peppershore.request.back_ends.reported_load import ReportedLoad, read_load
 
 
 @pytest.mark.parametrize(
     ("value", "expected"),
     [
-        (b"3,1,5", ToldLoad(3, 1, 5)),
-        (b"3, 1, 5, 250", ToldLoad(3, 1, 5, 250)),
-        (b"0,0,1,100", ToldLoad(0, 0, 1, 100)),
-        (b"3,1,5,187.5", ToldLoad(3, 1, 5, 187)),
+        (b"3,1,5", ReportedLoad(3, 1, 5)),
+        (b"3, 1, 5, 250", ReportedLoad(3, 1, 5, 250)),
+        (b"0,0,1,100", ReportedLoad(0, 0, 1, 100)),
+        (b"3,1,5,187.5", ReportedLoad(3, 1, 5, 187)),
     ],
 )
-def test_three_or_four_values_are_parsed(value: bytes, expected: ToldLoad) -> None:
+def test_three_or_four_values_are_parsed(value: bytes, expected: ReportedLoad) -> None:
     assert read_load(value) == expected
 
 
@@ -49,4 +49,4 @@
     "pace", [b"0", b"9", b"-100", b"10001", b"fast", b"100.", b"", b"."]
 )
 def test_an_implausible_pace_is_ignored_and_the_rest_counts(pace: bytes) -> None:
-    assert read_load(b"3,1,5," + pace) == ToldLoad(3, 1, 5, 0)
+    assert read_load(b"3,1,5," + pace) == ReportedLoad(3, 1, 5, 0)
--- a/tests/data_plane/test_call_stories.py
+++ b/tests/data_plane/test_call_stories.py
@@ -11,8 +11,8 @@
 from peppershore.process.node.data.call_log import CallLog
 from peppershore.process.node.data.call_story import CallStory, ServedStory
 from peppershore.process.node.data.calls import NEVER_CONFIRMED
+from peppershore.request.free_slot_probing import MAX_REFUSED_PROBES
 from peppershore.request.outcome import BUSY
-from peppershore.request.seeking import ASKS_IN_VAIN
 
 REQUEST_ID = "r-17"
 WITH_ID = {"x-request-id": REQUEST_ID}
@@ -223,9 +223,9 @@
             backend, seek_free_slots=True, log_answered_every=1
         )
         await call(address, headers=WITH_ID)
-        seeking = edge.plane.calls.admissions._admissions["kassa"].seeking  # noqa: SLF001
-        for _ in range(ASKS_IN_VAIN):
-            seeking.refused(math.inf)
+        probing = edge.plane.calls.admissions._admissions["kassa"].probing  # noqa: SLF001
+        for _ in range(MAX_REFUSED_PROBES):
+            probing.refused(math.inf)
         await call(address, headers=WITH_ID)
         sent = [
             [step.reason for step in story.steps if step.step == "sent"]
--- a/tests/data_plane/test_large_answers_share_links.py
+++ b/tests/data_plane/test_large_answers_share_links.py
@@ -32,7 +32,7 @@
         self.transfer: Transfer | None = None
         if isinstance(offered, Transfer):
             self.transfer = offered
-            wire.scheduler.room.sized(offered, octets)
+            wire.scheduler.room.set_length(offered, octets)
             wire.scheduler.received(offered, octets)
             wire.scheduler.send_due()
 
--- a/tests/data_plane/test_told_loads.py
+++ b/tests/data_plane/test_told_loads.py
@@ -28,7 +28,7 @@
 from peppershore.process.node.data.own_backend import OwnBackend
 from peppershore.process.randomness import Randomness
 from peppershore.process.settings import HeaderSettings
-from peppershore.request.back_ends.own_report import COUNT_SECONDS
+from peppershore.request.back_ends.local_report import COUNT_SECONDS
 from peppershore.request.back_ends.pace import PACE_SECONDS
 from peppershore.request.outcome import SLOW_NOW, NotRun
 from peppershore.request.wire_names import WireNames
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -12,7 +12,7 @@
 from peppershore.connection.messages.endpoints import WARMING_NOT_TOLD, Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch, Waiting
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import NotRun
 from peppershore.request.waiting import FAIRNESS_INTERVAL, Ticket
 from peppershore.version.model import CallClass, ServiceSettings
@@ -202,9 +202,12 @@
     long, short = harness.ticket(deadline=9.0), harness.ticket(deadline=2.0)
     assert isinstance(harness.admission.offer(long, 0.0), Waiting)
     assert isinstance(harness.admission.offer(short, 0.0), Waiting)
-    assert harness.admission.hopeless(1.0) == []
-    assert harness.admission.hopeless(1.7) == [short]
-    assert harness.admission.refusal_of_hopeless(short, 1.7).retry_after_milliseconds > 0
+    assert harness.admission.take_unable_to_finish(1.0) == []
+    assert harness.admission.take_unable_to_finish(1.7) == [short]
+    assert (
+        harness.admission.refusal_of_unable_to_finish(short, 1.7).retry_after_milliseconds
+        > 0
+    )
     assert harness.admission.waiting == 1
     harness.admission.finished(held.pop(), 0.5, "good", 1.7)
     assert [each.ticket for each in harness.admission.ready(1.7)] == [long]
@@ -218,23 +221,23 @@
     harness = AdmissionHarness(_endpoint("k1"), _endpoint("k2"), settings=settings)
     for _ in range(30):
         for dispatch in harness.fill(1):
-            verdict = "late" if dispatch.endpoint.node == "k1" else "good"
-            harness.admission.finished(dispatch, seconds, verdict, 0.0)
+            result = "late" if dispatch.endpoint.node == "k1" else "good"
+            harness.admission.finished(dispatch, seconds, result, 0.0)
     state = harness.admission.state("k1")
     assert state is not None
     assert state.ejected(0.5) == ejected
 
 
-@pytest.mark.parametrize(("verdict", "seconds"), [("failed", 0.001), ("good", 3.0)])
+@pytest.mark.parametrize(("result", "seconds"), [("failed", 0.001), ("good", 3.0)])
 def test_back_end_with_bad_results_is_tried_again_later(
-    verdict: Verdict, seconds: float
+    result: AttemptResult, seconds: float
 ) -> None:
     settings = ServiceSettings(slow_start_milliseconds=0, ejection_failures=0)
     harness = AdmissionHarness(_endpoint("bad"), _endpoint("well"), settings=settings)
     for _ in range(20):
         for dispatch in harness.fill(1):
             is_bad = dispatch.endpoint.node == "bad"
-            latency, seen = (seconds, verdict) if is_bad else (0.02, "good")
+            latency, seen = (seconds, result) if is_bad else (0.02, "good")
             harness.admission.finished(dispatch, latency, seen, 0.0)
 
     def picked(now: float) -> set[str]:
--- a/tests/request/test_bodies_ahead.py
+++ b/tests/request/test_bodies_ahead.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peppershore.request.bodies_ahead import PREFETCH_BEYOND_SLOTS, BodiesAhead
+from peppershore.request.body_prefetch import PREFETCH_BEYOND_SLOTS, BodyPrefetch
 from peppershore.request.body_transfers import LONG_TRANSFER_SECONDS, takes_long
 
 
 def test_one_more_body_than_slots_is_fetched() -> None:
-    bodies = BodiesAhead()
+    bodies = BodyPrefetch()
     asked = [bodies.begin(held=2, waiting=0, slots=3) for _ in range(4)]
     assert asked == [True, True, False, False]
     bodies.end()
@@ -18,13 +18,13 @@
 
 
 def test_queued_calls_count_as_much_as_running_ones() -> None:
-    assert not BodiesAhead().begin(held=3, waiting=1, slots=3)
-    assert BodiesAhead().begin(held=3, waiting=0, slots=3)
+    assert not BodyPrefetch().begin(held=3, waiting=1, slots=3)
+    assert BodyPrefetch().begin(held=3, waiting=0, slots=3)
 
 
 @given(st.integers(0, 9), st.integers(0, 9), st.integers(1, 9))
 def test_never_more_than_one_beyond_the_slots(held: int, waiting: int, slots: int) -> None:
-    bodies = BodiesAhead()
+    bodies = BodyPrefetch()
     while bodies.begin(held, waiting, slots):
         assert held + waiting + bodies.coming <= slots + PREFETCH_BEYOND_SLOTS
 
--- a/tests/request/test_call_decisions.py
+++ b/tests/request/test_call_decisions.py
@@ -8,7 +8,7 @@
 from peppershore.connection.http_head import RequestHead
 from peppershore.process.randomness import Randomness
 from peppershore.request.caller_rate import CallerRates
-from peppershore.request.classification import classify, first_in_line
+from peppershore.request.classification import classify, prioritize_nested
 from peppershore.request.deadline import parse_remaining, remaining_milliseconds
 from peppershore.request.outcome import NotRun, Unknown, worse
 from peppershore.request.retry_budget import (
@@ -136,6 +136,6 @@
     latency = _configuration(target_latency_milliseconds=100, timeout_milliseconds=600)
     outer = classify(latency, _head(), 5.0, RANDOM).unwrap()
     assert (outer.call_class, outer.start_by) == ("normal", pytest.approx(5.02))
-    inner = first_in_line(outer, 5.0)
+    inner = prioritize_nested(outer, 5.0)
     assert (inner.call_class, inner.start_by) == ("critical", pytest.approx(5.24))
     assert inner.deadline == outer.deadline
--- a/tests/request/test_fair_shares.py
+++ b/tests/request/test_fair_shares.py
@@ -96,7 +96,7 @@
         while self._running and self._running[0][0] <= until:
             self.now, dispatch = self._running.pop(0)
             self.admission.finished(dispatch, WORK_SECONDS, "good", self.now)
-            for given_up in self.admission.impatient(self.now):
+            for given_up in self.admission.take_timed_out(self.now):
                 self.refused[given_up.tenant] += 1
             for started in self.admission.ready(self.now):
                 self._begin(started)
--- a/tests/request/test_link_room.py
+++ b/tests/request/test_link_room.py
@@ -33,8 +33,8 @@
 def _arrived(room: LinkRoom, octets: int, due: float) -> Transfer:
     """Return an accepted transfer whose bytes have all arrived."""
     transfer = _accepted(room, due)
-    room.sized(transfer, octets)
-    room.came(transfer, octets, 0.0)
+    room.set_length(transfer, octets)
+    room.received(transfer, octets, 0.0)
     return transfer
 
 
@@ -79,10 +79,10 @@
     room = LinkRoom(MEGABITS)
     first = _arrived(room, 20_000, 5.0)
     assert room.next(0.0) is first
-    room.went(first, 5_000)
+    room.forwarded(first, 5_000)
     sooner = _arrived(room, 20_000, 2.0)
     assert room.next(0.0) is first
-    room.went(first, 15_000)
+    room.forwarded(first, 15_000)
     room.over(first, is_whole=True)
     assert room.next(0.0) is sooner
 
@@ -100,7 +100,7 @@
     room = LinkRoom(MEGABITS)
     slow = _arrived(room, 20_000, 1.0)
     other = _arrived(room, 20_000, 2.0)
-    room.went(slow, 1_000)
+    room.forwarded(slow, 1_000)
     slow.blocked = True
     assert room.next(0.0) is other
     slow.blocked = False
@@ -111,7 +111,7 @@
     room = LinkRoom(MEGABITS)
     for _ in range(20):
         transfer = _arrived(room, 90_000, 9.0)
-        room.went(transfer, 90_000)
+        room.forwarded(transfer, 90_000)
         room.over(transfer, is_whole=True)
     assert room.size_of("frames") == pytest.approx(90_000)
     assert room.size_of("other") == pytest.approx(90_000)
@@ -122,7 +122,7 @@
     room = LinkRoom(MEGABITS)
     transfer = _accepted(room, 9.0)
     before = room.wait(0.0)
-    room.sized(transfer, 10 * TYPICAL_BYTES)
+    room.set_length(transfer, 10 * TYPICAL_BYTES)
     assert room.wait(0.0) == pytest.approx(before + 9 * TYPICAL_BYTES / room.rate)
 
 
--- a/tests/request/test_next_attempt.py
+++ b/tests/request/test_next_attempt.py
@@ -7,7 +7,7 @@
 
 from peppershore.request.next_attempt import (
     GIVE_UP,
-    MAX_SEEKS,
+    MAX_PROBES,
     MAX_TRIES,
     MAX_WAITS,
     AttemptTerms,
@@ -84,7 +84,7 @@
         TryAgain(elsewhere=False, may_wait=True),
     ),
     "two busy, others may be free": (
-        CallProgress(0, MAX_SEEKS),
+        CallProgress(0, MAX_PROBES),
         BUSY_OWNER,
         terms(),
         TryAgain(elsewhere=True, may_wait=True),
@@ -150,6 +150,8 @@
 
 
 def test_the_last_back_end_to_be_probed_is_of_another_zone() -> None:
-    asked = [CallProgress(tries=tries).tries_another_zone for tries in range(MAX_SEEKS + 1)]
-    assert asked == [tries == MAX_SEEKS - 1 for tries in range(MAX_SEEKS + 1)]
-    assert not CallProgress(tries=MAX_SEEKS - 1, may_wait=True).tries_another_zone
+    asked = [
+        CallProgress(tries=tries).tries_another_zone for tries in range(MAX_PROBES + 1)
+    ]
+    assert asked == [tries == MAX_PROBES - 1 for tries in range(MAX_PROBES + 1)]
+    assert not CallProgress(tries=MAX_PROBES - 1, may_wait=True).tries_another_zone
--- a/tests/request/test_quarantine.py
+++ b/tests/request/test_quarantine.py
@@ -27,7 +27,7 @@
 def after(ends: int, at: float = 0.0) -> Quarantine:
     table = Quarantine()
     for number in range(ends):
-        table.ended(REQUEST, f"life-{number}", at)
+        table.record_crash(REQUEST, f"life-{number}", at)
     return table
 
 
@@ -39,8 +39,8 @@
 def test_one_incarnation_counts_once_however_often_it_is_reported() -> None:
     table = Quarantine()
     for _ in range(5):
-        table.ended(REQUEST, "life-0", 1.0)
-    assert table.ends(KEY) == 1
+        table.record_crash(REQUEST, "life-0", 1.0)
+    assert table.crash_count(KEY) == 1
 
 
 def test_a_success_clears_a_request_and_outdates_earlier_records() -> None:
@@ -58,7 +58,7 @@
     table = after(3)
     assert table.hold_left_seconds(KEY, 1.0) == HOLD_SECONDS - 1.0
     assert table.standing(KEY, HOLD_SECONDS) == "suspect"
-    table.ended(REQUEST, "life-of-trial", HOLD_SECONDS + 1.0)
+    table.record_crash(REQUEST, "life-of-trial", HOLD_SECONDS + 1.0)
     assert table.standing(KEY, HOLD_SECONDS + 2.0) == "held"
     assert table.hold_left_seconds(KEY, HOLD_SECONDS + 1.0) == 2 * HOLD_SECONDS
     assert hold_seconds(MAX_INCARNATIONS) == MAX_HOLD_SECONDS
@@ -76,7 +76,7 @@
 def test_a_held_request_is_not_evicted_by_suspects() -> None:
     table = after(3)
     for number in range(2 * MAX_ENTRIES):
-        table.ended(Suspect(b"h", b"k-%d" % number), "life-x", 1.0 + number)
+        table.record_crash(Suspect(b"h", b"k-%d" % number), "life-x", 1.0 + number)
     assert len(table) == MAX_ENTRIES
     assert table.standing(KEY, 1.0) == "held"
 
--- a/tests/request/test_retries_of_callers.py
+++ b/tests/request/test_retries_of_callers.py
@@ -146,7 +146,7 @@
     harness = QueueHarness()
     assert isinstance(harness.offer(wait_seconds=0.05), Waiting)
     assert isinstance(harness.offer(), Waiting)
-    assert harness.admission.impatient(0.04) == []
-    (given_up,) = harness.admission.impatient(0.05)
+    assert harness.admission.take_timed_out(0.04) == []
+    (given_up,) = harness.admission.take_timed_out(0.05)
     assert given_up.start_by == 0.05
     assert harness.admission.waiting == 1
--- a/tests/request/test_shared_patience.py
+++ b/tests/request/test_shared_patience.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from peppershore.request.shared_patience import (
-    LEAST_WAIT_SECONDS,
+from peppershore.request.wait_division import (
+    MIN_WAIT_SECONDS,
     may_wait_on,
     wait_until,
 )
@@ -38,5 +38,5 @@
 def test_a_call_may_wait_elsewhere_within_its_time_and_number_of_waits() -> None:
     assert may_wait_on(10.0, 10.3, 1, 3)
     assert not may_wait_on(10.0, 10.3, 3, 3)
-    assert not may_wait_on(10.3 - LEAST_WAIT_SECONDS / 2, 10.3, 1, 3)
+    assert not may_wait_on(10.3 - MIN_WAIT_SECONDS / 2, 10.3, 1, 3)
     assert not may_wait_on(10.0, 10.3, 1, 1)
--- a/tests/request/test_work_times.py
+++ b/tests/request/test_work_times.py
@@ -68,8 +68,10 @@
     refused = owner.offer("extract", deadline=0.25)
     assert isinstance(refused, NotRun)
     assert refused.reason == "deadline-too-short"
-    assert owner.admission.hopeless(0.1) == []
-    assert [ticket.route for ticket in owner.admission.hopeless(0.235)] == ["check"]
+    assert owner.admission.take_unable_to_finish(0.1) == []
+    assert [ticket.route for ticket in owner.admission.take_unable_to_finish(0.235)] == [
+        "check"
+    ]
 
 
 def _endpoint(node: str, state: str, owner_address: str) -> Endpoint:
--- a/tests/rollouts/test_version_lanes.py
+++ b/tests/rollouts/test_version_lanes.py
@@ -11,7 +11,7 @@
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch
 from peppershore.request.outcome import NotRun
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
 from peppershore.version.rollout import ALL_CALLS
@@ -47,7 +47,7 @@
     """Return how many calls each back end gets if every call ends at once."""
     found: Counter[str] = Counter()
     for number in range(draws):
-        ticket = Ticket(number, "normal", 9.0, lane=admission.draw_lane())
+        ticket = Ticket(number, "normal", 9.0, lane=admission.choose_version_group())
         decision = admission.offer(ticket, 0.0)
         if isinstance(decision, Dispatch):
             found[decision.endpoint.node] += 1
@@ -95,7 +95,7 @@
 
 def test_calls_of_the_new_version_may_move_to_the_old_one() -> None:
     admission = _admission("running", slots=1)
-    lane: Lane = "new"
+    lane: VersionGroup = "new"
     taken = [admission.offer(Ticket(n, "normal", 9.0, lane=lane), 0.0) for n in range(4)]
     nodes = [each.endpoint.node for each in taken if isinstance(each, Dispatch)]
     assert [node in NEW for node in nodes] == [True, True, True, False]
