--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -48,7 +48,7 @@
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
         """Make a call; its body and its start follow on the sink."""
 
-    def may_be_repeated(self, head: RequestHead) -> bool:
+    def is_safe_to_retry(self, head: RequestHead) -> bool:
         """Whether a request may be begun before those in front of it are answered."""
 
     def request_refused(self, problem: HeadProblem) -> bytes:
@@ -223,7 +223,7 @@
         if not isinstance(event, h11.Request):
             return False
         head = self._request_head(event, http)
-        is_repeatable = self._owner.may_be_repeated(head)
+        is_repeatable = self._owner.is_safe_to_retry(head)
         if self._exchanges and not is_repeatable:
             return False
         self._held = b""
--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -81,7 +81,7 @@
         return self._head.status if self._head is not None else 0
 
     @property
-    def is_shed(self) -> bool:
+    def is_overload_refusal(self) -> bool:
         """Whether the back end itself refused the call because of its load.
 
         A refusal with an outcome header was forwarded from a node further along the path,
@@ -160,7 +160,7 @@
         self._kept.clear()
         self._kept_bytes = 0
 
-    def give_kept(self, answer: KeptAnswer, head_request: bool) -> None:
+    def send_stored(self, answer: KeptAnswer, head_request: bool) -> None:
         """Answer a call that was resent with the stored answer to the first one."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -210,7 +210,7 @@
             self._proceed()
         elif self._begun and self._attempt is not None:
             self._body.send(self._attempt)
-        elif self._body.held_too_much:
+        elif self._body.should_pause_reading:
             self._exchange.pause_body()
 
     def body_ended(self, trailers: HeaderList) -> None:
@@ -255,7 +255,7 @@
     def answer_head(self, head: AnswerHead) -> None:
         """Forward the head of the answer."""
         if self._probes_for_slot:
-            self._calls.admissions.asked_for_slot(self.plan, was_granted=True)
+            self._calls.admissions.slot_probed(self.plan, was_granted=True)
         self._answer.head(head)
 
     def answer_data(self, data: bytes) -> None:
@@ -272,7 +272,9 @@
         If the back end itself shed the call, or failed on a route that retries errors, the
         answer is discarded if the call may be retried at another back end.
         """
-        if self._answer.is_shed and self._retry_elsewhere_if_possible(SHED_OUTCOME, "shed"):
+        if self._answer.is_overload_refusal and self._retry_elsewhere_if_possible(
+            SHED_OUTCOME, "shed"
+        ):
             return
         if self._retries_error and self._retry_elsewhere_if_possible(
             FAILED_OUTCOME, "failed"
@@ -292,7 +294,7 @@
     def attempt_failed(self, failed: Failed) -> None:
         """Retry where that is safe and within the budget, else fail the call."""
         if failed.reason == BUSY and self._probes_for_slot:
-            self._calls.admissions.asked_for_slot(self.plan, was_granted=False)
+            self._calls.admissions.slot_probed(self.plan, was_granted=False)
         if self._retry_if_possible(failed, result_of_failure(failed)):
             return
         self._discard_attempt(failed, result_of_failure(failed))
@@ -316,7 +318,7 @@
         if self._fail_if_key_refused():
             return
         if self._progress.tries == 0:
-            self._calls.repeats.first_attempt(self.plan, self._loop.time())
+            self._calls.retries.first_attempt(self.plan, self._loop.time())
         may_wait = self._progress.may_wait or self._calls.admissions.waits_at_once(
             self.plan
         )
@@ -346,12 +348,12 @@
             service=plan.target,
             priority=plan.priority,
             may_wait=self._progress.may_wait
-            or not self._calls.admissions.looks_for_free_slots,
+            or not self._calls.admissions.probes_for_free_slots,
             start_by=wait_until(
                 self._attempt_began_at,
                 self._calls.start_by(plan, self._on_behalf),
                 max(1, self._progress.waits),
-                self._calls.admissions.most_waits(plan),
+                self._calls.admissions.max_queued_owners(plan),
             ),
             is_client_retry=plan.is_client_retry,
             route=plan.route,
@@ -424,7 +426,7 @@
             self._fail(outcome)
             return
         self._over = True
-        self._answer.give_kept(outcome, self._head.method == b"HEAD")
+        self._answer.send_stored(outcome, self._head.method == b"HEAD")
         self._calls.answered(self.plan, outcome.status, self._request_id, self._recorder)
         self._finish(None)
 
@@ -459,7 +461,7 @@
         )
         if isinstance(step, GiveUp):
             return False
-        delay = self._calls.repeats.delay(
+        delay = self._calls.retries.delay(
             self.plan, self._progress.offers, self._loop.time(), step.costs_budget
         )
         if delay is None:
@@ -501,14 +503,14 @@
                 self._loop.time(),
                 self.plan.start_by,
                 self._progress.waits,
-                self._calls.admissions.most_waits(self.plan),
+                self._calls.admissions.max_queued_owners(self.plan),
             ),
         )
 
     @property
     def _probes_for_slot(self) -> bool:
         """Whether the current attempt probes for a free slot and may not wait for one."""
-        return self._calls.admissions.looks_for_free_slots and not self._progress.may_wait
+        return self._calls.admissions.probes_for_free_slots and not self._progress.may_wait
 
     @property
     def _current_node(self) -> frozenset[str]:
@@ -597,7 +599,7 @@
         self._over = True
         if isinstance(failed, NotRun) and self._plan is not None:
             now = self._loop.time()
-            failed = self._calls.repeats.with_paced_retry_after(self._plan, failed, now)
+            failed = self._calls.retries.with_paced_retry_after(self._plan, failed, now)
         self._answer.fail(failed)
         if self._claim and isinstance(failed, NotRun):
             self._calls.claims.release(self._claim, self._claim_attempt)
--- a/src/peppershore/process/node/data/call_listener.py
+++ b/src/peppershore/process/node/data/call_listener.py
@@ -25,7 +25,7 @@
 from peppershore.connection.messages.session import Refused
 from peppershore.process.node.data.call_log import CallLog
 from peppershore.process.node.data.link_guard import LinkGuard
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.served_stream import ServedStream
 from peppershore.request.outcome import STATUS_UNAVAILABLE, NotRun
 from peppershore.request.slot_loans import LEASE_SECONDS, RECALL_NUMBER, Lender
@@ -39,7 +39,7 @@
     def __init__(
         self,
         cluster: str,
-        backend: Callable[[], OwnBackend | None],
+        backend: Callable[[], LocalBackEnd | None],
         longest_call_seconds: Callable[[], float],
         tls: ssl.SSLContext | None,
         guard: LinkGuard,
@@ -77,13 +77,13 @@
         """Return the number of slots that peers may still be using under a loan."""
         return self._lender.lent(now) if self._lender is not None else 0
 
-    def take_back_expired(self, now: float) -> None:
+    def reclaim_expired(self, now: float) -> None:
         """Reclaim the slots of expired loans for this node's own use."""
         backend = self._backend()
         if backend is not None and self._lender is not None:
-            backend.lend(self._lender.lent(now))
+            backend.reserve_lent_slots(self._lender.lent(now))
 
-    def lend_no_more(self) -> None:
+    def recall_loans(self) -> None:
         """Recall every loan because the back end is leaving."""
         if self._lender is not None:
             self._lender.recall()
@@ -145,10 +145,10 @@
         wanted = 0 if backend.leaving else request.wanted
         borrower = self._links[link]
         granted = lender.asked(borrower, request.number, wanted, free, now)
-        backend.lend(lender.lent(now))
+        backend.reserve_lent_slots(lender.lent(now))
         link.send(SlotsLent(request.number, granted, int(LEASE_SECONDS * MILLISECONDS)))
 
-    def _lender_of(self, backend: OwnBackend) -> Lender:
+    def _lender_of(self, backend: LocalBackEnd) -> Lender:
         longest = self._longest_call_seconds()
         if self._lender is None:
             self._lender = Lender(backend.slots, longest)
@@ -158,7 +158,7 @@
     def _returned(self, link: CallLink, returned: SlotsReturned) -> None:
         if self._lender is not None and link in self._links:
             self._lender.returned(self._links[link], returned.number, returned.kept)
-            self.take_back_expired(asyncio.get_running_loop().time())
+            self.reclaim_expired(asyncio.get_running_loop().time())
 
     def _lost(self, link: CallLink, reason: str) -> None:
         del reason
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -27,12 +27,12 @@
     CallStory,
     failure_end,
 )
-from peppershore.process.node.data.claim_desk import ClaimDesk
+from peppershore.process.node.data.claim_requests import ClaimRequests
 from peppershore.process.node.data.direct_attempt import BackEndTerms, DirectAttempt
 from peppershore.process.node.data.large_answers import LargeAnswers
 from peppershore.process.node.data.link_attempt import LinkAttempt
-from peppershore.process.node.data.own_attempt import OwnAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_attempt import LocalAttempt
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.owner_links import OwnerLinks
 from peppershore.process.node.data.paced_answer import LargeTerms, PacedAnswer
 from peppershore.process.node.data.quarantine_gate import QuarantineGate
@@ -104,8 +104,8 @@
         self.quarantine = QuarantineGate(self.loop.time)
         self.quotas = QuotaGate(settings.quotas, self.loop, random, notice_sink)
         self.configuration: ActiveConfiguration | None = None
-        self.claims = ClaimDesk()
-        self.own: OwnBackend | None = None
+        self.claims = ClaimRequests()
+        self.own: LocalBackEnd | None = None
         self.large_answers: LargeAnswers | None = None
         if settings.link_megabits > 0.0:
             self.large_answers = LargeAnswers(settings.link_megabits)
@@ -122,10 +122,10 @@
         self.weights = ConfiguredWeights()
         self.admissions = ServiceAdmissions(settings, notice_sink, random, self.weights)
         bound = retry_bound(settings.shared_retries)
-        self.repeats = CallRetries(bound, notice_sink, random)
+        self.retries = CallRetries(bound, notice_sink, random)
         self._pools = BackEndPools()
         links.on_allowance = self._pools.limit_borrowed
-        links.on_load = self.admissions.load_heard
+        links.on_load = self.admissions.load_reported
         self._stop_at = math.inf
         self._any_call_until = math.inf
         self._live: set[LiveCall] = set()
@@ -156,7 +156,7 @@
         """Number of calls in progress."""
         return len(self._live)
 
-    def use_own_back_end(self, own: OwnBackend | None) -> None:
+    def use_own_back_end(self, own: LocalBackEnd | None) -> None:
         """Set the local back end; ``None`` if this node has none."""
         self.own = own
         self.admissions.own = own
@@ -177,7 +177,7 @@
 
     def use_endpoints(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Replace the live endpoints; drop the connections and links to all others."""
-        self.repeats.nodes = len({each.node for each in endpoints})
+        self.retries.nodes = len({each.node for each in endpoints})
         self._pools.keep_only(endpoints)
         self._links.keep_only(frozenset(endpoint.owner_address for endpoint in endpoints))
         self.admissions.use_endpoints(endpoints)
@@ -278,7 +278,7 @@
             return Success(entry)
         return Failure(NotRun(STATUS_UNAVAILABLE, "node-stopping", MILLISECONDS))
 
-    def may_be_repeated(self, head: RequestHead) -> bool:
+    def is_safe_to_retry(self, head: RequestHead) -> bool:
         """Return whether the route of a request allows it to run more than once."""
         active = self.configuration
         route = None if active is None else route_of(active, head)
@@ -320,7 +320,7 @@
     ) -> Attempt:
         endpoint = dispatch.endpoint
         if self.own is not None and endpoint.node == self._settings.node:
-            return OwnAttempt(self.own, request, sink)
+            return LocalAttempt(self.own, request, sink)
         if not endpoint.owner_address:
             pool = self._pools.pool(endpoint)
             return DirectAttempt(pool, request, sink, terms=self._terms)
@@ -352,7 +352,7 @@
         """
         self.counts.answered += 1
         now = self.loop.time()
-        self.repeats.answered(plan, now)
+        self.retries.answered(plan, now)
         self.figures.ended(plan, "answered", "", now - recorder.began_at)
         if status >= FIRST_SERVER_ERROR or self.log.takes_answered(request_id):
             end = CallEnd("answered", "", status)
--- a/src/peppershore/process/node/data/claim_desk.py
+++ b/src/peppershore/process/node/data/claim_requests.py
@@ -13,7 +13,7 @@
 ClaimSink = Callable[[str, Result[ClaimGranted, ClaimDenied]], None]
 
 
-class ClaimDesk:
+class ClaimRequests:
     """Passes claims to the claims group, if the node has one."""
 
     def __init__(self) -> None:
--- a/src/peppershore/process/node/data/crash_watch.py
+++ b/src/peppershore/process/node/data/crash_watch.py
@@ -66,7 +66,7 @@
             loop = asyncio.get_running_loop()
             self._probe_task = loop.create_task(self._run_probe(life))
 
-    def ended_well(self, fingerprint: Fingerprint) -> None:
+    def record_answered(self, fingerprint: Fingerprint) -> None:
         """Record that this incarnation answered such a request: it is no suspect here."""
         if fingerprint.is_known:
             self._answered_keys.add(fingerprint.key)
--- a/src/peppershore/process/node/data/gauges.py
+++ b/src/peppershore/process/node/data/gauges.py
@@ -16,7 +16,7 @@
     metrics.gauge("calls_unknown", "Calls sent, without answer.", lambda: counts.unknown)
     metrics.gauge("calls_abandoned", "Calls whose caller left.", lambda: counts.abandoned)
     metrics.gauge(
-        "call_retries", "Attempts after the first.", lambda: plane.calls.repeats.count
+        "call_retries", "Attempts after the first.", lambda: plane.calls.retries.count
     )
     metrics.gauge("calls_in_flight", "Calls not over.", lambda: plane.calls.in_flight)
     metrics.gauge(
--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -50,7 +50,7 @@
 class LinkSource(Protocol):
     """Provides links to owners and receives the loads that owners report."""
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Record the load that an owner reported with a call of this route."""
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
@@ -215,7 +215,7 @@
 
     def _note_load(self, load: OwnerLoad | None) -> None:
         if load is not None:
-            self._links.load_heard(self._address, load, self._request.route)
+            self._links.load_reported(self._address, load, self._request.route)
 
     def _note_round_trip(self, reason: str) -> None:
         """Record the round-trip time of a probe that the owner refused.
--- a/src/peppershore/process/node/data/own_attempt.py
+++ b/src/peppershore/process/node/data/local_attempt.py
@@ -19,7 +19,7 @@
 )
 from peppershore.process.node.data.call_story import NEVER_RAN, ServedRun
 from peppershore.process.node.data.direct_attempt import DEFAULT_TERMS, DirectAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.request.admission import Dispatch
 from peppershore.request.body_prefetch import (
     FETCH_SECONDS,
@@ -47,7 +47,7 @@
 ABSENT_REASONS = frozenset({"back-end-unreachable", "other-back-end"})
 
 
-class OwnAttempt:
+class LocalAttempt:
     """Waits for body capacity and for a slot, then sends the call to the back end."""
 
     __slots__ = (
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        backend: OwnBackend,
+        backend: LocalBackEnd,
         request: AttemptRequest,
         sink: AttemptSink,
         fetch_body: Callable[[], None] | None = None,
@@ -80,7 +80,7 @@
         """Create the attempt; it does nothing until ``start``.
 
         ``fetch_body`` requests a body that the caller's node holds back until then. When
-        that body has arrived completely, ``body_is_in`` must be called.
+        that body has arrived completely, ``body_prefetched`` must be called.
         """
         self._fetch_body = fetch_body
         self._fetching = False
@@ -122,7 +122,7 @@
         If the link has no capacity for a large body, the call waits for it if it may wait
         and is refused otherwise.
         """
-        if self._fetches_first and self._backend.begin_body(self._request):
+        if self._fetches_first and self._backend.begin_prefetch(self._request):
             self._fetch()
         elif not (self._request.body_on_credit and self._request.takes_room):
             self._ask_for_slot()
@@ -161,7 +161,7 @@
         self._timer = loop.call_later(FETCH_SECONDS, self._fetch_timed_out)
         self._fetch_body()
 
-    def body_is_in(self) -> None:
+    def body_prefetched(self) -> None:
         """Request a slot and allow the call to wait: the prefetched body is complete."""
         if not self._fetching:
             return
@@ -180,7 +180,7 @@
     def _end_fetch(self) -> None:
         if self._fetching:
             self._fetching = False
-            self._backend.body_ended()
+            self._backend.end_prefetch()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -279,7 +279,7 @@
 
     def _load_reported(self, load_header: bytes) -> None:
         """Record the load reported by the incarnation that runs this call."""
-        self._backend.heard(load_header, self._terms.life)
+        self._backend.load_reported(load_header, self._terms.life)
 
     def answer_head(self, head: AnswerHead) -> None:
         """Forward the head of the answer."""
@@ -299,7 +299,7 @@
         self._sink.answer_ended(trailers)
         result = result_of_status(self._status)
         if result == "good":
-            self._backend.ended_well(self._request.fingerprint)
+            self._backend.record_answered(self._request.fingerprint)
         self._end(result)
 
     def attempt_failed(self, failed: Failed) -> None:
@@ -309,7 +309,7 @@
         """
         self._end(result_of_failure(failed))
         if failed.reason in ABSENT_REASONS:
-            self._backend.refuse_not_there(self._terms.life)
+            self._backend.report_unreachable(self._terms.life)
         if failed.reason == BROKE_OFF:
             self._awaits_crash_check = True
             crashes = self._backend.crashes
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/local_back_end.py
@@ -54,7 +54,7 @@
 MILLISECONDS = 1_000
 
 
-class OwnBackend:
+class LocalBackEnd:
     """Admits every call to the back end that is co-located with this node."""
 
     def __init__(
@@ -77,7 +77,7 @@
         """
         self.large_answers = large_answers
         self.leaving = False
-        self.on_not_there: Callable[[str], None] = lambda life: None
+        self.on_unreachable: Callable[[str], None] = lambda life: None
         self.slots = endpoint.slots
         self.running = RunningCalls()
         self.crashes = CrashWatch(endpoint.node, endpoint.address)
@@ -145,7 +145,7 @@
             link_wait_milliseconds=0 if scheduler is None else scheduler.wait_milliseconds,
         )
 
-    def heard(self, told: bytes, life: str) -> None:
+    def load_reported(self, told: bytes, life: str) -> None:
         """Process the load that the back end reported in an answer.
 
         A report of another incarnation or one that cannot be parsed is ignored.
@@ -231,18 +231,18 @@
         self.leaving = True
         self.refuse_waiting()
 
-    def ended_well(self, fingerprint: Fingerprint) -> None:
+    def record_answered(self, fingerprint: Fingerprint) -> None:
         """Record that the back end answered such a request: it causes no crash."""
-        self.crashes.ended_well(fingerprint)
-        self.quarantine.ended_well(fingerprint)
+        self.crashes.record_answered(fingerprint)
+        self.quarantine.record_answered(fingerprint)
 
-    def refuse_not_there(self, life: str) -> None:
+    def report_unreachable(self, life: str) -> None:
         """Report that ``life`` cannot be reached: nothing or another incarnation answers.
 
         Ignored unless ``life`` is the current incarnation.
         """
         if life == self._life.name:
-            self.on_not_there(life)
+            self.on_unreachable(life)
 
     def use_settings(self, settings: ServiceSettings) -> None:
         """Apply new settings.
@@ -256,7 +256,7 @@
         self.admission.use_settings(settings)
         self._apply_limit()
 
-    def lend(self, slots: int) -> None:
+    def reserve_lent_slots(self, slots: int) -> None:
         """Reserve ``slots`` for other nodes, which call the back end directly."""
         self._lent = slots
         self._apply_limit()
@@ -298,18 +298,18 @@
         self._schedule_recheck()
         return ticket
 
-    def begin_body(self, request: AttemptRequest) -> bool:
+    def begin_prefetch(self, request: AttemptRequest) -> bool:
         """Return whether the body of a call without a slot is to be prefetched now.
 
         True if the call is likely to have a slot by the time its body is complete. The
-        caller must then call ``body_ended`` once.
+        caller must then call ``end_prefetch`` once.
         """
         if self._refusal(request) is not None:
             return False
         admission = self.admission
         return self._prefetches.begin(admission.in_flight, admission.waiting, self.slots)
 
-    def body_ended(self) -> None:
+    def end_prefetch(self) -> None:
         """Record that a prefetched body is complete or was given up."""
         self._prefetches.end()
 
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -21,10 +21,10 @@
 from peppershore.process.node.data.link_guard import LinkGuard
 from peppershore.request.slot_loans import Borrower
 
-GREETING_SECONDS = 1.0
+HANDSHAKE_TIMEOUT_SECONDS = 1.0
 """An owner that accepts a link and sends nothing for this long is considered lost."""
 
-SILENCE_SECONDS = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 """An owner that does not answer a probe for this long, with calls on its link, is
 considered lost: the outcome of the calls sent to it is unknown, and it is sent no more."""
 
@@ -82,7 +82,7 @@
         owner.waiting.append(attempt)
         self._open(address, owner)
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Process the load that an owner reported with a call of this route."""
         self.on_load(address, load, route)
 
@@ -160,7 +160,7 @@
         elif owner.probed_at is None:
             owner.probed_at = now
             link.send(CallLinkProbe(owner.last_received))
-        elif now - owner.probed_at >= SILENCE_SECONDS:
+        elif now - owner.probed_at >= PROBE_TIMEOUT_SECONDS:
             owner.link = None
             owner.borrower.lost()
             link.abandon("owner silent")
@@ -222,7 +222,7 @@
         link.send(self._hello)
         link.send(CallLinkProbe(0))
         try:
-            async with asyncio.timeout(GREETING_SECONDS):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 await alive
         except TimeoutError:
             link.close()
--- a/src/peppershore/process/node/data/quarantine_gate.py
+++ b/src/peppershore/process/node/data/quarantine_gate.py
@@ -103,7 +103,7 @@
         if self._running_suspects and fingerprint.is_known:
             self._running_suspects.discard(fingerprint.key)
 
-    def ended_well(self, fingerprint: Fingerprint) -> None:
+    def record_answered(self, fingerprint: Fingerprint) -> None:
         """Report a suspect as cleared, because the back end answered it."""
         if self.ends(fingerprint):
             self.on_cleared(fingerprint.key)
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -93,7 +93,7 @@
         self.figures = QuotaMetrics()
         self._notice_sink = notice_sink
         self._log_limits = RefusalLines()
-        self.on_ask: Callable[[QuotaAsked], None] = lambda request: None
+        self.on_request: Callable[[QuotaAsked], None] = lambda request: None
         """Sends a request for grants to the relay in use, if there is one."""
         self._loop = loop
         self._random = random
@@ -149,7 +149,7 @@
         assert self._grants is not None
         request = self._grants.due_ask(now)
         if request is not None:
-            self.on_ask(request)
+            self.on_request(request)
         self._set_timer(now)
 
     def _set_timer(self, now: float) -> None:
--- a/src/peppershore/process/node/data/request_body.py
+++ b/src/peppershore/process/node/data/request_body.py
@@ -48,7 +48,7 @@
         self.trailers: HeaderList = []
 
     @property
-    def held_too_much(self) -> bool:
+    def should_pause_reading(self) -> bool:
         """Whether reading from the caller should pause for now."""
         return self.received > HOLD_BYTES and self._sent < len(self._pieces)
 
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -34,8 +34,8 @@
     failure_end,
     served_story,
 )
-from peppershore.process.node.data.own_attempt import OwnAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_attempt import LocalAttempt
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.paced_answer import LargeTerms, PacedAnswer
 from peppershore.process.node.data.request_body import RequestBody
 from peppershore.request.fingerprint import Fingerprint
@@ -93,8 +93,8 @@
         self._route = started.route
         self._cancellable = started.cancellable
         self._attempt: Attempt | None = None
-        self._own_attempt: OwnAttempt | None = None
-        self._backend: OwnBackend | None = None
+        self._own_attempt: LocalAttempt | None = None
+        self._backend: LocalBackEnd | None = None
         self._begun = False
         self._prefetches_body = False
         self._finished = False
@@ -104,7 +104,7 @@
         self._sending = SendWindow(started.answer_window or STREAM_WINDOW_BYTES)
         self._receiving = ReceiveWindow()
 
-    def start(self, backend: OwnBackend, started: CallStarted) -> None:
+    def start(self, backend: LocalBackEnd, started: CallStarted) -> None:
         """Start the attempt, which requests a slot from ``backend``."""
         if started.data:
             self._body.add(started.data)
@@ -122,11 +122,11 @@
         self._attempt = self._new_attempt(backend, request)
         self._attempt.start()
 
-    def _new_attempt(self, backend: OwnBackend, request: AttemptRequest) -> Attempt:
+    def _new_attempt(self, backend: LocalBackEnd, request: AttemptRequest) -> Attempt:
         """Return the attempt: a ``PacedAnswer`` if its answer is expected to be large."""
 
-        def make_attempt(sink: AttemptSink) -> OwnAttempt:
-            self._own_attempt = OwnAttempt(backend, request, sink, self._fetch_body)
+        def make_attempt(sink: AttemptSink) -> LocalAttempt:
+            self._own_attempt = LocalAttempt(backend, request, sink, self._fetch_body)
             return self._own_attempt
 
         scheduler = backend.large_answers
@@ -230,7 +230,7 @@
         if self._begun and self._attempt is not None:
             self._body.send(self._attempt)
         elif self._own_attempt is not None and message.ended:
-            self._own_attempt.body_is_in()
+            self._own_attempt.body_prefetched()
         elif not self._prefetches_body:
             self._receiving.pause()
         self._send_credit(self._receiving.taken(len(message.data)))
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -18,7 +18,7 @@
 from peppershore.process.commands import Notice
 from peppershore.process.node.data import notices
 from peppershore.process.node.data.call_story import ChoiceSeen
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.settings import NodeSettings
 from peppershore.request.admission import Admission, Decision, Dispatch, Waiting
 from peppershore.request.classification import CallPlan
@@ -63,7 +63,7 @@
         ``weights`` holds the tenants' weights of the configuration in use.
         """
         self._weights = weights
-        self.own: OwnBackend | None = None
+        self.own: LocalBackEnd | None = None
         self._loop = asyncio.get_running_loop()
         self._settings = settings
         self._notice_sink = notice_sink
@@ -115,13 +115,13 @@
         return "any" if admission is None else admission.choose_version_group()
 
     @property
-    def looks_for_free_slots(self) -> bool:
+    def probes_for_free_slots(self) -> bool:
         """Whether a call probes each owner for a free slot before it waits for one."""
         return self._settings.seek_free_slots
 
-    def most_waits(self, plan: CallPlan) -> int:
+    def max_queued_owners(self, plan: CallPlan) -> int:
         """Return at how many owners a call may wait; one for a call with a large body."""
-        if plan.settings.streamed_bodies or not self.looks_for_free_slots:
+        if plan.settings.streamed_bodies or not self.probes_for_free_slots:
             return 1
         return self._settings.waits_at_owners
 
@@ -132,14 +132,14 @@
         out of free slots or refused for load. False if this node does not probe at all.
         """
         admission = self._admission(plan.target)
-        if admission is None or not self.looks_for_free_slots:
+        if admission is None or not self.probes_for_free_slots:
             return False
         now = self._loop.time()
         return admission.probing.is_suspended(now) or admission.all_refuse_for_load(
             now, plan.lane
         )
 
-    def asked_for_slot(self, plan: CallPlan, was_granted: bool) -> None:
+    def slot_probed(self, plan: CallPlan, was_granted: bool) -> None:
         """Record whether an owner granted a free slot to a call that may not wait."""
         admission = self._admission(plan.target)
         if admission is None:
@@ -288,7 +288,7 @@
         ]
         admission.use_endpoints(tuple(limited), now)
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Process the load of its back end that the owner at an address reported."""
         now = self._loop.time()
         for node in self._nodes_behind.get(address, ()):
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -30,7 +30,7 @@
 from peppershore.process.node.data.calls import Calls
 from peppershore.process.node.data.checked_claims import CheckedClaims
 from peppershore.process.node.data.link_guard import LinkGuard
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.owner_links import OwnerLinks
 from peppershore.process.randomness import Randomness
 from peppershore.process.settings import NodeSettings
@@ -176,12 +176,12 @@
         had_other_life = self._own.life not in (NO_LIFE, view.life)
         self._own.use_view(view, bound)
         if had_other_life:
-            self._call_listener.lend_no_more()
+            self._call_listener.recall_loans()
 
     def on_back_end_unreachable(self, callback: Callable[[str], None]) -> None:
         """Call ``callback`` with an incarnation of the back end that cannot be reached."""
         if self._own is not None:
-            self._own.on_not_there = callback
+            self._own.on_unreachable = callback
 
     def on_backend_state(self, callback: Callable[[str], None]) -> None:
         """Start to probe the local back end; call ``callback`` with each new state.
@@ -222,7 +222,7 @@
         self.draining = True
         self._drain_began = self._loop.time()
         self._calls_at_drain = self._in_flight
-        self._call_listener.lend_no_more()
+        self._call_listener.recall_loans()
         self._listener.hand_over()
 
     async def drained(self, bound_seconds: float) -> DrainReport:
@@ -293,9 +293,9 @@
         self._caller_seen_at = self._loop.time()
         return Call(self.calls, exchange, head)
 
-    def may_be_repeated(self, head: RequestHead) -> bool:
+    def is_safe_to_retry(self, head: RequestHead) -> bool:
         """Return whether the route of a request declares it safe to retry."""
-        return self.calls.may_be_repeated(head)
+        return self.calls.is_safe_to_retry(head)
 
     def request_refused(self, problem: HeadProblem) -> bytes:
         """Count a malformed request; return the body of the error response."""
@@ -329,7 +329,7 @@
         now = self._loop.time()
         self._tick = self._loop.call_later(TICK_SECONDS, self._ticked)
         self.calls.tick(now)
-        self._call_listener.take_back_expired(now)
+        self._call_listener.reclaim_expired(now)
         if self._own is not None:
             self._own.pool.trim(now)
             self._send_evidence(self._own.evidence)
@@ -369,7 +369,7 @@
         self._notice_sink(notices.BackEndEnded(self._settings.service, life, keys))
         self.on_back_end_ended(life, under)
         if self._own is not None:
-            self._own.refuse_not_there(life)
+            self._own.report_unreachable(life)
 
     def _longest_call_seconds(self) -> float:
         """Return the longest time-out of calls from other nodes to the local back end."""
@@ -417,7 +417,7 @@
 
 def _own_backend(
     settings: NodeSettings, random: Randomness, calls: Calls
-) -> OwnBackend | None:
+) -> LocalBackEnd | None:
     if not settings.backend:
         return None
     endpoint = Endpoint(
@@ -433,7 +433,7 @@
         connections=settings.connections,
     )
     transfers = BodyTransfers(settings.link_megabits)
-    backend = OwnBackend(
+    backend = LocalBackEnd(
         endpoint,
         ServiceSettings(),
         random,
--- a/src/peppershore/process/node/shell.py
+++ b/src/peppershore/process/node/shell.py
@@ -102,7 +102,7 @@
         self.handle(BackEndViewed, self._use_back_end)
         self.handle(QuarantineChanged, self._use_quarantine)
         self.handle(QuotaAnswered, self._use_grants)
-        data_plane.calls.quotas.on_ask = lambda ask: self.dispatch(QuotaWanted(ask))
+        data_plane.calls.quotas.on_request = lambda ask: self.dispatch(QuotaWanted(ask))
 
     def dispatch(self, event: events.Event) -> None:
         """Step the core; pass the time of the latest confirmation to the data plane."""
--- a/tests/data_plane/test_bodies_on_narrow_links.py
+++ b/tests/data_plane/test_bodies_on_narrow_links.py
@@ -27,7 +27,7 @@
     CallNotRun,
     CallStarted,
 )
-from peppershore.process.node.data import own_attempt
+from peppershore.process.node.data import local_attempt
 from peppershore.request.outcome import BUSY
 
 NARROW_MEGABITS = 1.0
@@ -134,7 +134,7 @@
 
 
 def test_a_body_that_stalls_is_given_up_as_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(own_attempt, "FETCH_SECONDS", 0.05)
+    monkeypatch.setattr(local_attempt, "FETCH_SECONDS", 0.05)
 
     async def scene() -> None:
         backend = ScriptedBackend()
--- a/tests/data_plane/test_call_outcomes.py
+++ b/tests/data_plane/test_call_outcomes.py
@@ -86,7 +86,7 @@
             answer = await call(address, method="POST", body=b"x")
             assert (answer.status, answer.body) == (200, b"ok:x")
         assert len(backend.requests) == 6
-        assert node.plane.calls.repeats.count > 0
+        assert node.plane.calls.retries.count > 0
         await node.plane.close()
         backend.stop()
 
--- a/tests/data_plane/test_calls_of_tenants.py
+++ b/tests/data_plane/test_calls_of_tenants.py
@@ -359,7 +359,7 @@
     def __init__(self, node: Node) -> None:
         self.asks: list[QuotaAsked] = []
         self._gate = node.plane.calls.quotas
-        self._gate.on_ask = self.asks.append
+        self._gate.on_request = self.asks.append
 
     def answer(self, calls: int, wait: int = 0) -> None:
         for ask in self.asks:
--- a/tests/data_plane/test_large_answers.py
+++ b/tests/data_plane/test_large_answers.py
@@ -21,7 +21,7 @@
 
 from peppershore.connection.messages.base import Message
 from peppershore.connection.messages.calls import CallCancelled, CallNotRun, CallStarted
-from peppershore.process.node.data import own_backend
+from peppershore.process.node.data import local_back_end
 from peppershore.process.node.data.large_answers import LargeAnswers
 from peppershore.request.outcome import LINK_FULL
 
@@ -70,7 +70,7 @@
         )
 
     @property
-    def own(self) -> own_backend.OwnBackend:
+    def own(self) -> local_back_end.LocalBackEnd:
         own = self.owner.plane.calls.own
         assert own is not None
         return own
--- a/tests/data_plane/test_own_back_end.py
+++ b/tests/data_plane/test_own_back_end.py
@@ -12,8 +12,8 @@
 from peppershore.connection.messages.endpoints import WARMING_NOT_TOLD
 from peppershore.process.node.back_end_reports import STATE_READY, BackEndView
 from peppershore.process.node.data.attempt import AttemptRequest
-from peppershore.process.node.data.own_attempt import OwnAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_attempt import LocalAttempt
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.randomness import Randomness
 from peppershore.request.body_transfers import BodyTransfers
 from peppershore.version.model import ServiceSettings
@@ -29,7 +29,7 @@
 
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
-        own = OwnBackend(known, ServiceSettings(), Randomness(1))
+        own = LocalBackEnd(known, ServiceSettings(), Randomness(1))
         own.use_view(BackEndView("i-1", STATE_READY, SLOTS, warming), 1.0)
         own.use_settings(ServiceSettings())
         state = own.admission.state(known.node)
@@ -43,7 +43,7 @@
 def test_a_new_incarnation_keeps_running_calls_and_resets_failures() -> None:
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
-        own = OwnBackend(known, ServiceSettings(), Randomness(1))
+        own = LocalBackEnd(known, ServiceSettings(), Randomness(1))
         own.use_view(BackEndView("i-1", STATE_READY, SLOTS, 0), 1.0)
         before = own.admission.state(known.node)
         assert before is not None
@@ -67,7 +67,7 @@
         return lambda *_: None
 
 
-def _upload(own: OwnBackend, *, is_client_retry: bool) -> OwnAttempt:
+def _upload(own: LocalBackEnd, *, is_client_retry: bool) -> LocalAttempt:
     """Start an attempt with a large body."""
     request = AttemptRequest(
         head=RequestHead(b"POST", b"/", [], 10),
@@ -79,7 +79,7 @@
         is_client_retry=is_client_retry,
         body_on_credit=True,
     )
-    attempt = OwnAttempt(own, request, SilentSink())
+    attempt = LocalAttempt(own, request, SilentSink())
     attempt.start()
     return attempt
 
@@ -88,8 +88,8 @@
     async def scene() -> None:
         known = endpoint("127.0.0.1:1", slots=SLOTS)
         transfers = BodyTransfers(link_megabits=1.0)
-        own = OwnBackend(known, ServiceSettings(), Randomness(1), transfers=transfers)
-        begun: list[OwnAttempt] = []
+        own = LocalBackEnd(known, ServiceSettings(), Randomness(1), transfers=transfers)
+        begun: list[LocalAttempt] = []
         under_way = [_upload(own, is_client_retry=False) for _ in range(2)]
         older = _upload(own, is_client_retry=False)
         retry = _upload(own, is_client_retry=True)
--- a/tests/data_plane/test_quota_gate.py
+++ b/tests/data_plane/test_quota_gate.py
@@ -47,7 +47,7 @@
         self.gate = QuotaGate(quotas, loop, Randomness(1), self.notices.append)
         self.asks: list[QuotaAsked] = []
         self.decisions: list[NotRun | None] = []
-        self.gate.on_ask = self.asks.append
+        self.gate.on_request = self.asks.append
         tenants = {each.name: each for each in (LIMITED, FREE)}
         scope = Scope("edge", "pasila")
         self.gate.use_configuration(ActiveConfiguration(scope, 1, 1, (), {}, {}, tenants))
--- a/tests/data_plane/test_shed_calls.py
+++ b/tests/data_plane/test_shed_calls.py
@@ -27,7 +27,7 @@
         answers = [await call(address) for _ in range(CALLS)]
         assert {answer.status for answer in answers} == {200}
         assert 1 <= len(busy.requests) <= CALLS // 3
-        assert node.plane.calls.repeats.count == len(busy.requests)
+        assert node.plane.calls.retries.count == len(busy.requests)
         await node.plane.close()
         busy.stop()
         idle.stop()
--- a/tests/data_plane/test_silent_owners.py
+++ b/tests/data_plane/test_silent_owners.py
@@ -20,8 +20,8 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(data_plane, "TICK_SECONDS", 0.05)
-    monkeypatch.setattr(owner_links, "SILENCE_SECONDS", 0.3)
-    monkeypatch.setattr(owner_links, "GREETING_SECONDS", 0.3)
+    monkeypatch.setattr(owner_links, "PROBE_TIMEOUT_SECONDS", 0.3)
+    monkeypatch.setattr(owner_links, "HANDSHAKE_TIMEOUT_SECONDS", 0.3)
 
 
 def _stuck_from_the_first_call() -> FakeOwner:
--- a/tests/data_plane/test_streamed_bodies.py
+++ b/tests/data_plane/test_streamed_bodies.py
@@ -29,7 +29,7 @@
     CallNotRun,
     CallStarted,
 )
-from peppershore.process.node.data import own_attempt
+from peppershore.process.node.data import local_attempt
 from peppershore.process.node.data.request_body import (
     REPLAY_BYTES,
     STREAMED_REPLAY_BYTES,
@@ -323,7 +323,7 @@
 def test_a_stalled_body_blocks_others_for_a_bounded_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(own_attempt, "MOST_SECONDS", 0.05)
+    monkeypatch.setattr(local_attempt, "MOST_SECONDS", 0.05)
 
     async def scene() -> None:
         backend = ScriptedBackend()
--- a/tests/data_plane/test_told_loads.py
+++ b/tests/data_plane/test_told_loads.py
@@ -25,7 +25,7 @@
 from peppershore.connection.http_head import RequestHead
 from peppershore.process.node.back_end_reports import STATE_READY, BackEndView
 from peppershore.process.node.data.attempt import AttemptRequest
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.randomness import Randomness
 from peppershore.process.settings import HeaderSettings
 from peppershore.request.back_ends.local_report import COUNT_SECONDS
@@ -83,7 +83,7 @@
         return await call(self.callers)
 
     @property
-    def own(self) -> OwnBackend:
+    def own(self) -> LocalBackEnd:
         own = self.owner.plane.calls.own
         assert own is not None
         return own
@@ -158,8 +158,8 @@
         return lambda *_: None
 
 
-def _own() -> OwnBackend:
-    own = OwnBackend(
+def _own() -> LocalBackEnd:
+    own = LocalBackEnd(
         endpoint("127.0.0.1:1", slots=SLOTS), ServiceSettings(), Randomness(1), NAMES
     )
     own.use_view(BackEndView("i-1", STATE_READY, SLOTS, 0), 1.0)
@@ -178,9 +178,9 @@
     )
 
 
-def _report(own: OwnBackend, figures: bytes, times: int = 2) -> None:
+def _report(own: LocalBackEnd, figures: bytes, times: int = 2) -> None:
     for _ in range(times):
-        own.heard(figures, own.life.name)
+        own.load_reported(figures, own.life.name)
 
 
 def test_calls_that_may_go_elsewhere_are_refused_while_the_machine_is_slow() -> None:
@@ -219,7 +219,7 @@
         before = own.life.name
         _report(own, b"5,9,5,250")
         own.use_view(BackEndView("i-2", STATE_READY, SLOTS, 0), 1.0)
-        own.heard(b"5,9,5,250", before)
+        own.load_reported(b"5,9,5,250", before)
         assert own.load("all") == msgspec.structs.replace(
             own.load("all"), running=0, pace_percent=100, pace_age_milliseconds=-1
         )
--- a/tests/node/test_reborn_back_ends.py
+++ b/tests/node/test_reborn_back_ends.py
@@ -146,10 +146,10 @@
         assert plane.terms.instance == b"i1"
         assert plane.crashes.life == f"i1@{SECOND}"
         seen: list[str] = []
-        plane.on_not_there = seen.append
-        plane.refuse_not_there(f"i1@{FIRST}")
+        plane.on_unreachable = seen.append
+        plane.report_unreachable(f"i1@{FIRST}")
         assert seen == []
-        plane.refuse_not_there(f"i1@{SECOND}")
+        plane.report_unreachable(f"i1@{SECOND}")
         assert seen == [f"i1@{SECOND}"]
         await own.plane.close()
         backend.stop()
