--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -26,7 +26,7 @@
 from peppershore.process.node.data.attempt import AttemptRequest, AttemptSink
 from peppershore.request.deadline import remaining_milliseconds
 from peppershore.request.outcome import (
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BAD_GATEWAY,
     STATUS_GATEWAY_TIMEOUT,
     Failed,
@@ -50,7 +50,7 @@
 class LinkSource(Protocol):
     """Provides links to owners and receives the loads that owners report."""
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Record the load that an owner reported with a call of this route."""
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
@@ -215,14 +215,14 @@
 
     def _note_load(self, load: OwnerLoad | None) -> None:
         if load is not None:
-            self._links.load_heard(self._address, load, self._request.route)
+            self._links.load_reported(self._address, load, self._request.route)
 
     def _note_round_trip(self, reason: str) -> None:
         """Record the round-trip time of a probe that the owner refused.
 
         An owner refuses a probe for a free slot at once: it adds no delay of its own.
         """
-        if reason in SEEK_ON and not self._request.may_wait:
+        if reason in PROBE_NEXT_REASONS and not self._request.may_wait:
             TRAFFIC.note_round_trip(asyncio.get_running_loop().time() - self._sent_at)
 
     def _send_start(self, data: bytes) -> None:
