--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -56,15 +56,15 @@
 from peppershore.process.control.quota_desk import QuotaService
 from peppershore.process.control.redaction import edits_without_material, without_material
 from peppershore.process.control.releases import (
+    ReleaseQueried,
     Releases,
     ReleaseSubmitted,
-    ReleaseWanted,
 )
 from peppershore.process.control.rollout_orders import (
     RolloutAborted,
     RolloutOrdered,
     RolloutOrders,
-    RolloutWanted,
+    RolloutQueried,
 )
 from peppershore.process.control.rollouts import Rollouts
 from peppershore.process.control.rotation import RotationBarrier
@@ -154,9 +154,9 @@
             self._clock.observe(event, self.now)
         elif isinstance(event, ReleaseSubmitted):
             self._releases.submit(event)
-        elif isinstance(event, ReleaseWanted):
+        elif isinstance(event, ReleaseQueried):
             self._releases.read_newest(event)
-        elif isinstance(event, RolloutOrdered | RolloutAborted | RolloutWanted):
+        elif isinstance(event, RolloutOrdered | RolloutAborted | RolloutQueried):
             self._rollout_orders.handle_request(event)
         elif isinstance(event, SeedsChanged):
             self.joining.use_seeds(event.seeds)
--- a/src/peppershore/process/control/releases.py
+++ b/src/peppershore/process/control/releases.py
@@ -51,7 +51,7 @@
 NO_CONFIGURATION = "no-configuration"
 
 
-class ReleaseTaken(msgspec.Struct, frozen=True):
+class ReleaseAccepted(msgspec.Struct, frozen=True):
     """The configuration is accepted under its number, by this request or an earlier one."""
 
     release: Version
@@ -81,7 +81,7 @@
     configuration: WholeConfiguration
 
 
-ReleaseOutcome = ReleaseTaken | ReleaseConflict | ReleaseInvalid | ReleaseUndecided
+ReleaseOutcome = ReleaseAccepted | ReleaseConflict | ReleaseInvalid | ReleaseUndecided
 
 
 class ReleaseSubmitted(Event, frozen=True):
@@ -91,7 +91,7 @@
     configuration: WholeConfiguration
 
 
-class ReleaseWanted(Event, frozen=True):
+class ReleaseQueried(Event, frozen=True):
     """An operator asks for the newest configuration."""
 
     request: int
@@ -143,7 +143,7 @@
         if not self._answer_known(event.request, pending):
             self._start_read(event.request)
 
-    def read_newest(self, event: ReleaseWanted) -> None:
+    def read_newest(self, event: ReleaseQueried) -> None:
         """Start to read the newest configuration; the answer follows as a command."""
         self._pending[event.request] = _PendingRequest(self._replica.now, None)
         self._start_read(event.request)
@@ -272,7 +272,7 @@
     assert pending.configuration is not None
     match outcome:
         case EditAccepted():
-            return ReleaseTaken(pending.configuration.version)
+            return ReleaseAccepted(pending.configuration.version)
         case EditConflict(actual_revision=current):
             return ReleaseConflict(current)
         case EditInvalid(problems=problems):
@@ -306,7 +306,7 @@
 
 def _outcome_and_detail(outcome: ReleaseOutcome | ReleaseRead) -> tuple[str, str]:
     match outcome:
-        case ReleaseTaken():
+        case ReleaseAccepted():
             return "taken", ""
         case ReleaseConflict(current=current):
             return "conflict", f"release {current} is in place"
--- a/src/peppershore/process/control/rollout_orders.py
+++ b/src/peppershore/process/control/rollout_orders.py
@@ -71,18 +71,18 @@
     service: str
 
 
-class RolloutWanted(Event, frozen=True):
+class RolloutQueried(Event, frozen=True):
     """An operator asks for the latest roll-out of a service."""
 
     request: int
     service: str
 
 
-class RolloutTaken(msgspec.Struct, frozen=True):
+class RolloutAccepted(msgspec.Struct, frozen=True):
     """The order is accepted, by this request or an earlier one."""
 
 
-class RolloutUnderWay(msgspec.Struct, frozen=True):
+class RolloutInProgress(msgspec.Struct, frozen=True):
     """Another roll-out of that service is in progress; nothing changed."""
 
     target_version: str
@@ -111,8 +111,8 @@
 
 
 RolloutOutcome = (
-    RolloutTaken
-    | RolloutUnderWay
+    RolloutAccepted
+    | RolloutInProgress
     | RolloutRefused
     | RolloutUnknown
     | RolloutUndecided
@@ -127,7 +127,7 @@
     outcome: RolloutOutcome
 
 
-RolloutRequest = RolloutOrdered | RolloutAborted | RolloutWanted
+RolloutRequest = RolloutOrdered | RolloutAborted | RolloutQueried
 
 
 class _PendingRequest:
@@ -182,7 +182,7 @@
             if pending.edit is None or pending.edit.change_id not in by_id:
                 continue
             if isinstance(by_id[pending.edit.change_id], EditAccepted):
-                self._answer(request, RolloutTaken())
+                self._answer(request, RolloutAccepted())
             else:
                 pending.edit = None
                 self._start_read(request)
@@ -211,7 +211,7 @@
                 self._decide(request, pending, pending.event.order)
             case RolloutAborted():
                 self._abort(request, pending, pending.event.service)
-            case RolloutWanted():
+            case RolloutQueried():
                 known = rollout_of(self._replica.state.tree, pending.event.service)
                 outcome = RolloutUnknown() if known is None else RolloutRead(known)
                 self._answer(request, outcome)
@@ -255,7 +255,7 @@
         elif known.state == RUNNING:
             self._propose(pending, end_edit(known, ROLLED_BACK, ABORT_REASON))
         elif known.state == ROLLED_BACK:
-            self._answer(request, RolloutTaken())
+            self._answer(request, RolloutAccepted())
         else:
             problem = Problem("state", f"it is {known.state}", "a roll-out under way")
             self._answer(request, RolloutRefused(problem))
@@ -269,7 +269,7 @@
     def _answer(self, request: int, outcome: RolloutOutcome) -> None:
         pending = self._pending.pop(request)
         self._replica.command(RolloutAnswered(request, outcome))
-        if not isinstance(pending.event, RolloutWanted):
+        if not isinstance(pending.event, RolloutQueried):
             self._replica.report(_notice(self._replica.name, pending.event, outcome))
 
 
@@ -291,9 +291,9 @@
     """
     is_same = known.version == order.target_version
     if is_same and known.milliseconds == order.milliseconds:
-        return RolloutTaken()
+        return RolloutAccepted()
     if known.state == RUNNING:
-        return RolloutUnderWay(known.version)
+        return RolloutInProgress(known.version)
     if is_same and known.state != ROLLED_BACK:
         return RolloutRefused(
             Problem("target_version", "runs already", "another version than the present")
@@ -314,9 +314,9 @@
 
 def _outcome_and_detail(outcome: RolloutOutcome) -> tuple[str, str]:
     match outcome:
-        case RolloutTaken():
+        case RolloutAccepted():
             return "taken", ""
-        case RolloutUnderWay(target_version=version):
+        case RolloutInProgress(target_version=version):
             return "under-way", f"the roll-out of {version} is in progress"
         case RolloutRefused(problem=problem):
             return "refused", f"{problem.subject} {problem.reason}"
--- a/src/peppershore/process/hub/configuration_api.py
+++ b/src/peppershore/process/hub/configuration_api.py
@@ -15,15 +15,15 @@
 from returns.result import Failure
 
 from peppershore.process.control.releases import (
+    ReleaseAccepted,
     ReleaseAnswered,
     ReleaseConflict,
     ReleaseInvalid,
     ReleaseOutcome,
+    ReleaseQueried,
     ReleaseRead,
     ReleaseSubmitted,
-    ReleaseTaken,
     ReleaseUndecided,
-    ReleaseWanted,
 )
 from peppershore.process.events import Event
 from peppershore.process.http_service import JSON, ServiceAnswer, ServiceRequest
@@ -79,7 +79,7 @@
             return _refusal(NOT_FOUND, RefusedBody("not found"))
         if request.method == "GET":
             number = next(self._numbers)
-            return _answer_of(await self._ask(number, ReleaseWanted(number)))
+            return _answer_of(await self._ask(number, ReleaseQueried(number)))
         if request.method not in ("PUT", "POST"):
             return _refusal(METHOD_NOT_ALLOWED, RefusedBody("GET or PUT"))
         decoded = decode_configuration(request.body)
@@ -100,7 +100,7 @@
 
 def _answer_of(outcome: ReleaseOutcome | ReleaseRead) -> ServiceAnswer:
     match outcome:
-        case ReleaseTaken(release=release):
+        case ReleaseAccepted(release=release):
             return ServiceAnswer(OK, msgspec.json.encode(TakenBody(release)), JSON)
         case ReleaseRead(configuration=configuration):
             return ServiceAnswer(OK, encode_configuration(configuration), JSON)
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -18,17 +18,17 @@
 from peppershore.process.control.core import ControlCore
 from peppershore.process.control.rollout_orders import (
     RolloutAborted,
+    RolloutAccepted,
     RolloutAnswered,
+    RolloutInProgress,
     RolloutOrder,
     RolloutOrdered,
     RolloutOutcome,
+    RolloutQueried,
     RolloutRead,
     RolloutRefused,
-    RolloutTaken,
     RolloutUndecided,
-    RolloutUnderWay,
     RolloutUnknown,
-    RolloutWanted,
 )
 from peppershore.process.control.version_comparison import RouteComparison, VersionCounts
 from peppershore.process.events import Event
@@ -129,7 +129,7 @@
             case [root, service] if root == ROOT:
                 if request.method != "GET":
                     return _error(METHOD_NOT_ALLOWED, "GET")
-                return await self._ask(number, RolloutWanted(number, service))
+                return await self._ask(number, RolloutQueried(number, service))
             case [root, service, what] if root == ROOT and what == ABORT:
                 if request.method != "POST":
                     return _error(METHOD_NOT_ALLOWED, "POST")
@@ -186,12 +186,12 @@
 
 def _answer_of(outcome: RolloutOutcome) -> ServiceAnswer:
     match outcome:
-        case RolloutTaken():
+        case RolloutAccepted():
             return ServiceAnswer(OK, b"{}", JSON)
         case RolloutRead(rollout=rollout):
             body = StateBody(rollout.state, rollout.version)
             return ServiceAnswer(OK, msgspec.json.encode(body), JSON)
-        case RolloutUnderWay(target_version=version):
+        case RolloutInProgress(target_version=version):
             return _error(CONFLICT, f"that of {version} is under way")
         case RolloutRefused(problem=problem):
             error = RolloutError(f"{problem.subject} {problem.reason}", problem.allowed)
--- a/tests/consensus/self_kept_cluster.py
+++ b/tests/consensus/self_kept_cluster.py
@@ -11,9 +11,9 @@
 from peppershore.process.control.releases import (
     ReleaseAnswered,
     ReleaseOutcome,
+    ReleaseQueried,
     ReleaseRead,
     ReleaseSubmitted,
-    ReleaseWanted,
 )
 from peppershore.process.settings import ControlSettings, PeerReplica
 from peppershore.version.whole_configuration import (
@@ -99,7 +99,7 @@
     def ask(self, name: str) -> int:
         """Request the newest configuration from a replica; return the request number."""
         number = next(self._numbers)
-        self.event(name, ReleaseWanted(number))
+        self.event(name, ReleaseQueried(number))
         return number
 
     def outcome(self, number: int) -> ReleaseOutcome | ReleaseRead:
--- a/tests/consensus/test_self_kept_group.py
+++ b/tests/consensus/test_self_kept_group.py
@@ -11,10 +11,10 @@
 from tests.consensus.self_kept_cluster import SelfKeptCluster, configuration
 
 from peppershore.process.control.releases import (
+    ReleaseAccepted,
     ReleaseConflict,
     ReleaseInvalid,
     ReleaseRead,
-    ReleaseTaken,
     ReleaseUndecided,
 )
 
@@ -33,7 +33,7 @@
     cluster: SelfKeptCluster, version: int, base: int = 0, at: str = "a"
 ) -> None:
     number = cluster.submit(at, configuration(version, base, timeout=version))
-    assert cluster.outcome(number) == ReleaseTaken(version)
+    assert cluster.outcome(number) == ReleaseAccepted(version)
 
 
 def read_version(cluster: SelfKeptCluster, name: str) -> int:
@@ -156,11 +156,11 @@
     one = cluster.submit("a", configuration(2, 1, timeout=21))
     other = cluster.submit("b", configuration(2, 1, timeout=22))
     outcomes = [cluster.outcome(one), cluster.outcome(other)]
-    assert sorted(outcomes, key=str) == [ReleaseConflict(2), ReleaseTaken(2)]
-    winner = 21 if outcomes[0] == ReleaseTaken(2) else 22
+    assert sorted(outcomes, key=str) == [ReleaseAccepted(2), ReleaseConflict(2)]
+    winner = 21 if outcomes[0] == ReleaseAccepted(2) else 22
     for name in FOUR:
         again = cluster.submit(name, configuration(2, 1, timeout=winner))
-        assert cluster.outcome(again) == ReleaseTaken(2)
+        assert cluster.outcome(again) == ReleaseAccepted(2)
         loser = cluster.submit(name, configuration(2, 1, timeout=43 - winner))
         assert cluster.outcome(loser) == ReleaseConflict(2)
 
@@ -178,9 +178,9 @@
     cluster.run(2.0)
     for name in FOUR:
         again = cluster.submit(name, configuration(39, 38, timeout=39))
-        assert cluster.outcome(again) == ReleaseTaken(39)
+        assert cluster.outcome(again) == ReleaseAccepted(39)
         oldest = cluster.submit(name, configuration(1, 0, timeout=1))
-        assert cluster.outcome(oldest) == ReleaseTaken(1)
+        assert cluster.outcome(oldest) == ReleaseAccepted(1)
 
 
 def test_configurations_that_overtake_each_other_are_all_taken() -> None:
@@ -189,8 +189,8 @@
     second = cluster.submit("b", configuration(3, 2, timeout=3))
     cluster.run(0.05)
     first = cluster.submit("c", configuration(2, 1, timeout=2))
-    assert cluster.outcome(first) == ReleaseTaken(2)
-    assert cluster.outcome(second) == ReleaseTaken(3)
+    assert cluster.outcome(first) == ReleaseAccepted(2)
+    assert cluster.outcome(second) == ReleaseAccepted(3)
 
 
 @pytest.mark.parametrize(("version", "base"), [(1, 0), (5, 3), (9, 7)])
@@ -237,7 +237,7 @@
     while version < 20:
         wanted = configuration(version + 1, version, timeout=100 + version)
         outcome = cluster.outcome(cluster.submit(FOUR[version % 4], wanted))
-        if isinstance(outcome, ReleaseTaken):
+        if isinstance(outcome, ReleaseAccepted):
             version += 1
         else:
             assert isinstance(outcome, ReleaseUndecided)
--- a/tests/logging/test_hidden_keys.py
+++ b/tests/logging/test_hidden_keys.py
@@ -24,10 +24,10 @@
     without_material,
 )
 from peppershore.process.control.releases import (
+    ReleaseAccepted,
     ReleaseInvalid,
     ReleaseRead,
     ReleaseSubmitted,
-    ReleaseTaken,
 )
 from peppershore.process.logging import JsonLineFormatter, LogIdentity
 from peppershore.process.status_page import render_status
@@ -180,7 +180,7 @@
 def test_a_group_takes_keys_gives_them_back_and_logs_none() -> None:
     cluster = SelfKeptCluster(("a", "b", "c"))
     cluster.run_until(lambda: cluster.leader() is not None)
-    assert isinstance(cluster.outcome(cluster.submit("b", keyed(KEY))), ReleaseTaken)
+    assert isinstance(cluster.outcome(cluster.submit("b", keyed(KEY))), ReleaseAccepted)
     shared = keyed(KEY, version=2, base=1, other=TenantDefinition((KEY,)))
     refused = cluster.outcome(cluster.submit("c", shared))
     assert isinstance(refused, ReleaseInvalid)
--- a/tests/rollouts/rollout_cluster.py
+++ b/tests/rollouts/rollout_cluster.py
@@ -11,16 +11,16 @@
     RouteEvidence,
 )
 from peppershore.process import commands
-from peppershore.process.control.releases import ReleaseTaken
+from peppershore.process.control.releases import ReleaseAccepted
 from peppershore.process.control.rollout_orders import (
     RolloutAborted,
     RolloutAnswered,
     RolloutOrder,
     RolloutOrdered,
     RolloutOutcome,
+    RolloutQueried,
     RolloutRead,
     RolloutUndecided,
-    RolloutWanted,
 )
 from peppershore.version.rollout import Rollout, rollout_of
 
@@ -39,7 +39,7 @@
         super().__init__(names, seed)
         self.run_until(lambda: set(self.members()) == set(names))
         number = self.submit("a", configuration(1))
-        assert self.outcome(number) == ReleaseTaken(1)
+        assert self.outcome(number) == ReleaseAccepted(1)
 
     def _carry_out(self, name: str, replica: Replica, command: commands.Command) -> None:
         if isinstance(command, RolloutAnswered):
@@ -60,7 +60,7 @@
 
     def read_rollout(self, at: str = "a") -> Rollout:
         """Read the latest roll-out, confirmed by a quorum."""
-        found = self._until_decided(at, lambda number: RolloutWanted(number, SERVICE))
+        found = self._until_decided(at, lambda number: RolloutQueried(number, SERVICE))
         assert isinstance(found, RolloutRead), found
         return found.rollout
 
--- a/tests/rollouts/test_rollout_orders.py
+++ b/tests/rollouts/test_rollout_orders.py
@@ -8,12 +8,12 @@
 
 from peppershore.connection.messages.base import Message
 from peppershore.connection.messages.operators import EditAnswered, SubmitEdit
-from peppershore.process.control.releases import ReleaseTaken
+from peppershore.process.control.releases import ReleaseAccepted
 from peppershore.process.control.rollout_orders import (
+    RolloutAccepted,
+    RolloutInProgress,
     RolloutOrder,
     RolloutRefused,
-    RolloutTaken,
-    RolloutUnderWay,
     find_problem,
 )
 from peppershore.version.model import Edit, EditInvalid, Overrides, SetOverrides
@@ -28,16 +28,16 @@
 
 def test_an_order_is_accepted_once_and_acknowledged_again_by_any_replica() -> None:
     cluster = RolloutCluster()
-    assert cluster.order(at="a") == RolloutTaken()
+    assert cluster.order(at="a") == RolloutAccepted()
     began = cluster.read_rollout("b").began_milliseconds
-    assert cluster.order(at="b") == RolloutTaken()
+    assert cluster.order(at="b") == RolloutAccepted()
     assert cluster.read_rollout("c").began_milliseconds == began
 
 
 def test_another_order_is_refused_while_a_roll_out_of_the_service_runs() -> None:
     cluster = RolloutCluster()
     cluster.order("v2")
-    assert cluster.order("v3", at="c") == RolloutUnderWay("v2")
+    assert cluster.order("v3", at="c") == RolloutInProgress("v2")
     assert cluster.read_rollout().version == "v2"
 
 
@@ -68,7 +68,7 @@
 
 def test_what_was_taken_outlives_all_processes_and_a_lost_disk() -> None:
     cluster = RolloutCluster()
-    assert cluster.order() == RolloutTaken()
+    assert cluster.order() == RolloutAccepted()
     cluster.crash("c")
     cluster.blank_disk("c")
     for name in ("a", "b"):
@@ -138,7 +138,7 @@
     cluster.order()
     began = cluster.read_rollout().began_milliseconds
     number = cluster.submit("b", configuration(2, 1, timeout=500))
-    assert cluster.outcome(number) == ReleaseTaken(2)
+    assert cluster.outcome(number) == ReleaseAccepted(2)
     rollout = cluster.read_rollout()
     assert (rollout.state, rollout.began_milliseconds) == (RUNNING, began)
 
@@ -166,7 +166,7 @@
     cluster.order("v2")
     cluster.abort()
     first = cluster.read_rollout()
-    assert cluster.order("v3") == RolloutTaken()
+    assert cluster.order("v3") == RolloutAccepted()
     second = cluster.read_rollout()
     assert (second.version, second.state) == ("v3", RUNNING)
     assert second.began_milliseconds > first.began_milliseconds
