--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -53,7 +53,7 @@
 from peppershore.process.control.notices import edit_refused
 from peppershore.process.control.progress import ProgressTable
 from peppershore.process.control.progress_sharing import ProgressSharing
-from peppershore.process.control.quota_desk import QuotaService
+from peppershore.process.control.quota_service import QuotaService
 from peppershore.process.control.redaction import edits_without_material, without_material
 from peppershore.process.control.releases import (
     ReleaseQueried,
--- a/src/peppershore/process/quotas/decider.py
+++ b/src/peppershore/process/quotas/decider.py
@@ -1,6 +1,6 @@
 """Grants calls of tenants that have a limit: the leader's part, without I/O.
 
-Whoever owns a ``Decider`` asks it only while no other may: see ``control.quota_desk``.
+Whoever owns a ``Decider`` asks it only while no other may: see ``control.quota_service``.
 """
 
 from __future__ import annotations
