--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -54,7 +54,7 @@
 from peppershore.process.control.progress import ProgressTable
 from peppershore.process.control.progress_sharing import ProgressSharing
 from peppershore.process.control.quota_service import QuotaService
-from peppershore.process.control.redaction import edits_without_material, without_material
+from peppershore.process.control.redaction import redact_edits, redact_tree
 from peppershore.process.control.releases import (
     ReleaseQueried,
     Releases,
@@ -361,7 +361,7 @@
             detail = f"kept are {oldest} to {self.state.tree.version}"
             self.send(link, Refused("version-not-kept", detail))
             return
-        self.send(link, TreeAnswered(without_material(tree)))
+        self.send(link, TreeAnswered(redact_tree(tree)))
 
     def _history(self, query: HistoryQuery) -> HistoryAnswered:
         """Return the newest ``limit`` retained edits after the version asked for."""
@@ -369,7 +369,7 @@
         newest = edits[-query.limit :] if query.limit > 0 else ()
         retained = self.state.history.retained_edits()
         first = retained[0].version if retained else 0
-        return HistoryAnswered(edits_without_material(newest), first)
+        return HistoryAnswered(redact_edits(newest), first)
 
     def _change_membership(self, link: LinkId, change: MembershipChange) -> None:
         if self.leads and not self.stopping:
--- a/src/peppershore/process/control/redaction.py
+++ b/src/peppershore/process/control/redaction.py
@@ -21,14 +21,14 @@
 HIDDEN_MATERIAL = b"<hidden>"
 
 
-def without_material(tree: Tree) -> Tree:
+def redact_tree(tree: Tree) -> Tree:
     """Return the tree with every secret's material and every tenant's keys replaced."""
     secrets = {name: _redact_secret(secret) for name, secret in tree.secrets.items()}
     tenants = {name: _redact_tenant(tenant) for name, tenant in tree.tenants.items()}
     return msgspec.structs.replace(tree, secrets=secrets, tenants=tenants)
 
 
-def edits_without_material(edits: tuple[CommittedEdit, ...]) -> tuple[CommittedEdit, ...]:
+def redact_edits(edits: tuple[CommittedEdit, ...]) -> tuple[CommittedEdit, ...]:
     """Return the edits with the material of secrets and the keys of tenants replaced."""
     return tuple(CommittedEdit(each.version, _redact_edit(each.edit)) for each in edits)
 
--- a/tests/logging/test_hidden_keys.py
+++ b/tests/logging/test_hidden_keys.py
@@ -20,8 +20,8 @@
 from peppershore.process.commands import Notice
 from peppershore.process.configuration_page import configuration_page
 from peppershore.process.control.redaction import (
-    edits_without_material,
-    without_material,
+    redact_edits,
+    redact_tree,
 )
 from peppershore.process.control.releases import (
     ReleaseAccepted,
@@ -86,8 +86,8 @@
 
 def texts() -> Iterator[tuple[str, str]]:
     before, after, edit = two_trees()
-    shown = without_material(after)
-    seen_edit = edits_without_material((CommittedEdit(2, edit),))[0].edit
+    shown = redact_tree(after)
+    seen_edit = redact_edits((CommittedEdit(2, edit),))[0].edit
     catalog = ScopeCatalog()
     catalog.load(after)
     active = open_snapshot(catalog.snapshot(Scope("kassa", "pasila")))
@@ -99,7 +99,7 @@
     yield "history line of an open edit", "".join(map(describe, edit.operations))
     change = ChangeTenantKeys("studio", (OTHER_KEY,), (key_fingerprint(KEY),))
     of_keys = Edit("id", (change,))
-    seen_change = edits_without_material((CommittedEdit(2, of_keys),))[0].edit
+    seen_change = redact_edits((CommittedEdit(2, of_keys),))[0].edit
     yield "changed keys", repr(of_keys)
     yield "history answer of changed keys", msgspec.json.encode(seen_change).decode()
     yield (
@@ -150,7 +150,7 @@
 
 def test_a_changed_key_is_seen_by_its_fingerprint() -> None:
     before, after, edit = two_trees()
-    hidden = compare_trees(without_material(before), without_material(after))
+    hidden = compare_trees(redact_tree(before), redact_tree(after))
     assert hidden == compare_trees(before, after)
     assert [each.subject for each in hidden] == ["tenant:studio"]
     assert key_fingerprint(OTHER_KEY) in hidden[0].after
@@ -162,7 +162,7 @@
     change = ChangeTenantKeys("studio", (OTHER_KEY,), (key_fingerprint(KEY),))
     told = f"tenant keys studio +{key_fingerprint(OTHER_KEY)} -{key_fingerprint(KEY)}"
     assert describe(change) == told
-    hidden = edits_without_material((CommittedEdit(2, Edit("id", (change,))),))[0]
+    hidden = redact_edits((CommittedEdit(2, Edit("id", (change,))),))[0]
     assert describe(*hidden.edit.operations) == told
 
 
--- a/tests/logging/test_hidden_material.py
+++ b/tests/logging/test_hidden_material.py
@@ -16,8 +16,8 @@
 from peppershore.connection.messages.relay import CommittedEdit
 from peppershore.process.commands import Notice
 from peppershore.process.control.redaction import (
-    edits_without_material,
-    without_material,
+    redact_edits,
+    redact_tree,
 )
 from peppershore.process.logging import JsonLineFormatter, LogIdentity
 from peppershore.version.model import (
@@ -86,9 +86,9 @@
 
 def test_operators_get_trees_and_edits_without_material() -> None:
     secret = Secret((SecretGeneration(1, MATERIAL),), 1)
-    tree = without_material(Tree("refund", 1, {}, {}, {"key": secret}))
+    tree = redact_tree(Tree("refund", 1, {}, {}, {"key": secret}))
     edit = Edit("id", (PutSecret("key", MATERIAL),))
-    shown = edits_without_material((CommittedEdit(1, edit),))[0].edit
+    shown = redact_edits((CommittedEdit(1, edit),))[0].edit
     assert tree.secrets["key"].generations[0].material != MATERIAL
     assert all(getattr(item, "material", b"") != MATERIAL for item in shown.operations)
     assert tree.secrets["key"].signing_generation == 1
