--- a/spec/upkeep.py
+++ b/spec/upkeep.py
@@ -14,9 +14,9 @@
 
 from peppershore.connection.messages.consensus import Membership, ReplicaMember
 from peppershore.process.consensus.membership import quorum_size, voters_of
-from peppershore.process.consensus.upkeep import (
+from peppershore.process.consensus.membership_maintenance import (
+    ConnectedReplica,
     GroupView,
-    PresentReplica,
     next_membership,
 )
 from spec.specification import Mutant, Specification
@@ -126,15 +126,15 @@
         view = GroupView(NAMES[leader], membership, present, VOTERS, LED_SECONDS)
         return next_membership(view)
 
-    def _present(self, state: State, index: int) -> PresentReplica:
+    def _present(self, state: State, index: int) -> ConnectedReplica:
         store = state.stores[index]
         known = state.members[index].identity
         hides = self._without == GUARD_IDENTITY and known != 0
-        return PresentReplica(
+        return ConnectedReplica(
             name=NAMES[index],
             address="",
             identity=known if hides else store.identity,
-            heard_seconds=0.0,
+            seconds_since_contact=0.0,
             caught_up=store.holds or self._without == GUARD_CAUGHT_UP,
         )
 
--- a/src/peppershore/process/consensus/joining.py
+++ b/src/peppershore/process/consensus/joining.py
@@ -14,9 +14,9 @@
 from peppershore.connection.messages.consensus import GroupDescribed, Membership
 from peppershore.process.consensus import notices
 from peppershore.process.consensus.membership import find_member
-from peppershore.process.consensus.upkeep import (
+from peppershore.process.consensus.membership_maintenance import (
+    ConnectedReplica,
     GroupView,
-    PresentReplica,
     next_membership,
 )
 from peppershore.process.events import Event, LinkId
@@ -142,11 +142,11 @@
     def _group_view(self) -> GroupView:
         replica = self._replica
         present = {
-            known.name: PresentReplica(
+            known.name: ConnectedReplica(
                 name=known.name,
                 address=known.name,
                 identity=known.identity,
-                heard_seconds=replica.now - self._last_contact.get(known.name, 0.0),
+                seconds_since_contact=replica.now - self._last_contact.get(known.name, 0.0),
                 caught_up=self._is_caught_up(known.name),
             )
             for known in replica.peers.greeted_peers()
@@ -156,7 +156,7 @@
             membership=replica.consensus.membership,
             present=present,
             wanted_voters=replica.settings.wanted_voters,
-            led_seconds=replica.now - self._leads_since,
+            leadership_seconds=replica.now - self._leads_since,
         )
 
     def _is_caught_up(self, name: str) -> bool:
--- a/src/peppershore/process/consensus/upkeep.py
+++ b/src/peppershore/process/consensus/membership_maintenance.py
@@ -32,38 +32,38 @@
 MAXIMUM_MEMBERS = 32
 
 
-class PresentReplica(msgspec.Struct, frozen=True):
+class ConnectedReplica(msgspec.Struct, frozen=True):
     """A replica that sent its hello to this leader.
 
-    ``heard_seconds`` is the time since its last message. ``caught_up`` is whether its
-    store durably holds all, or nearly all, entries of the leader's log.
+    ``seconds_since_contact`` is the time since its last message. ``caught_up`` is whether
+    its store durably holds all, or nearly all, entries of the leader's log.
     """
 
     name: str
     address: str
     identity: int
-    heard_seconds: float
+    seconds_since_contact: float
     caught_up: bool
 
     @property
     def is_responsive(self) -> bool:
         """Whether its last message is less than ``SILENT_SECONDS`` old."""
-        return self.heard_seconds < SILENT_SECONDS
+        return self.seconds_since_contact < SILENT_SECONDS
 
 
 class GroupView(msgspec.Struct, frozen=True):
     """The leader's view of the group, on which the rules decide.
 
-    ``present`` holds the other connected replicas by name. ``led_seconds`` is the time
-    since this replica became leader; no replica counts as silent for longer than that.
-    ``wanted_voters`` is the target number of voters.
+    ``present`` holds the other connected replicas by name. ``leadership_seconds`` is the
+    time since this replica became leader; no replica counts as silent for longer than
+    that. ``wanted_voters`` is the target number of voters.
     """
 
     leader: str
     membership: Membership
-    present: dict[str, PresentReplica]
+    present: dict[str, ConnectedReplica]
     wanted_voters: int
-    led_seconds: float
+    leadership_seconds: float
 
 
 Rule = Callable[[GroupView], Membership | None]
@@ -201,5 +201,5 @@
 def _silent_seconds(view: GroupView, name: str) -> float:
     present = view.present.get(name)
     if present is None:
-        return view.led_seconds
-    return min(view.led_seconds, present.heard_seconds)
+        return view.leadership_seconds
+    return min(view.leadership_seconds, present.seconds_since_contact)
