--- a/src/peppershore/process/node/back_end_reports.py
+++ b/src/peppershore/process/node/back_end_reports.py
@@ -1,11 +1,11 @@
 """Heartbeats of the local back end, and the state its node derives from them.
 
-A ``Life`` identifies one incarnation of a back end: by the instance name that the back end
-gives itself and, if reported, by its start time. The start time is needed because a
-restarted back end may keep its name and number its reports from the beginning again. A
-later incarnation replaces an earlier one, and a late report of an earlier incarnation
-changes nothing. Once the node has acknowledged that an incarnation is leaving, this is
-final: after a bounded time the back end receives no new call.
+A ``BackEndIncarnation`` identifies one incarnation of a back end: by the instance name
+that the back end gives itself and, if reported, by its start time. The start time is
+needed because a restarted back end may keep its name and number its reports from the
+beginning again. A later incarnation replaces an earlier one, and a late report of an
+earlier incarnation changes nothing. Once the node has acknowledged that an incarnation is
+leaving, this is final: after a bounded time the back end receives no new call.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_ENDED_INCARNATIONS = 64
 
 
-class Life(msgspec.Struct, frozen=True):
+class BackEndIncarnation(msgspec.Struct, frozen=True):
     """One incarnation of a back end; ``born`` is its start in Unix milliseconds."""
 
     instance: str
@@ -36,7 +36,7 @@
         return f"{self.instance}@{self.born}" if self.born else self.instance
 
 
-NO_LIFE = Life("")
+NO_INCARNATION = BackEndIncarnation("")
 
 
 class BackEndReport(msgspec.Struct, frozen=True):
@@ -58,9 +58,9 @@
     version: str = ""
 
     @property
-    def life(self) -> Life:
+    def life(self) -> BackEndIncarnation:
         """Incarnation that sent the report."""
-        return Life(self.instance, self.born)
+        return BackEndIncarnation(self.instance, self.born)
 
 
 class BackEndView(msgspec.Struct, frozen=True):
@@ -74,9 +74,9 @@
     version: str = ""
 
     @property
-    def life(self) -> Life:
+    def life(self) -> BackEndIncarnation:
         """Current incarnation; its name is empty before the first report."""
-        return Life(self.instance, self.born)
+        return BackEndIncarnation(self.instance, self.born)
 
 
 NO_BACK_END = BackEndView()
@@ -92,8 +92,8 @@
         self._silent_seconds = silent_seconds
         self._last_report_at = 0.0
         self._newest_born = START_UNKNOWN
-        self._sequences: dict[Life, int] = {}
-        self._ended: dict[Life, None] = {}
+        self._sequences: dict[BackEndIncarnation, int] = {}
+        self._ended: dict[BackEndIncarnation, None] = {}
 
     def apply(self, report: BackEndReport, now: float) -> bool:
         """Apply a heartbeat.
@@ -129,7 +129,7 @@
         without a start time refers to the current incarnation if that has this name.
         Return whether the view changed.
         """
-        life = Life(instance, born)
+        life = BackEndIncarnation(instance, born)
         if not born and instance == self.view.instance:
             life = self.view.life
         self._mark_ended(life)
@@ -189,7 +189,7 @@
             before.slots,
         )
 
-    def _mark_ended(self, life: Life) -> None:
+    def _mark_ended(self, life: BackEndIncarnation) -> None:
         self._ended[life] = None
         self._sequences.pop(life, None)
         while len(self._ended) > MAX_ENDED_INCARNATIONS:
--- a/src/peppershore/process/node/configuration.py
+++ b/src/peppershore/process/node/configuration.py
@@ -55,7 +55,7 @@
         self.floor = snapshot.version
         self.effective_version = max(self.effective_version, snapshot.version)
 
-    def still_current(self, version: Version) -> None:
+    def confirm_current(self, version: Version) -> None:
         """Note that the snapshot in use is still current as of ``version``."""
         if not self.holds_nothing:
             self.effective_version = max(self.effective_version, version)
--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -382,7 +382,7 @@
         The relay sends no digest while it holds an update back or has one in flight.
         """
         if self._pending is None and message.digest == self.holder.digest:
-            self.holder.still_current(message.version)
+            self.holder.confirm_current(message.version)
             self._confirm(message.confirmed_at_milliseconds)
 
     def _confirm(self, at_milliseconds: int | None) -> None:
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/own_backend.py
@@ -18,12 +18,12 @@
 from peppershore.connection.messages.calls import MICROSECONDS, HeaderFields, OwnerLoad
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.node.back_end_reports import (
-    NO_LIFE,
+    NO_INCARNATION,
     STATE_GONE,
     STATE_LEAVING,
     STATE_READY,
+    BackEndIncarnation,
     BackEndView,
-    Life,
 )
 from peppershore.process.node.data.attempt import AttemptRequest
 from peppershore.process.node.data.call_story import ServedRecord
@@ -93,7 +93,7 @@
         self._endpoint = endpoint
         self.service = endpoint.service
         self._names = names
-        self._life = NO_LIFE
+        self._life = NO_INCARNATION
         self._refuse_timer: asyncio.TimerHandle | None = None
         self._offered_slots = endpoint.slots
         self._lent = 0
@@ -109,7 +109,7 @@
         self._recheck_timer: asyncio.TimerHandle | None = None
 
     @property
-    def life(self) -> Life:
+    def life(self) -> BackEndIncarnation:
         """The current incarnation, to which new calls are sent."""
         return self._life
 
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -22,7 +22,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.connection.messages.rollouts import RouteEvidence
 from peppershore.process.commands import Notice
-from peppershore.process.node.back_end_reports import NO_LIFE, BackEndView
+from peppershore.process.node.back_end_reports import NO_INCARNATION, BackEndView
 from peppershore.process.node.data import notices
 from peppershore.process.node.data.backend_probe import STATE_READY, BackendProbe
 from peppershore.process.node.data.call import Call
@@ -173,7 +173,7 @@
         bound = leaving_bound_seconds(self._settings)
         if self._own is None:
             return
-        had_other_life = self._own.life not in (NO_LIFE, view.life)
+        had_other_life = self._own.life not in (NO_INCARNATION, view.life)
         self._own.use_view(view, bound)
         if had_other_life:
             self._call_listener.lend_no_more()
@@ -336,7 +336,7 @@
         self._close_idle(self._idle_seconds)
 
     def _send_evidence(self, evidence: VersionEvidence) -> None:
-        routes = evidence.take_news()
+        routes = evidence.take_changes()
         if routes is not None and evidence.began_milliseconds:
             self.on_evidence(evidence.began_milliseconds, routes)
 
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -87,7 +87,7 @@
             counts.times[bucket] = counts.times.get(bucket, 0) + 1
         self._has_changed = True
 
-    def take_news(self) -> tuple[RouteEvidence, ...] | None:
+    def take_changes(self) -> tuple[RouteEvidence, ...] | None:
         """Return all counts if they changed since this was last called, else None."""
         if not self._has_changed:
             return None
--- a/tests/rollouts/test_rollout_verdicts.py
+++ b/tests/rollouts/test_rollout_verdicts.py
@@ -140,28 +140,28 @@
 def test_without_a_roll_out_nothing_is_counted() -> None:
     evidence = VersionEvidence()
     evidence.note("pay", 0.1, "good", True)
-    assert evidence.take_news() is None
+    assert evidence.take_changes() is None
 
 
 def test_counts_are_reported_only_when_they_have_grown() -> None:
     evidence = VersionEvidence()
     evidence.use_settings(_running())
-    evidence.take_news()
+    evidence.take_changes()
     evidence.note("pay", 0.1, "good", True)
     evidence.note("pay", 0.1, "failed", True)
     evidence.note("pay", 0.1, "shed", True)
     evidence.note("pay", 0.1, None, True)
-    (reported,) = evidence.take_news() or ()
+    (reported,) = evidence.take_changes() or ()
     assert (reported.route, reported.calls, reported.failed) == ("pay", 2, 1)
     assert reported.times == (bucket_of(0.1), 2)
-    assert evidence.take_news() is None
+    assert evidence.take_changes() is None
 
 
 def test_times_of_a_back_end_that_warms_up_are_not_counted() -> None:
     evidence = VersionEvidence()
     evidence.use_settings(_running())
     evidence.note("pay", 9.0, "good", is_warm=False)
-    (reported,) = evidence.take_news() or ()
+    (reported,) = evidence.take_changes() or ()
     assert (reported.calls, reported.times) == (1, ())
 
 
@@ -170,7 +170,7 @@
     evidence.use_settings(_running(5))
     evidence.note("pay", 0.1, "good", True)
     evidence.use_settings(_running(6))
-    assert evidence.take_news() == ()
+    assert evidence.take_changes() == ()
     assert evidence.began_milliseconds == 6
 
 
--- a/tests/simulator/test_simulator_mutants.py
+++ b/tests/simulator/test_simulator_mutants.py
@@ -101,7 +101,7 @@
 
 def take_and_count_any_word(patch: pytest.MonkeyPatch) -> None:
     def still_current(self, message):  # type: ignore[no-untyped-def]
-        self.holder.still_current(message.version)
+        self.holder.confirm_current(message.version)
 
     count_any_word_as_current(patch)
     patch.setattr(NodeCore, "_still_current", still_current)
