--- a/src/peppershore/process/quotas/decider.py
+++ b/src/peppershore/process/quotas/decider.py
@@ -1,7 +1,7 @@
 """The leader's decisions on quota requests, without I/O.
 
 The owner of a ``Decider`` must use it only while no other replica may grant calls; see
-``control.quota_desk``.
+``control.quota_service``.
 """
 
 from __future__ import annotations
--- a/tests/request/test_bodies_ahead.py
+++ b/tests/request/test_bodies_ahead.py
@@ -5,7 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peppershore.request.body_prefetch import PREFETCH_BEYOND_SLOTS, BodyPrefetch
+from peppershore.request.body_prefetch import PREFETCH_BEYOND_SLOTS as AHEAD
+from peppershore.request.body_prefetch import BodyPrefetch
+from peppershore.request.body_prefetch import BodyPrefetch as BodiesAhead
 from peppershore.request.body_transfers import LONG_TRANSFER_SECONDS, takes_long
 
 
@@ -24,9 +26,9 @@
 
 @given(st.integers(0, 9), st.integers(0, 9), st.integers(1, 9))
 def test_never_more_than_one_beyond_the_slots(held: int, waiting: int, slots: int) -> None:
-    bodies = BodyPrefetch()
+    bodies = BodiesAhead()
     while bodies.begin(held, waiting, slots):
-        assert held + waiting + bodies.coming <= slots + PREFETCH_BEYOND_SLOTS
+        assert held + waiting + bodies.coming <= slots + AHEAD
 
 
 def test_no_body_takes_long_on_a_wide_link() -> None:
