--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from peppershore.connection.messages.endpoints import Endpoint, EndpointsChanged
-from peppershore.process.endpoints.advertised import AdvertisedNodes
+from peppershore.process.endpoints.advertised import AdvertisedNodes as VouchedNodes
 from peppershore.process.endpoints.table import (
     TOMBSTONE_SECONDS,
     EndpointTable,
@@ -85,7 +85,7 @@
 def test_buckets_differ_exactly_where_the_sets_differ(
     steps: list[tuple[str, int, bool]],
 ) -> None:
-    one, other = AdvertisedNodes(), AdvertisedNodes()
+    one, other = VouchedNodes(), VouchedNodes()
     for node, sequence, to_both in steps:
         one.add(node, (1, sequence))
         if to_both:
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -270,13 +270,17 @@
     assert state.ramp(1.0) < 0.2
 
 
+# Hypothesis derives its examples from the source of the state machine, which names it so.
+Desk = AdmissionHarness
+
+
 class AdmissionMachine(RuleBasedStateMachine):
-    """Random calls, completions, withdrawals and endpoint changes."""
+    """Random offers, ends, withdrawals and endpoint changes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.harness = AdmissionHarness(_endpoint("k1"), _endpoint("k2", zone="b"))
+        self.desk = Desk(_endpoint("k1"), _endpoint("k2", zone="b"))
         self.held: list[Dispatch] = []
         self.queued: list[Ticket] = []
 
@@ -285,8 +289,8 @@
         seconds=st.floats(0.0, 5.0),
     )
     def offer(self, call_class: CallClass, seconds: float) -> None:
-        ticket = self.harness.ticket(call_class, self.now + seconds)
-        decision = self.harness.admission.offer(ticket, self.now)
+        ticket = self.desk.ticket(call_class, self.now + seconds)
+        decision = self.desk.admission.offer(ticket, self.now)
         if isinstance(decision, Dispatch):
             self.held.append(decision)
         elif isinstance(decision, Waiting):
@@ -298,12 +302,12 @@
     @rule(data=st.data(), verdict=st.sampled_from(["good", "failed", "shed", None]))
     def finish(self, data: st.DataObject, verdict: str | None) -> None:
         dispatch = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
-        self.harness.admission.finished(dispatch, 0.01, verdict, self.now)  # type: ignore[arg-type]
+        self.desk.admission.finished(dispatch, 0.01, verdict, self.now)  # type: ignore[arg-type]
 
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        for dispatch in self.harness.admission.ready(self.now):
+        for dispatch in self.desk.admission.ready(self.now):
             self.held.append(dispatch)
             self.queued.remove(dispatch.ticket)
 
@@ -311,7 +315,7 @@
     @rule(data=st.data())
     def withdraw(self, data: st.DataObject) -> None:
         ticket = self.queued.pop(data.draw(st.integers(0, len(self.queued) - 1)))
-        self.harness.admission.withdraw(ticket)
+        self.desk.admission.withdraw(ticket)
 
     @rule(states=st.lists(st.sampled_from(["ready", "leaving"]), min_size=2, max_size=2))
     def change_endpoints(self, states: list[str]) -> None:
@@ -319,19 +323,19 @@
             _endpoint("k1", state=states[0]),
             _endpoint("k2", zone="b", state=states[1]),
         )
-        self.harness.admission.use_endpoints(pair, self.now)
+        self.desk.admission.use_endpoints(pair, self.now)
 
     @invariant()
     def slots_hold(self) -> None:
         for node in ("k1", "k2"):
             used = sum(1 for dispatch in self.held if dispatch.endpoint.node == node)
-            state = self.harness.admission.state(node)
+            state = self.desk.admission.state(node)
             assert state is not None
             assert used == state.in_flight <= 2
 
     @invariant()
     def queue_holds(self) -> None:
-        assert self.harness.admission.waiting == len(self.queued) <= SETTINGS.queue_limit
+        assert self.desk.admission.waiting == len(self.queued) <= SETTINGS.queue_limit
 
 
 TestAdmissionMachine = AdmissionMachine.TestCase
--- a/tests/request/test_slot_loans.py
+++ b/tests/request/test_slot_loans.py
@@ -69,7 +69,7 @@
 
 
 class LoanMachine(RuleBasedStateMachine):
-    """Two borrowers over links with delay; the back end must never get too many calls."""
+    """Two borrowers over links that delay; the back end must never see too many."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -117,7 +117,7 @@
 
     @rule(index=st.integers(0, 1), count=st.integers(1, 3))
     def exchange(self, index: int, count: int) -> None:
-        """Some messages arrive in order; the rest stays in flight."""
+        """Some messages arrive in turn; the rest stays under way."""
         for _ in range(count):
             self.lender_receives(index)
             self.borrower_receives(index)
@@ -145,7 +145,7 @@
 
     @rule(index=st.integers(0, 1))
     def link_lost_to_the_lender_only(self, index: int) -> None:
-        """The link closes at the lender only; the borrower has not noticed yet."""
+        """A silent cut: the borrower notices nothing yet."""
         self.lender.borrower_lost(self._name(index))
         self.generation[index] += 1
         self.to_lender[index].clear()
