--- a/src/peppershore/command/__init__.py
+++ b/src/peppershore/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command line of operators and processes."""
--- a/src/peppershore/command/address_options.py
+++ b/src/peppershore/command/address_options.py
@@ -1,4 +1,4 @@
-"""The options of commands that ask one process over HTTP."""
+"""Options shared by the commands that query one process over HTTP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def address_options(whose: str) -> Callable[[Command], Command]:
-    """Add ``--at``, ``--timeout`` and ``--json``; ``whose`` says which addresses do."""
+    """Return a decorator that adds ``--at``, ``--timeout`` and ``--json`` to a command.
+
+    ``whose`` is the help text that says which addresses ``--at`` accepts.
+    """
 
     def decorate(command: Command) -> Command:
         at = click.option(
--- a/src/peppershore/command/admin_client.py
+++ b/src/peppershore/command/admin_client.py
@@ -1,4 +1,4 @@
-"""Fetches one page from a process's admin listener."""
+"""HTTP client that fetches one page from a process's admin listener."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
     *,
     content: bytes = b"",
 ) -> Result[bytes, Failed]:
-    """Ask for one page; any answer but 200 is a failure, 404 that of ``missing``.
+    """Request one page and return the body of a response with status 200.
 
-    ``content`` is the request's body.
+    Any other status is a failure; status 404 fails with ``missing`` if that is given.
+    ``content`` is the body of the request.
     """
     host, _, port = address.rpartition(":")
     if not port.isascii() or not port.isdigit():
@@ -37,8 +38,8 @@
         async with asyncio.timeout(timeout_seconds):
             reader, writer = await asyncio.open_connection(host.strip("[]"), int(port))
             try:
-                question = _question(method, address, path, content)
-                status, body = await _ask(reader, writer, question)
+                events = _request_events(method, address, path, content)
+                status, body = await _exchange(reader, writer, events)
             finally:
                 writer.close()
     except (OSError, TimeoutError, ValueError, h11.RemoteProtocolError) as problem:
@@ -52,14 +53,14 @@
     return Success(body)
 
 
-async def _ask(
+async def _exchange(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    question: tuple[h11.Event, ...],
+    events: tuple[h11.Event, ...],
 ) -> tuple[int, bytes]:
-    """Give status and body; a body that is too large is read no further."""
+    """Return status and body; stop reading a body longer than ``MAX_BODY_BYTES``."""
     connection = h11.Connection(h11.CLIENT)
-    writer.write(b"".join(connection.send(event) or b"" for event in question))
+    writer.write(b"".join(connection.send(event) or b"" for event in events))
     status = 0
     body = bytearray()
     while True:
@@ -77,7 +78,7 @@
     return status, bytes(body)
 
 
-def _question(
+def _request_events(
     method: str, address: str, path: str, content: bytes
 ) -> tuple[h11.Event, ...]:
     headers = [("host", address), ("connection", "close")]
--- a/src/peppershore/command/client.py
+++ b/src/peppershore/command/client.py
@@ -1,7 +1,7 @@
-"""Asks the control group: finds the leader, retries elsewhere, keeps the message.
+"""Client of the control group that finds the leader and retries on other replicas.
 
-A question is sent as the same bytes to every replica tried, so that an edit
-keeps its change id and has one outcome however often it is sent.
+Every replica tried receives the same request bytes, so an edit keeps its change id
+and has one outcome however often it is sent.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class ControlGroup(msgspec.Struct, frozen=True):
-    """Where the control replicas are and how long a command keeps trying."""
+    """Addresses of the control replicas, and how long a command keeps trying them."""
 
     replicas: tuple[str, ...]
     timeout_seconds: float
@@ -38,16 +38,20 @@
 
 
 class LinkLost(msgspec.Struct, frozen=True):
-    """The link ended or gave no usable answer; ``sent``: the question may have arrived."""
+    """The link failed or closed, or brought no usable answer.
+
+    ``sent`` is true if the replica may have received the request.
+    """
 
     reason: str
     sent: bool
 
 
 class Redirected(msgspec.Struct, frozen=True):
-    """The replica does not lead; it names the leader if it knows one.
+    """The replica is not the leader; ``leader`` is the leader's address, "" if unknown.
 
-    ``undecided``: it led when the question came and may have carried it out.
+    ``undecided`` is true if the replica was the leader when it received the request and
+    may have carried it out.
     """
 
     leader: str
@@ -55,21 +59,21 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The replica will never answer this; another replica might."""
+    """The replica refuses the request permanently; another replica might answer it."""
 
     reason: str
     detail: str
 
 
-OtherAnswer = Redirected | Refusal | LinkLost | RetryAfter
-"""What may come instead of the answer asked for."""
+OtherOutcome = Redirected | Refusal | LinkLost | RetryAfter
+"""Outcomes of a request to one replica other than the expected answer."""
 
 
 class OperatorLink:
     """One link to one replica, with received messages in a queue."""
 
     def __init__(self, link: Link) -> None:
-        """Begin to collect what comes."""
+        """Start the link and queue every message that it receives."""
         self._link = link
         self._queue: asyncio.Queue[Message | LinkLost] = asyncio.Queue()
         link.start(
@@ -82,7 +86,7 @@
         self._link.send(payload)
 
     async def receive(self, timeout_seconds: float) -> Message | LinkLost:
-        """Give the next message, or why none came."""
+        """Return the next message, or why there is none within the time-out."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 return await self._queue.get()
@@ -90,15 +94,15 @@
             return LinkLost(f"no answer within {timeout_seconds:.1f} s", sent=True)
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
         self._link.close()
 
 
-class Search:
-    """Which replica to try next, until the time is over."""
+class ReplicaSearch:
+    """Choice of the next replica to try, until the group's time-out has passed."""
 
     def __init__(self, group: ControlGroup) -> None:
-        """Start with the first replica given."""
+        """Start the time-out now; the first replica of the group is tried first."""
         self._loop = asyncio.get_running_loop()
         self._deadline = self._loop.time() + group.timeout_seconds
         self._waiting = deque(group.replicas)
@@ -110,13 +114,14 @@
 
     @property
     def remaining_seconds(self) -> float:
-        """Time left for the whole question."""
+        """Seconds left for the request, over all replicas."""
         return self._deadline - self._loop.time()
 
     async def next_address(self) -> str | None:
-        """Give the next replica to try; pause after each round; None when over.
+        """Return the address of the next replica to try, or None to give up.
 
-        It is over when the time is, or when every replica given has refused.
+        Pauses after each round over all replicas. Gives up when the time-out has
+        passed or when every configured replica has refused the request.
         """
         if self._refusals.keys() >= set(self.group.replicas):
             return None
@@ -127,23 +132,27 @@
         return None if self.remaining_seconds <= 0 else self._waiting.popleft()
 
     def prefer(self, address: str) -> None:
-        """Try ``address`` next, but once in a round: replicas may disagree."""
+        """Try ``address`` next, at most once in a round.
+
+        Replicas that name each other as the leader would otherwise keep the search
+        between them.
+        """
         if address and address not in self._redirected:
             self._redirected.add(address)
             self._waiting.appendleft(address)
 
-    def note(self, address: str, lost: LinkLost) -> None:
-        """Remember why a replica did not answer."""
+    def record_failure(self, address: str, lost: LinkLost) -> None:
+        """Record why a replica did not answer."""
         self.reasons[address] = lost.reason
         self.maybe_sent = self.maybe_sent or lost.sent
 
-    def refuse(self, address: str, refusal: Refusal) -> None:
-        """Remember that a replica refused the question."""
+    def record_refusal(self, address: str, refusal: Refusal) -> None:
+        """Record that a replica refused the request."""
         self._refusals[address] = refusal
         self.reasons[address] = f"refused: {refusal.reason}"
 
     def failed(self) -> Failed:
-        """Say that no replica answered, or why all refused."""
+        """Return the failure to show: the last refusal, else that none answered."""
         if self._refusals:
             last = tuple(self._refusals.values())[-1]
             return refused(last.reason, last.detail)
@@ -152,7 +161,10 @@
 
 
 class NoAnswer(msgspec.Struct, frozen=True):
-    """No replica answered; ``maybe_sent``: one may have received the question."""
+    """No replica answered.
+
+    ``maybe_sent`` is true if a replica may have received the request.
+    """
 
     failed: Failed
     maybe_sent: bool
@@ -161,30 +173,32 @@
 async def ask(
     group: ControlGroup, question: Message, answer_type: type[Answer]
 ) -> Result[Answer, NoAnswer]:
-    """Ask until a replica gives an ``answer_type`` or the group's time is over."""
-    search = Search(group)
+    """Send a request until a replica returns an ``answer_type`` or the time-out passes."""
+    search = ReplicaSearch(group)
     payload = encode_message(question)
     while (address := await search.next_address()) is not None:
-        message = await _ask_one(address, payload, search)
+        message = await _query_replica(address, payload, search)
         if isinstance(message, answer_type):
             return Success(message)
-        await _learn(search, address, _other_answer(message))
+        await _record_outcome(search, address, _other_outcome(message))
     return Failure(NoAnswer(search.failed(), search.maybe_sent))
 
 
 async def stream(
     group: ControlGroup, question: Message, answer_type: type[Answer]
 ) -> AsyncGenerator[Result[Answer, NoAnswer], None]:
-    """Ask for a stream of answers; a lost or silent link is opened again elsewhere.
+    """Request a stream of answers and yield each of them.
 
-    Ends with a failure when the group's time is over; the caller stops before.
+    When a link is lost or silent, the request is sent again to another replica. The last
+    item is a failure, when the group's time-out has passed; a caller that has what it
+    needs closes the stream before.
     """
-    search = Search(group)
+    search = ReplicaSearch(group)
     payload = encode_message(question)
     while (address := await search.next_address()) is not None:
         link = await open_link(address, group.tls)
         if isinstance(link, str):
-            search.note(address, LinkLost(link, sent=False))
+            search.record_failure(address, LinkLost(link, sent=False))
             continue
         operator_link = OperatorLink(link)
         try:
@@ -196,11 +210,13 @@
                 yield Success(message)
         finally:
             operator_link.close()
-        await _learn(search, address, _other_answer(message))
+        await _record_outcome(search, address, _other_outcome(message))
     yield Failure(NoAnswer(search.failed(), search.maybe_sent))
 
 
-async def _ask_one(address: str, payload: bytes, search: Search) -> Message | LinkLost:
+async def _query_replica(
+    address: str, payload: bytes, search: ReplicaSearch
+) -> Message | LinkLost:
     link = await open_link(address, search.group.tls)
     if isinstance(link, str):
         return LinkLost(link, sent=False)
@@ -212,12 +228,12 @@
         operator_link.close()
 
 
-def _answer_seconds(search: Search) -> float:
-    """Give how long to wait for the next answer: a replica may hang in silence."""
+def _answer_seconds(search: ReplicaSearch) -> float:
+    """Return the time-out of the next answer in seconds, as a replica may hang silently."""
     return min(ANSWER_TIMEOUT_SECONDS, max(0.0, search.remaining_seconds))
 
 
-def _other_answer(message: Message | LinkLost) -> OtherAnswer:
+def _other_outcome(message: Message | LinkLost) -> OtherOutcome:
     if isinstance(message, LinkLost | RetryAfter):
         return message
     if isinstance(message, NotLeader):
@@ -227,19 +243,21 @@
     return LinkLost(f"unexpected {type(message).__name__}", sent=True)
 
 
-async def _learn(search: Search, address: str, outcome: OtherAnswer) -> None:
-    """Take from an outcome that is no answer where and when to try next."""
+async def _record_outcome(
+    search: ReplicaSearch, address: str, outcome: OtherOutcome
+) -> None:
+    """Record an outcome other than an answer; wait if the replica asked for a delay."""
     if isinstance(outcome, Redirected):
         known = f"leader: {outcome.leader}" if outcome.leader else "knows no leader"
         reason = f"does not lead, {known}"
-        search.note(address, LinkLost(reason, sent=outcome.undecided))
+        search.record_failure(address, LinkLost(reason, sent=outcome.undecided))
         if outcome.leader != address:
             search.prefer(outcome.leader)
     elif isinstance(outcome, RetryAfter):
-        search.note(address, LinkLost("busy", sent=False))
+        search.record_failure(address, LinkLost("busy", sent=False))
         wait = outcome.milliseconds / MILLISECONDS_PER_SECOND
         await asyncio.sleep(max(0.0, min(wait, search.remaining_seconds)))
     elif isinstance(outcome, Refusal):
-        search.refuse(address, outcome)
+        search.record_refusal(address, outcome)
     elif isinstance(outcome, LinkLost):
-        search.note(address, outcome)
+        search.record_failure(address, outcome)
--- a/src/peppershore/command/completion_command.py
+++ b/src/peppershore/command/completion_command.py
@@ -1,4 +1,4 @@
-"""``peppershore completion``: completion of commands and options in a shell."""
+"""``peppershore completion``: shell completion of commands and options."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def completion_script(shell: str) -> str:
-    """Give the script that makes ``shell`` ask this program for completions."""
+    """Return the script that makes ``shell`` get its completions from this program."""
     kind = get_completion_class(shell)
     assert kind is not None
     root = click.get_current_context().find_root().command
--- a/src/peppershore/command/edit_file.py
+++ b/src/peppershore/command/edit_file.py
@@ -1,8 +1,8 @@
-"""Reads several operations from a TOML file, to be sent as one atomic edit.
+"""Reader of edit files: TOML files with operations that are sent as one atomic edit.
 
-The file holds ``[[operations]]`` tables.  Each has ``type`` ("set", "unset",
+The file holds ``[[operations]]`` tables. Each has ``type`` ("set", "unset",
 "remove", "set_zone", "remove_zone", "remove_secret", "set_tenant" or "remove_tenant")
-and the fields of that operation.  Key material never stands in a file of edits: a tenant
+and the fields of that operation. An edit file can't contain key material: a tenant
 keeps the keys it has.
 """
 
@@ -46,20 +46,20 @@
     "set, unset, remove, set_zone, remove_zone, remove_secret, set_tenant, remove_tenant"
 )
 MATERIAL_FIELDS = frozenset({"keys"})
-"""Fields of operations that never stand in a file."""
+"""Fields of operations that are refused in an edit file, as they hold key material."""
 
 NEXT_STEP = "mend the file; `peppershore tree edit --help` shows its form"
 
 
 class EditFile(msgspec.Struct, frozen=True):
-    """The operations of one atomic edit, and why it is made."""
+    """The operations of one atomic edit, and the operator's comment on it."""
 
     operations: tuple[Operation, ...]
     comment: str = ""
 
 
 def read_text(path: Path) -> Result[str, Failed]:
-    """Read a text file that an operator named."""
+    """Return the text of a file; fail if it is unreadable, too large or not UTF-8."""
     try:
         content = path.read_bytes()
     except OSError as problem:
@@ -75,7 +75,7 @@
 
 
 def parse_edit_file(text: str) -> Result[EditFile, Failed]:
-    """Read the operations of a file; all problems at once."""
+    """Parse the text of an edit file; a failure lists all of its problems."""
     try:
         table = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
@@ -114,7 +114,7 @@
 def _check_fields(
     item: dict[str, Any], operation: Operation, position: int, problems: list[Problem]
 ) -> None:
-    """Refuse keys that the operation does not have."""
+    """Add a problem for each unknown key, and for a ``set`` without any override."""
     fields = operation.__struct_fields__
     known = ("type", *(name for name in fields if name not in MATERIAL_FIELDS))
     for key in sorted(item.keys() - set(known)):
--- a/src/peppershore/command/edit_options.py
+++ b/src/peppershore/command/edit_options.py
@@ -1,4 +1,4 @@
-"""Options that every command that changes the tree shares."""
+"""Options shared by all commands that change the tree, and the sending of their edits."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from peppershore.version.model import ExpectedRevision, Operation
 
 Command = Callable[..., None]
-Sending = Coroutine[Any, Any, Result[Submitted, Failed]]
-"""An edit on its way to the control group."""
+PendingEdit = Coroutine[Any, Any, Result[Submitted, Failed]]
+"""Coroutine that sends an edit to the control group and returns its outcome."""
 
 
 class EditNames(msgspec.Struct, frozen=True):
-    """What the operator gave to name and guard the change."""
+    """Values of the shared options: they identify, guard and explain the change."""
 
     change_id: str
     revisions: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 
 def edit_options(command: Command) -> Command:
-    """Add the shared options; the command gets one ``names`` argument for them."""
+    """Add the shared options; the command receives their values as ``names``."""
 
     @click.option("--change-id", default="", help="Name of the change; made if absent.")
     @click.option(
@@ -64,25 +64,25 @@
 
 
 def run_edit(context: OperatorContext, names: EditNames, *operations: Operation) -> None:
-    """Send the operations as one edit and show its outcome."""
+    """Send the operations as one edit and show the outcome."""
     request = edit_request(context, names, operations)
     send_edit(context, names, submit(context.group, request))
 
 
-def send_edit(context: OperatorContext, names: EditNames, sending: Sending) -> None:
-    """Await the outcome of an edit and show it, and its rollout if that is asked for."""
+def send_edit(context: OperatorContext, names: EditNames, pending: PendingEdit) -> None:
+    """Await and show the outcome of an edit; with ``--watch`` follow it until in force."""
     if names.watch:
-        context.run(_send_and_watch(context, sending))
+        context.run(_send_and_watch(context, pending))
     else:
-        show_accepted(context, context.run(sending))
+        show_accepted(context, context.run(pending))
 
 
 async def _send_and_watch(
-    context: OperatorContext, sending: Sending
+    context: OperatorContext, pending: PendingEdit
 ) -> Result[None, Failed]:
     before = await read_status(context.group)
     sent_before = before.map(control_bytes).value_or(None)
-    submitted = await sending
+    submitted = await pending
     start = WatchStart(asyncio.get_running_loop().time(), sent_before)
     if isinstance(submitted, Failure):
         return Failure(submitted.failure())
@@ -99,7 +99,7 @@
 def edit_request(
     context: OperatorContext, names: EditNames, operations: tuple[Operation, ...]
 ) -> EditRequest:
-    """Put operations and what the operator gave together; stop on a bad revision."""
+    """Build the edit request; exit with a failure if an expected revision is malformed."""
     subjects = tuple(dict.fromkeys(subject_of(operation) for operation in operations))
     revisions = read_revisions(names.revisions, subjects)
     if isinstance(revisions, Failure):
@@ -116,7 +116,7 @@
 def read_revisions(
     texts: tuple[str, ...], subjects: tuple[str, ...]
 ) -> Result[tuple[ExpectedRevision, ...], Failed]:
-    """Read "N" or "SUBJECT=N"; a bare number needs an edit of one subject."""
+    """Parse "N" or "SUBJECT=N"; "N" alone is valid only for an edit of one subject."""
     found: list[ExpectedRevision] = []
     for text in texts:
         subject, separator, number = text.rpartition("=")
@@ -131,7 +131,7 @@
 
 
 def show_accepted(context: OperatorContext, submitted: Submitted) -> None:
-    """Show the version that an edit became, or had become before."""
+    """Show the version of an accepted edit, and whether an earlier send was accepted."""
     accepted = submitted.accepted
     if context.as_json:
         show_json(submitted)
--- a/src/peppershore/command/edits.py
+++ b/src/peppershore/command/edits.py
@@ -1,4 +1,4 @@
-"""Sends an edit and turns its outcome into a result or a failure."""
+"""Sending of edits; each outcome becomes a result or a failure to show."""
 
 from __future__ import annotations
 
@@ -48,9 +48,10 @@
 
 
 class EditRequest(msgspec.Struct, frozen=True):
-    """What an operator asked for; an empty change id is made when it is sent.
+    """An edit as the operator requested it.
 
-    ``revisions`` guards the subjects it names; those of the other subjects come
+    An empty change id is replaced by a new one when the edit is sent. ``revisions`` are
+    the expected revisions of the subjects it names; those of the other subjects come
     from the tree that is read before the edit is sent.
     """
 
@@ -62,7 +63,7 @@
 
 
 async def read_tree(group: ControlGroup, version: Version = NEWEST) -> Result[Tree, Failed]:
-    """Give the tree as of a version; 0 is the newest that a quorum confirms."""
+    """Return the tree at a version; 0 is the newest version that a quorum confirms."""
     answer = await ask(group, TreeQuery(version), TreeAnswered)
     if isinstance(answer, Failure):
         return Failure(answer.failure().failed)
@@ -70,14 +71,14 @@
 
 
 class Submitted(msgspec.Struct, frozen=True):
-    """An accepted edit; ``repeated``: it was accepted before it was sent this time."""
+    """An accepted edit; ``repeated`` is true if an earlier send was already accepted."""
 
     accepted: EditAccepted
     repeated: bool = False
 
 
 async def submit(group: ControlGroup, request: EditRequest) -> Result[Submitted, Failed]:
-    """Read the tree, then send an edit guarded by the revisions found there."""
+    """Read the tree, then send the edit with the revisions found there as expected."""
     found = await read_tree(group)
     if isinstance(found, Failure):
         return Failure(found.failure())
@@ -87,7 +88,7 @@
 async def submit_on(
     group: ControlGroup, request: EditRequest, tree: Tree
 ) -> Result[Submitted, Failed]:
-    """Send an edit that was made looking at ``tree``."""
+    """Send an edit that is based on ``tree``, with its revisions as expected ones."""
     edit = Edit(
         change_id=request.change_id or new_change_id(tree.version, uuid.uuid4().hex),
         operations=request.operations,
@@ -101,13 +102,13 @@
     outcome = answer.unwrap().outcome
     if isinstance(outcome, EditConflict):
         return Failure(await _conflict_with_winner(group, outcome))
-    return judge(outcome).map(
+    return acceptance_of(outcome).map(
         lambda accepted: Submitted(accepted, accepted.version <= tree.version)
     )
 
 
-def judge(outcome: EditOutcome) -> Result[EditAccepted, Failed]:
-    """Turn an outcome that is no acceptance into a failure."""
+def acceptance_of(outcome: EditOutcome) -> Result[EditAccepted, Failed]:
+    """Return the acceptance, or a failure that describes any other outcome."""
     if isinstance(outcome, EditAccepted):
         return Success(outcome)
     if isinstance(outcome, EditInvalid):
@@ -123,7 +124,7 @@
 
 
 def subject_of(operation: Operation) -> str:
-    """Give what an operation touches, as expected revisions name it."""
+    """Return the subject that an operation changes, as expected revisions name it."""
     if isinstance(operation, SetZone | RemoveZone):
         return ZONE_SUBJECT + operation.name
     if isinstance(operation, PutSecret | PromoteSecret | RemoveSecret):
@@ -134,7 +135,7 @@
 
 
 def _expected(request: EditRequest, tree: Tree) -> tuple[ExpectedRevision, ...]:
-    """Give the revision of every subject: as given, else as the tree has it."""
+    """Return the expected revision of every subject: the operator's, else the tree's."""
     subjects = dict.fromkeys(subject_of(operation) for operation in request.operations)
     given = {item.subject: item.revision for item in request.revisions}
     made = {name: revision_of(tree, name) for name in subjects}
@@ -162,7 +163,7 @@
 
 
 async def _conflict_with_winner(group: ControlGroup, outcome: EditConflict) -> Failed:
-    """Add what the winner left on the subject, if it can be read."""
+    """Return the failure with the current overrides of the subject, if they can be read."""
     failed = _conflict(outcome)
     found = await read_tree(group)
     node = found.map(lambda tree: tree.nodes.get(outcome.subject)).value_or(None)
--- a/src/peppershore/command/entry.py
+++ b/src/peppershore/command/entry.py
@@ -1,4 +1,4 @@
-"""The first lines of the program: what must be in force before anything is imported."""
+"""Entry point of the program: set-up that must precede the imports of the commands."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def run(arguments: Sequence[str] | None = None) -> None:
-    """Run the command line; ``arguments`` stand in for those of this process.
+    """Run the command line with ``arguments``, by default those of this process.
 
-    A process that serves may be told of changed settings at any moment of its start, which
-    takes 0.1 to 0.3 s of imports; it reads its settings after them, so nothing is missed.
-    Without this the signal ends it.
+    ``serve`` ignores SIGHUP until its event loop handles it. The imports take 0.1 to 0.3 s
+    of the start, and a SIGHUP that reports changed settings meanwhile would terminate the
+    process. No change is missed, as the settings are read after the imports.
     """
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given[:1] == [SERVE]:
--- a/src/peppershore/command/exit_codes.py
+++ b/src/peppershore/command/exit_codes.py
@@ -6,29 +6,29 @@
 
 
 class ExitCode(IntEnum):
-    """What the caller of a command may rely on."""
+    """Exit codes that callers of a command can rely on."""
 
     DONE = 0
-    """The command did what was asked."""
+    """The command succeeded."""
     INTERNAL = 1
-    """A broken invariant of the program itself."""
+    """An invariant of the program itself is violated."""
     USAGE = 2
-    """The command line itself is wrong; nothing was sent."""
+    """The command line is invalid; nothing was sent."""
     INVALID = 3
-    """The edit, tree or settings break a rule; nothing changed."""
+    """The edit, tree or settings are invalid; nothing changed."""
     CONFLICT = 4
-    """Another edit won the race; nothing changed."""
+    """A concurrent edit was accepted first; nothing changed."""
     UNREACHABLE = 5
     """No replica could answer; nothing was sent."""
     UNKNOWN = 6
-    """An edit was sent and its answer lost; send it again with its change id."""
+    """An edit was sent and its answer was lost; retry it with the same change id."""
     EXPIRED = 7
-    """The change id is older than the table of outcomes; it was not run again."""
+    """The change id is older than all recorded outcomes; the edit was not applied."""
     NOT_FOUND = 8
-    """What the command names does not exist."""
+    """The object that the command names does not exist."""
     NOT_IN_FORCE = 9
-    """The time given ran out before the version was in force everywhere."""
+    """The time-out passed before the version was in force everywhere."""
     NOT_PERMITTED = 10
-    """The certificate does not allow what was asked."""
+    """The certificate does not permit the request."""
     NOT_STARTED = 11
-    """A process could not use an address, file or folder of its settings."""
+    """A process could not start: an address, file or folder of its settings is unusable."""
--- a/src/peppershore/command/explain_command.py
+++ b/src/peppershore/command/explain_command.py
@@ -1,4 +1,4 @@
-"""``peppershore explain``: every effective setting and the node it comes from."""
+"""``peppershore explain``: every effective setting and the tree node that sets it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HeldSetting(msgspec.Struct, frozen=True):
-    """One setting as the tree gives it and as a node holds it."""
+    """One setting: its value and origin in the tree, and the value that a node holds."""
 
     name: str
     value: object
@@ -40,7 +40,7 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """A route's settings in the tree's newest version beside what a node holds."""
+    """A route's settings in a version of the tree, and those that a node holds."""
 
     node: str
     tree_version: Version
@@ -88,9 +88,10 @@
 def explain_route(
     tree: Tree, service: str, zone: str, route: str
 ) -> Result[Explanation, Failed]:
-    """Resolve one route; it and its zone must exist.
+    """Return the effective settings of a route; fail if it or its zone does not exist.
 
-    A tree made from whole configurations names no zones: any zone has what all have.
+    A tree built from complete configurations names no zones. It is the same in all of
+    them, so any zone name is accepted.
     """
     if tree.zones and zone not in tree.zones:
         step = "`peppershore tree show` lists the zones"
@@ -113,7 +114,7 @@
 
 
 def compare(explanation: Explanation, held: HeldConfiguration) -> Comparison:
-    """Put what a node holds of the route beside the tree's settings."""
+    """Compare the route's settings in the tree with those that a node holds."""
     found = [
         item.settings
         for item in held.routes
@@ -125,7 +126,7 @@
         tree_version=explanation.version,
         node_version=held.version,
         settings=tuple(
-            HeldSetting(item.name, item.value, item.path, _held(settings, item.name))
+            HeldSetting(item.name, item.value, item.path, _held_value(settings, item.name))
             for item in explanation.route_settings
         ),
     )
@@ -144,7 +145,7 @@
         return Failure(not_found(what, "give the admin_listen address of a node"))
 
 
-def _held(settings: RouteSettings | None, name: str) -> object:
+def _held_value(settings: RouteSettings | None, name: str) -> object:
     return UNKNOWN_VALUE if settings is None else getattr(settings, name)
 
 
--- a/src/peppershore/command/failures.py
+++ b/src/peppershore/command/failures.py
@@ -1,4 +1,4 @@
-"""What can go wrong in a command, as values: a message, details and what to do next."""
+"""Failures of commands as values: a message, details and the next step to take."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         "use a certificate of an operator (`peppershore keys make CLUSTER operator/NAME`)",
     ),
 }
-"""What a refusal's stable word means to the caller of a command."""
+"""Exit code and next step for the reason of a refusal."""
 
 _OTHER_REFUSAL = (
     ExitCode.UNREACHABLE,
@@ -30,7 +30,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True, kw_only=True):
-    """A command's failure, ready to be shown to a person or as JSON."""
+    """Failure of a command, to be shown as text or as JSON."""
 
     code: ExitCode
     kind: str
@@ -46,7 +46,7 @@
 
 
 def unreachable(reasons: tuple[str, ...]) -> Failed:
-    """No replica answered and nothing that changes state was sent."""
+    """Return the failure that no replica answered and no change was sent."""
     return Failed(
         code=ExitCode.UNREACHABLE,
         kind="unreachable",
@@ -56,7 +56,7 @@
 
 
 def refused(reason: str, detail: str) -> Failed:
-    """Every replica refused the question; ``reason`` is its stable word."""
+    """Return the failure that every replica refused; ``reason`` is the refusal's code."""
     code, next_step = _REFUSALS.get(reason, _OTHER_REFUSAL)
     return Failed(
         code=code,
@@ -67,7 +67,7 @@
 
 
 def not_found(what: str, next_step: str) -> Failed:
-    """The named thing does not exist."""
+    """Return the failure that ``what`` does not exist."""
     return Failed(
         code=ExitCode.NOT_FOUND,
         kind="not_found",
@@ -77,7 +77,7 @@
 
 
 def usage(message: str, next_step: str, problems: tuple[Problem, ...] = ()) -> Failed:
-    """The command line can't be understood; nothing was sent."""
+    """Return the failure of an invalid command line; nothing was sent."""
     return Failed(
         code=ExitCode.USAGE,
         kind="usage",
@@ -88,7 +88,7 @@
 
 
 def invalid(message: str, problems: tuple[Problem, ...], next_step: str) -> Failed:
-    """A file, tree or edit breaks rules; nothing changed."""
+    """Return the failure of an invalid file, tree or edit; nothing changed."""
     return Failed(
         code=ExitCode.INVALID,
         kind="invalid",
--- a/src/peppershore/command/history.py
+++ b/src/peppershore/command/history.py
@@ -1,4 +1,4 @@
-"""The accepted edits as shown: who, when, why and what, without key material."""
+"""Accepted edits as shown: author, time, comment and operations, no key material."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ChangeView(msgspec.Struct, frozen=True):
-    """One accepted edit as shown; ``accepted`` is the leader's clock, for people."""
+    """One accepted edit as shown; ``accepted`` is the time by the leader's clock."""
 
     version: Version
     accepted: datetime
@@ -48,7 +48,7 @@
 
 
 class HistoryView(msgspec.Struct, frozen=True):
-    """The accepted edits asked for; ``first_version`` is the oldest kept."""
+    """The requested edits; ``first_version`` is the oldest version still stored."""
 
     first_version: Version
     changes: tuple[ChangeView, ...]
@@ -57,7 +57,7 @@
 async def read_history(
     group: ControlGroup, after_version: Version, limit: int
 ) -> Result[HistoryView, Failed]:
-    """Ask for accepted edits after a version, oldest first."""
+    """Return up to ``limit`` accepted edits after a version, oldest first."""
     answer = await ask(group, HistoryQuery(after_version, limit), HistoryAnswered)
     if isinstance(answer, Failure):
         return Failure(answer.failure().failed)
@@ -69,7 +69,7 @@
 async def find_change(
     group: ControlGroup, change_id: str
 ) -> Result[EditAccepted | None, Failed]:
-    """Give the outcome of an accepted edit by its change id, None if it is not kept."""
+    """Return the acceptance of the edit with this change id, or None if not stored."""
     answer = await ask(group, HistoryQuery(0, MAX_SEARCHED_CHANGES), HistoryAnswered)
     if isinstance(answer, Failure):
         return Failure(answer.failure().failed)
@@ -80,7 +80,7 @@
 
 
 def view_change(committed: CommittedEdit) -> ChangeView:
-    """Give the shown form of one accepted edit."""
+    """Return one accepted edit in the form that is shown."""
     edit = committed.edit
     seconds = edit.accepted_unix_milliseconds / MILLISECONDS_PER_SECOND
     return ChangeView(
@@ -94,7 +94,7 @@
 
 
 def describe(operation: Operation) -> str:
-    """Give an operation in words that hold no key material."""
+    """Return a text that describes the operation, without key material."""
     match operation:
         case SetOverrides(path, overrides):
             return " ".join(("set", path, *format_assignments(overrides)))
@@ -131,7 +131,7 @@
 
 
 def change_rows(view: HistoryView) -> list[tuple[object, ...]]:
-    """Give a row for each change: version, time, author, change id, what, why."""
+    """Return a row per change: version, time, author, change id, operations, comment."""
     return [
         (
             change.version,
--- a/src/peppershore/command/key_commands.py
+++ b/src/peppershore/command/key_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore keys``: certificates of a small site for mutual TLS."""
+"""``peppershore keys``: certificates for the mutual TLS of a small site."""
 
 from __future__ import annotations
 
@@ -59,10 +59,15 @@
     ROLE/NAME is control/NAME, relay/NAME, claims/NAME, operator/NAME or
     node/SERVICE/ZONE/NAME.
     """
-    wanted = _value(read_identities(cluster, identities), as_json)
-    authority = _value(_authority_of(folder), as_json)
+    wanted = _value_or_exit(read_identities(cluster, identities), as_json)
+    authority = _value_or_exit(_authority_of(folder), as_json)
     made = [
-        str(_value(_known(certificates.issue(folder, authority, identity, days)), as_json))
+        str(
+            _value_or_exit(
+                _as_usage_failure(certificates.issue(folder, authority, identity, days)),
+                as_json,
+            )
+        )
         for identity in wanted
     ]
     _show_files(made, as_json)
@@ -82,9 +87,16 @@
         step = "give the names of processes, or --all"
         stop_with(usage("nothing to renew is named", step), as_json)
     chosen = names or tuple(item.name for item in certificates.list_issued(folder))
-    authority = _value(_known(certificates.load_authority(folder)), as_json)
+    authority = _value_or_exit(
+        _as_usage_failure(certificates.load_authority(folder)), as_json
+    )
     made = [
-        str(_value(_known(certificates.reissue(folder, authority, name, days)), as_json))
+        str(
+            _value_or_exit(
+                _as_usage_failure(certificates.reissue(folder, authority, name, days)),
+                as_json,
+            )
+        )
         for name in chosen
     ]
     _show_files(made, as_json)
@@ -99,8 +111,8 @@
     Bring the new authority.crt to every machine, then `keys rotate --all` and
     bring the files out, and at last `keys retire-authority`.
     """
-    _value(_known(certificates.load_authority(folder)), as_json)
-    _value(_known(certificates.make_authority(folder)), as_json)
+    _value_or_exit(_as_usage_failure(certificates.load_authority(folder)), as_json)
+    _value_or_exit(_as_usage_failure(certificates.make_authority(folder)), as_json)
     _show_files([str(folder / certificates.AUTHORITY_CERTIFICATE)], as_json)
 
 
@@ -112,7 +124,9 @@
 
     A running process trusts the old one until its next restart.
     """
-    dropped = _value(_known(certificates.retire_authorities(folder)), as_json)
+    dropped = _value_or_exit(
+        _as_usage_failure(certificates.retire_authorities(folder)), as_json
+    )
     if as_json:
         show_json({"retired": dropped})
         return
@@ -137,7 +151,7 @@
 def read_identities(
     cluster: str, texts: tuple[str, ...]
 ) -> Result[tuple[PeerIdentity, ...], Failed]:
-    """Read ROLE/NAME arguments; the name must be a plain file name."""
+    """Parse ROLE/NAME arguments; each name must be usable as a file name."""
     found: list[PeerIdentity] = []
     for text in texts:
         identity = parse_identity(f"{SCHEME}{cluster}/{text}")
@@ -154,16 +168,16 @@
 
 def _authority_of(folder: Path) -> Result[Authority, Failed]:
     if (folder / certificates.AUTHORITY_KEY).exists():
-        return _known(certificates.load_authority(folder))
-    return _known(certificates.make_authority(folder))
+        return _as_usage_failure(certificates.load_authority(folder))
+    return _as_usage_failure(certificates.make_authority(folder))
 
 
-def _known(result: Result[Value, KeyProblem]) -> Result[Value, Failed]:
+def _as_usage_failure(result: Result[Value, KeyProblem]) -> Result[Value, Failed]:
     step = "check the folder and its files; `peppershore keys list` shows them"
     return result.alt(lambda problem: usage(problem.reason, step))
 
 
-def _value(result: Result[Value, Failed], as_json: bool) -> Value:
+def _value_or_exit(result: Result[Value, Failed], as_json: bool) -> Value:
     if isinstance(result, Failure):
         stop_with(result.failure(), as_json)
     return result.unwrap()
--- a/src/peppershore/command/late_calls.py
+++ b/src/peppershore/command/late_calls.py
@@ -1,7 +1,8 @@
-"""Why answered calls were late, worked out from the lines of both nodes of each.
+"""Causes of late answers, derived from the log lines of both nodes of each call.
 
-A caller's node writes how long a call took, the node beside the back end how long it
-waited there and the pace of the machine while it ran.
+The caller's node logs how long a call took. The back end's local node logs how long the
+call waited there, and the pace of the machine while it ran: its service time relative to
+the usual one of the route, 100 % being usual.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 BEFORE = "on its way, or at another back end before"
 NO_LINE = "no line of the back end's node"
 
-MOST_SHARE = 0.5
-"""What took this part of a call's time is why it was late."""
+MAIN_SHARE = 0.5
+"""The phase that took at least this share of a call's time is the cause."""
 
 
 class LateCalls(msgspec.Struct, frozen=True):
-    """Calls late alike; ``example`` is the request id of one of them."""
+    """Late calls with the same cause and target; ``example`` is one's request id."""
 
     calls: int
     cause: str
@@ -35,7 +36,7 @@
 
 
 class LateTable(msgspec.Struct, frozen=True):
-    """All answered calls with lines, how many were late, and why."""
+    """Number of answered calls that were logged, number of late ones, and their causes."""
 
     answered: int
     late: int
@@ -43,39 +44,39 @@
 
 
 def late_calls(lines: Iterable[LogLine], beyond_milliseconds: int) -> LateTable:
-    """Work out why calls that took longer than this did."""
-    stories: list[LogLine] = []
+    """Return the causes of answered calls that took longer than the given time."""
+    records: list[LogLine] = []
     served: dict[str, LogLine] = {}
     for line in lines:
         if line.outcome != "answered":
             continue
         if line.event == CALL_EVENT:
-            stories.append(line)
+            records.append(line)
         elif line.event == SERVED_EVENT:
             served[line.request_id] = line
-    late = [story for story in stories if story.milliseconds > beyond_milliseconds]
+    late = [record for record in records if record.milliseconds > beyond_milliseconds]
     counts: Counter[tuple[str, str]] = Counter()
     examples: dict[tuple[str, str], str] = {}
-    for story in late:
-        cause = _cause(story, served.get(story.request_id))
-        kind = (cause, str(story.fields.get("target", "")))
+    for record in late:
+        cause = _cause(record, served.get(record.request_id))
+        kind = (cause, str(record.fields.get("target", "")))
         counts[kind] += 1
-        examples.setdefault(kind, story.request_id)
+        examples.setdefault(kind, record.request_id)
     by_cause = tuple(
         LateCalls(count, *kind, example=examples[kind])
         for kind, count in counts.most_common()
     )
-    return LateTable(len(stories), len(late), by_cause)
+    return LateTable(len(records), len(late), by_cause)
 
 
-def _cause(story: LogLine, run: LogLine | None) -> str:
+def _cause(record: LogLine, run: LogLine | None) -> str:
     if run is None:
         return NO_LINE
     waited = max(0, _number(run, "waited_milliseconds"))
     ran = run.milliseconds - waited
-    if waited >= MOST_SHARE * story.milliseconds:
+    if waited >= MAIN_SHARE * record.milliseconds:
         return WAITED
-    if ran < MOST_SHARE * story.milliseconds:
+    if ran < MAIN_SHARE * record.milliseconds:
         return BEFORE
     is_slow = _number(run, "pace_percent") >= SLOW_PERCENT
     return SLOW_MACHINE if is_slow else RAN_LONG
--- a/src/peppershore/command/lazy_group.py
+++ b/src/peppershore/command/lazy_group.py
@@ -1,4 +1,4 @@
-"""A command group that imports a command's module only when it is run or described."""
+"""Command group that imports a command's module only to run or describe the command."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class LazyGroup(click.Group):
-    """Holds where each command stands, as "module:name"."""
+    """Group whose commands are given by their location, as "module:name"."""
 
-    places: Mapping[str, str] = {}
+    locations: Mapping[str, str] = {}
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Give every command's name, sorted."""
-        return sorted({*super().list_commands(ctx), *self.places})
+        """Return the names of all commands, sorted."""
+        return sorted({*super().list_commands(ctx), *self.locations})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Give a command; its module is imported now."""
-        place = self.places.get(cmd_name)
-        if place is None:
+        """Import the module of a command and return the command, None if unknown."""
+        location = self.locations.get(cmd_name)
+        if location is None:
             return super().get_command(ctx, cmd_name)
-        module_name, _, name = place.partition(":")
+        module_name, _, name = location.partition(":")
         command = getattr(importlib.import_module(module_name), name)
-        assert isinstance(command, click.Command), place
+        assert isinstance(command, click.Command), location
         return command
--- a/src/peppershore/command/link_loads.py
+++ b/src/peppershore/command/link_loads.py
@@ -1,4 +1,4 @@
-"""What filled the links, worked out from the lines that processes wrote of them."""
+"""Load of network links by kind of message, from the log lines of processes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 class KindLoad(msgspec.Struct, frozen=True):
-    """Bytes of one kind of message; shares are of the links' rate, 0 if that is unknown.
+    """Traffic of one kind of message in one direction.
 
-    ``bytes_a_second`` and ``share`` are means over processes and time;
-    ``worst_share`` is the highest of one process within one line's interval.
+    ``bytes_a_second`` and ``share`` are means over processes and time. ``worst_share`` is
+    the highest share of one process within the interval of one log line. Shares are
+    fractions of the links' rate, 0 if the rate is unknown.
     """
 
     direction: str
@@ -29,7 +30,7 @@
 
 
 class BusyLink(msgspec.Struct, frozen=True):
-    """One interval of one process; ``time`` is Unix milliseconds of its end."""
+    """One interval of one process; ``time`` is its end in Unix milliseconds."""
 
     time: int
     process: str
@@ -41,7 +42,7 @@
 
 
 class LinkLoads(msgspec.Struct, frozen=True):
-    """All that was read: by kind, and the busiest intervals first."""
+    """Number of log lines read, load by kind, and all intervals, busiest first."""
 
     lines: int
     by_kind: tuple[KindLoad, ...]
@@ -49,7 +50,7 @@
 
 
 class _Interval(msgspec.Struct):
-    """The fields of one line."""
+    """Fields of one log line, which covers one interval of one process."""
 
     milliseconds: int
     link_megabits: float
@@ -58,24 +59,24 @@
     round_trip_milliseconds: int = 0
 
     def share(self, octets: float) -> float:
-        """Give the part of what the link carries within the interval."""
-        carried = self.link_megabits * BYTES_PER_MEGABIT * self.milliseconds / MILLISECONDS
-        return octets / carried if carried > 0.0 else 0.0
+        """Return ``octets`` as a fraction of the link's capacity in the interval."""
+        capacity = self.link_megabits * BYTES_PER_MEGABIT * self.milliseconds / MILLISECONDS
+        return octets / capacity if capacity > 0.0 else 0.0
 
     def octets(self, direction: str) -> dict[str, int]:
-        """Give the bytes by kind."""
+        """Return the number of bytes by kind of message."""
         return self.sent if direction == "sent" else self.received
 
 
 def link_loads(lines: list[LogLine], role: str = "node") -> LinkLoads:
-    """Add up the lines of processes of one role."""
+    """Return the load of the links of all processes of one role."""
     read: list[tuple[LogLine, _Interval]] = []
     for line in lines:
         if line.event == LINK_EVENT and line.role == role:
             read.append((line, msgspec.convert(line.fields, _Interval)))
     intervals = [interval for _, interval in read]
     busiest = [
-        _busy(line, interval, direction)
+        _busy_link(line, interval, direction)
         for line, interval in read
         for direction in DIRECTIONS
     ]
@@ -92,7 +93,7 @@
             octets[kind] += count
             worst[kind] = max(worst[kind], interval.share(count))
     seconds = sum(interval.milliseconds for interval in intervals) / MILLISECONDS
-    carried = sum(
+    capacity = sum(
         interval.link_megabits * BYTES_PER_MEGABIT * interval.milliseconds / MILLISECONDS
         for interval in intervals
     )
@@ -101,14 +102,14 @@
             direction=direction,
             kind=kind,
             bytes_a_second=round(count / seconds),
-            share=count / carried if carried > 0.0 else 0.0,
+            share=count / capacity if capacity > 0.0 else 0.0,
             worst_share=worst[kind],
         )
         for kind, count in sorted(octets.items(), key=lambda item: -item[1])
     ]
 
 
-def _busy(line: LogLine, interval: _Interval, direction: str) -> BusyLink:
+def _busy_link(line: LogLine, interval: _Interval, direction: str) -> BusyLink:
     octets = interval.octets(direction)
     kind = max(octets, key=lambda name: octets[name], default="")
     return BusyLink(
--- a/src/peppershore/command/log_files.py
+++ b/src/peppershore/command/log_files.py
@@ -1,4 +1,4 @@
-"""Log lines of processes, read back from files that collected them."""
+"""Parser of log lines of processes, from files that collected them."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class LogLine(msgspec.Struct):
-    """The fields that lines of this product share, and those of calls.
+    """One log line: the fields common to all lines, and those of lines about calls.
 
-    ``time`` is Unix milliseconds.  ``fields`` has all that the line holds.
+    ``time`` is Unix milliseconds. ``fields`` holds all fields of the line.
     """
 
     event: str
@@ -35,14 +35,14 @@
 
 
 class LogFiles(msgspec.Struct):
-    """What was read, and how many lines were not of this product."""
+    """Log lines, and the number of lines that this product did not write."""
 
     lines: list[LogLine]
     foreign: int
 
 
 def read_logs(files: Iterable[TextIO]) -> LogFiles:
-    """Read all lines; what stands before a line's ``{`` is left out."""
+    """Read all lines, sorted by time; a prefix before a line's ``{`` is skipped."""
     found = LogFiles([], 0)
     for file in files:
         for text in file:
@@ -56,7 +56,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Give one log line, or None if the text is none."""
+    """Return the log line in a text, or None if there is none."""
     start = text.find("{")
     if start < 0:
         return None
@@ -70,5 +70,5 @@
 
 
 def of_request(lines: Iterable[LogLine], request_id: str) -> Iterator[LogLine]:
-    """Give the lines of one request."""
+    """Return the lines of one request."""
     return (line for line in lines if line.request_id == request_id)
--- a/src/peppershore/command/logs_command.py
+++ b/src/peppershore/command/logs_command.py
@@ -1,4 +1,4 @@
-"""``peppershore logs``: what a heap of log lines amounts to."""
+"""``peppershore logs``: summaries and analyses of collected log lines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     "an example",
 )
 SHOWN_NODES = 20
-"""Nodes with most failed calls that people are shown; --json has all."""
+"""Number of nodes with most failed calls in the text output; --json shows all."""
 
 VERSION_HEADER = ("version", "nodes", "p50 ms", "p99 ms", "last ms", "last node", "cause")
 LATE_HEADER = (
@@ -54,10 +54,10 @@
     "on the way ms",
 )
 SHOWN_LATE = 40
-"""Late waits that people are shown, the longest first; --json has all."""
+"""Number of late waits in the text output, longest first; --json shows all."""
 
 DEFAULT_BOUND_MILLISECONDS = 2_000
-"""Later than this counts as late: a deployment's own bound goes under --bound."""
+"""A longer wait counts as late; --bound sets the bound of a deployment."""
 
 KIND_HEADER = ("direction", "kind", "bytes a second", "% of the link", "% at worst")
 BUSY_HEADER = (
@@ -70,7 +70,7 @@
     "round trip ms",
 )
 SHOWN_BUSY = 20
-"""Busiest intervals that people are shown; --json has all."""
+"""Number of busiest intervals in the text output; --json shows all."""
 
 PERCENT = 100.0
 EVENT_HEADER = ("lines", "level", "event", "processes")
@@ -78,7 +78,7 @@
 
 
 class CallEnds(msgspec.Struct, frozen=True):
-    """Calls that ended alike; ``example`` is the last logged one's request id."""
+    """Calls of a route with the same outcome; ``example`` is the last one's request id."""
 
     calls: int
     service: str
@@ -89,7 +89,7 @@
 
 
 class EventLines(msgspec.Struct, frozen=True):
-    """Lines of one event, and how many processes wrote them."""
+    """Number of lines of one event, and of the processes that wrote them."""
 
     lines: int
     level: str
@@ -98,7 +98,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """All that was read, the most frequent first; times are Unix milliseconds."""
+    """Counts of all lines read, most frequent first; times are Unix milliseconds."""
 
     lines: int
     foreign: int
@@ -268,7 +268,7 @@
 
 
 def summarize(files: LogFiles) -> Summary:
-    """Count the lines by what they tell."""
+    """Count the lines by event, and the calls by outcome."""
     times = [line.time for line in files.lines] or [0]
     return Summary(
         lines=len(files.lines),
--- a/src/peppershore/command/lost_calls.py
+++ b/src/peppershore/command/lost_calls.py
@@ -1,8 +1,8 @@
-"""Why calls failed, worked out from the lines of all nodes of a time.
+"""Causes of failed calls, derived from the log lines of all nodes over a period.
 
-A caller's node writes a line for each call that it did not answer with success; the node
-beside a back end writes how full it was when a call came.  Together they tell a refusal
-at the limit of all back ends from one that another back end could have spared.
+The caller's node logs each call that failed. The node co-located with a back end logs how
+many slots were in use when a call arrived. Together they distinguish a refusal when all
+back ends were saturated from one while another back end had a free slot.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 LIMIT_REASONS = frozenset({"over-limit", "limit-not-known"})
 MILLISECONDS = 1_000
 NEVER_CONFIRMED = -1
-"""The age, in lines of calls, of a configuration that was never confirmed."""
+"""Configuration age in call log lines when the configuration was never confirmed."""
 
 FREE_WITHIN_SECONDS = 1
-"""A slot counts as free elsewhere if an owner told of one in the same second."""
+"""A refusal counts as avoidable if an owner reported a free slot in the same second."""
 
 AT_CAPACITY = "refused at capacity"
 FREE_ELSEWHERE = "refused with a slot free elsewhere"
 NO_CONFIGURATION = "node without configuration"
 NO_ROUTE = "no such route"
 NO_KNOWN_KEY = "no key of a tenant"
-LINK_WITHOUT_ROOM = "no room on a link"
+LINK_SATURATED = "no room on a link"
 OVER_TENANTS_LIMIT = "tenant over its limit"
 LIMIT_NOT_KNOWN = "nobody grants calls"
 NODE_STOPPING = "node stopping"
@@ -52,7 +52,7 @@
     "no-key": NO_KNOWN_KEY,
     "unknown-key": NO_KNOWN_KEY,
     "key-changed-hands": NO_KNOWN_KEY,
-    LINK_FULL: LINK_WITHOUT_ROOM,
+    LINK_FULL: LINK_SATURATED,
     "over-limit": OVER_TENANTS_LIMIT,
     "limit-not-known": LIMIT_NOT_KNOWN,
     "node-stopping": NODE_STOPPING,
@@ -74,10 +74,13 @@
 
 
 class LostCalls(msgspec.Struct, frozen=True):
-    """Calls that failed alike; ``example`` is the request id of one of them.
+    """Failed calls with the same cause, target and reason.
 
-    The nodes' versions when they did, and for how long one of them had heard no
-    confirmation at worst (-1: never); 0, 0 and 0 where the lines do not tell.
+    ``example`` is the request id of one of them. ``lowest_version`` and
+    ``highest_version`` bound the configuration versions of the nodes at the failures.
+    ``unconfirmed_milliseconds`` is the longest time for which one of these nodes had
+    received no confirmation of its version (-1: never received). All three are 0 if the
+    lines do not state them.
     """
 
     calls: int
@@ -91,10 +94,11 @@
 
 
 class LimitRefusals(msgspec.Struct, frozen=True):
-    """Calls that a tenant's limit refused, and what decided by the lines of the nodes.
+    """Calls refused by a tenant's limit, and the limit that the nodes applied.
 
-    ``rate_per_second``, ``burst`` and ``knowledge`` are those of the last line, the age is
-    the highest; they are None where no line was read.
+    ``rate_per_second``, ``burst`` and ``knowledge`` are from the last log line;
+    ``oldest_knowledge_milliseconds`` is the highest age of all lines. They are None if no
+    line was read.
     """
 
     calls: int
@@ -116,7 +120,7 @@
 
 
 class LostTables(msgspec.Struct, frozen=True):
-    """All failed calls: by cause and target, second, last node tried, tenant's limit."""
+    """Counts of failed calls by cause and target, second, last node tried, and limit."""
 
     calls: int
     by_cause: tuple[LostCalls, ...]
@@ -126,69 +130,69 @@
 
 
 def lost_calls(lines: Iterable[LogLine]) -> LostTables:
-    """Work out the cause of each call that failed."""
-    stories: list[LogLine] = []
+    """Count the failed calls in the log lines by cause."""
+    records: list[LogLine] = []
     free: set[tuple[str, int]] = set()
     limits: list[LogLine] = []
     for line in lines:
         if line.event == CALL_EVENT and _is_failure(line):
-            stories.append(line)
-        elif line.event == SERVED_EVENT and _tells_free_slot(line):
+            records.append(line)
+        elif line.event == SERVED_EVENT and _reports_free_slot(line):
             free.add((line.service, _second(line)))
         elif line.event == LIMIT_EVENT:
             limits.append(line)
-    first = min((_second(story) for story in stories), default=0)
+    first = min((_second(record) for record in records), default=0)
     by_cause: Counter[tuple[str, str, str]] = Counter()
     by_second: Counter[tuple[int, str]] = Counter()
     by_node: Counter[tuple[str, str]] = Counter()
     examples: dict[tuple[str, str, str], str] = {}
-    decided_by: dict[tuple[str, str, str], _DecidedBy] = {}
-    for story in stories:
-        target = str(story.fields.get("target", ""))
-        cause = _cause(story, target, free)
-        kind = (cause, target, story.reason or f"status-{story.status}")
-        count = calls_of(story)
+    configurations: dict[tuple[str, str, str], _DecidingConfigurations] = {}
+    for record in records:
+        target = str(record.fields.get("target", ""))
+        cause = _cause(record, target, free)
+        kind = (cause, target, record.reason or f"status-{record.status}")
+        count = calls_of(record)
         by_cause[kind] += count
-        decided_by.setdefault(kind, _DecidedBy()).add(story)
-        examples.setdefault(kind, story.request_id)
-        by_second[_second(story) - first, cause] += count
-        by_node[_last_node(story), cause] += count
+        configurations.setdefault(kind, _DecidingConfigurations()).add(record)
+        examples.setdefault(kind, record.request_id)
+        by_second[_second(record) - first, cause] += count
+        by_node[_last_node(record), cause] += count
     return LostTables(
         calls=by_cause.total(),
         by_cause=tuple(
-            LostCalls(count, *kind, examples[kind], *decided_by[kind].shown())
+            LostCalls(count, *kind, examples[kind], *configurations[kind].extremes())
             for kind, count in by_cause.most_common()
         ),
         by_second=tuple((*kind, by_second[kind]) for kind in sorted(by_second)),
         by_node=tuple((*kind, count) for kind, count in by_node.most_common()),
-        by_limit=_by_limit(stories, limits),
+        by_limit=_by_limit(records, limits),
     )
 
 
-def calls_of(story: LogLine) -> int:
-    """Give of how many calls a line tells: its own, and those that have none."""
-    left_out = story.fields.get("lines_left_out")
+def calls_of(record: LogLine) -> int:
+    """Return the number of calls a line stands for: its own and those left out."""
+    left_out = record.fields.get("lines_left_out")
     return 1 + (left_out if isinstance(left_out, int) else 0)
 
 
-class _DecidedBy:
-    """By which configurations calls that failed alike were judged."""
+class _DecidingConfigurations:
+    """Versions and ages of the configurations under which a group of calls failed."""
 
     def __init__(self) -> None:
         self._versions: list[int] = []
         self._ages: list[int] = []
 
-    def add(self, story: LogLine) -> None:
-        """Take in what a line tells."""
-        version = story.fields.get("version")
-        age = story.fields.get("configuration_age_milliseconds")
+    def add(self, record: LogLine) -> None:
+        """Add the version and age that a call's log line states."""
+        version = record.fields.get("version")
+        age = record.fields.get("configuration_age_milliseconds")
         if isinstance(version, int):
             self._versions.append(version)
         if isinstance(age, int):
             self._ages.append(age)
 
-    def shown(self) -> tuple[int, int, int]:
-        """Give the lowest and the highest version, and the worst age."""
+    def extremes(self) -> tuple[int, int, int]:
+        """Return lowest version, highest version, and highest age (-1: never confirmed)."""
         lowest = min(self._versions, default=0)
         highest = max(self._versions, default=0)
         is_never = NEVER_CONFIRMED in self._ages
@@ -196,24 +200,24 @@
         return lowest, highest, worst
 
 
-def _by_limit(stories: list[LogLine], lines: list[LogLine]) -> tuple[LimitRefusals, ...]:
-    """Put refused calls of tenants beside what nodes wrote about such refusals."""
+def _by_limit(records: list[LogLine], lines: list[LogLine]) -> tuple[LimitRefusals, ...]:
+    """Match refused calls of tenants with the nodes' log lines about such refusals."""
     counts: Counter[tuple[str, str]] = Counter()
     examples: dict[tuple[str, str], str] = {}
-    for story in stories:
-        if story.reason in LIMIT_REASONS:
-            kind = (str(story.fields.get("tenant", "")), story.reason)
+    for record in records:
+        if record.reason in LIMIT_REASONS:
+            kind = (str(record.fields.get("tenant", "")), record.reason)
             counts[kind] += 1
-            examples.setdefault(kind, story.request_id)
+            examples.setdefault(kind, record.request_id)
     found: list[LimitRefusals] = []
     for (tenant, reason), calls in counts.most_common():
-        own = [
+        limits_of_tenant = [
             limit
             for each in lines
             if each.reason == reason and (limit := _limit_line(each)).tenant == tenant
         ]
-        last = own[-1] if own else _LimitLine()
-        ages = [each.knowledge_age_milliseconds for each in own]
+        last = limits_of_tenant[-1] if limits_of_tenant else _LimitLine()
+        ages = [each.knowledge_age_milliseconds for each in limits_of_tenant]
         found.append(
             LimitRefusals(
                 calls,
@@ -230,7 +234,7 @@
 
 
 def _limit_line(line: LogLine) -> _LimitLine:
-    """Read a node's line; one that is no such line belongs to no tenant."""
+    """Read the limit in a log line; a line without valid fields belongs to no tenant."""
     try:
         return msgspec.convert(line.fields, _LimitLine)
     except msgspec.ValidationError:
@@ -241,7 +245,7 @@
     return line.outcome != "answered" or line.status >= FIRST_SERVER_ERROR
 
 
-def _tells_free_slot(line: LogLine) -> bool:
+def _reports_free_slot(line: LogLine) -> bool:
     running, slots = line.fields.get("running"), line.fields.get("slots")
     return isinstance(running, int) and isinstance(slots, int) and running < slots
 
@@ -250,18 +254,18 @@
     return line.time // (MILLISECONDS * FREE_WITHIN_SECONDS)
 
 
-def _cause(story: LogLine, target: str, free: set[tuple[str, int]]) -> str:
-    if story.outcome == "answered":
+def _cause(record: LogLine, target: str, free: set[tuple[str, int]]) -> str:
+    if record.outcome == "answered":
         return BACK_END_FAILED
-    if story.reason in LOAD_REASONS:
-        is_free = (target, _second(story)) in free
+    if record.reason in LOAD_REASONS:
+        is_free = (target, _second(record)) in free
         return FREE_ELSEWHERE if is_free else AT_CAPACITY
-    if story.reason == "deadline-passed":
-        return LATE_RUN if story.outcome == "unknown" else WAITED_TOO_LONG
-    return _CAUSES.get(story.reason, OTHER)
+    if record.reason == "deadline-passed":
+        return LATE_RUN if record.outcome == "unknown" else WAITED_TOO_LONG
+    return _CAUSES.get(record.reason, OTHER)
 
 
-def _last_node(story: LogLine) -> str:
-    """Give the node that was tried last; "" where none was."""
-    tried = [step.node for step in story.steps if step.node]
+def _last_node(record: LogLine) -> str:
+    """Return the name of the node that was tried last, "" if none was."""
+    tried = [step.node for step in record.steps if step.node]
     return tried[-1] if tried else ""
--- a/src/peppershore/command/main.py
+++ b/src/peppershore/command/main.py
@@ -1,4 +1,4 @@
-"""The command ``peppershore``: every role's process and every operator's command."""
+"""The command ``peppershore``: processes of all roles, and commands for operators."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Commands(LazyGroup):
-    """Every command; importing all of them would take longer than most of them run."""
+    """All commands, imported lazily: importing all takes longer than most of them run."""
 
-    places = {
+    locations = {
         "completion": f"{PACKAGE}.completion_command:completion",
         "explain": f"{PACKAGE}.explain_command:explain",
         "keys": f"{PACKAGE}.key_commands:keys",
--- a/src/peppershore/command/material_files.py
+++ b/src/peppershore/command/material_files.py
@@ -1,4 +1,4 @@
-"""Key material as operators give it: in a file or on standard input."""
+"""Reader of key material that operators pass in a file or on standard input."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def read_bounded(source: str, maximum_bytes: int) -> bytes:
-    """Read a file, or standard input for "-"; one byte more tells that it is too large.
+    """Read a file, or standard input for "-".
 
-    Raises OSError where it can't be read.
+    Returns at most ``maximum_bytes`` + 1 bytes; the extra byte shows that the content is
+    too large. Raises OSError if it can't be read.
     """
     if source == STANDARD_INPUT:
         return sys.stdin.buffer.read(maximum_bytes + 1)
--- a/src/peppershore/command/options.py
+++ b/src/peppershore/command/options.py
@@ -1,4 +1,4 @@
-"""Options that every operator command shares, and the operator's settings file."""
+"""Options shared by all operator commands, and the operator's settings file."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Seconds(click.FloatRange):
-    """A number of seconds within bounds; "nan" is none."""
+    """Type of an option: a number of seconds within bounds, not "nan"."""
 
     name = "seconds"
 
@@ -41,7 +41,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Any:
-        """Give the number, or fail as any wrong argument does."""
+        """Return the number; fail with click's usage error if it is invalid."""
         seconds = super().convert(value, param, ctx)
         if math.isnan(seconds):
             self.fail(f"{value!r} is no number of seconds", param, ctx)
@@ -49,14 +49,14 @@
 
 
 class OperatorContext(msgspec.Struct, frozen=True):
-    """What an operator command runs with."""
+    """Control group, output format and author that an operator command uses."""
 
     group: ControlGroup
     as_json: bool
     author: str
 
     def run(self, work: Coroutine[Any, Any, Result[Outcome, Failed]]) -> Outcome:
-        """Run ``work`` to its end; show a failure and exit with its code."""
+        """Run ``work`` and return its value; show a failure and exit with its code."""
         result = asyncio.run(work)
         if isinstance(result, Failure):
             stop_with(result.failure(), self.as_json)
@@ -64,7 +64,7 @@
 
 
 def operator_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the shared options; the command gets one ``context`` argument for them."""
+    """Add the shared options; the command receives their values as ``context``."""
 
     @click.option(
         "--replica",
@@ -109,7 +109,7 @@
     timeout: float | None,
     as_json: bool,
 ) -> Result[OperatorContext, Failed]:
-    """Put the flags over the operator's settings file and check the whole."""
+    """Build the context from settings file and flags; a flag overrides the file."""
     flags: dict[str, Any] = {}
     if replicas:
         flags["replicas"] = list(replicas)
--- a/src/peppershore/command/output.py
+++ b/src/peppershore/command/output.py
@@ -1,6 +1,6 @@
-"""How results and failures are shown: tables for people, one JSON object with --json.
+"""Output of results and failures: text tables, or one JSON object with --json.
 
-No value of type bytes is ever shown: key material is always bytes.
+No value of type bytes is ever shown, as key material is always bytes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from peppershore.process.public_value import public_value
 
 COLUMN_GAP = "  "
-NOTHING = "-"
+EMPTY_CELL = "-"
 
 
 def show_json(value: object) -> None:
@@ -30,14 +30,17 @@
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Give aligned columns under a header, without a last line feed."""
+    """Return aligned columns under a header, without a trailing line feed."""
     lines = [list(header), *([_cell(value) for value in row] for row in rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
     return "\n".join(_format_line(line, widths) for line in lines)
 
 
 def stop_with(failed: Failed, as_json: bool) -> NoReturn:
-    """Show a failure on standard error (JSON: standard output) and exit with its code."""
+    """Show a failure and exit with its code.
+
+    Text goes to standard error, JSON to standard output.
+    """
     if as_json:
         show_json({"failed": failed})
     else:
@@ -46,7 +49,7 @@
 
 
 def format_failure(failed: Failed) -> str:
-    """Give a failure in words: what is wrong, each problem, what to do next."""
+    """Return a failure as text: the message, each problem, and the next step."""
     lines = [f"error: {failed.message}"]
     for problem in failed.problems:
         allowed = f" (allowed: {problem.allowed})" if problem.allowed else ""
@@ -57,11 +60,11 @@
 
 def _cell(value: object) -> str:
     if value is None or value == "":
-        return NOTHING
+        return EMPTY_CELL
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list | tuple):
-        return ",".join(str(item) for item in value) or NOTHING
+        return ",".join(str(item) for item in value) or EMPTY_CELL
     return str(public_value(value))
 
 
--- a/src/peppershore/command/quarantine_commands.py
+++ b/src/peppershore/command/quarantine_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore quarantine``: requests that end back ends, and letting one go."""
+"""``peppershore quarantine``: requests that crash back ends, and their release."""
 
 from __future__ import annotations
 
@@ -40,7 +40,9 @@
     A suspect runs alone; one that is held is refused as not run.  LIVES are those of the
     back ends that ended; `back_end_ended` and `call_story` lines name the fingerprint.
     """
-    listed = _asked(address, f"/{ROOT}", "GET", QuarantineList, timeout, as_json=as_json)
+    listed = _fetch_or_exit(
+        address, f"/{ROOT}", "GET", QuarantineList, timeout, as_json=as_json
+    )
     if as_json:
         show_json(listed)
         return
@@ -53,14 +55,16 @@
 def release(fingerprint: str, address: str, timeout: float, as_json: bool) -> None:
     """Let the request FINGERPRINT run again, everywhere, as if nothing had ended."""
     path = f"/{ROOT}/{fingerprint}/{RELEASE}"
-    released = _asked(address, path, "POST", ReleasedRequest, timeout, as_json=as_json)
+    released = _fetch_or_exit(
+        address, path, "POST", ReleasedRequest, timeout, as_json=as_json
+    )
     if as_json:
         show_json(released)
     else:
         click.echo(f"{released.fingerprint} may run again")
 
 
-def _asked(
+def _fetch_or_exit(
     address: str,
     path: str,
     method: str,
--- a/src/peppershore/command/recover_command.py
+++ b/src/peppershore/command/recover_command.py
@@ -1,4 +1,4 @@
-"""``peppershore replica recover``: a new group from one replica's store."""
+"""``peppershore replica recover``: makes a new group from the store of one replica."""
 
 from __future__ import annotations
 
--- a/src/peppershore/command/replica_commands.py
+++ b/src/peppershore/command/replica_commands.py
@@ -68,7 +68,7 @@
 async def change_membership(
     group: ControlGroup, change: MembershipChange
 ) -> Result[MembershipChange, Failed]:
-    """Ask the leader for one change of membership."""
+    """Send one membership change to the leader; return it, or the failure to show."""
     answer = await ask(group, change, MembershipAnswered)
     if isinstance(answer, Failure):
         return Failure(_unanswered(change, answer.failure()))
@@ -86,7 +86,7 @@
 
 
 def _unanswered(change: MembershipChange, lost: NoAnswer) -> Failed:
-    """Tell a change that may be under way from one that was never sent."""
+    """Return the failure of a change without an answer: possibly in progress, or unsent."""
     if not lost.maybe_sent:
         return lost.failed
     return Failed(
--- a/src/peppershore/command/rollout_commands.py
+++ b/src/peppershore/command/rollout_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore rollout``: bring a new version of a service in, or take it back."""
+"""``peppershore rollout``: rolls out a new version of a service, or rolls it back."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     again.
     """
     order = RolloutOrder(service, version, seconds)
-    _asked(
+    _fetch_or_exit(
         address,
         f"/{ROOT}",
         "POST",
@@ -79,7 +79,9 @@
 
     The leader knows all figures; other hubs know those of their own zone.
     """
-    found = _asked(address, f"/{ROOT}/{service}/{STATUS}", "GET", timeout, as_json=as_json)
+    found = _fetch_or_exit(
+        address, f"/{ROOT}/{service}/{STATUS}", "GET", timeout, as_json=as_json
+    )
     shown = msgspec.json.decode(found, type=StatusBody)
     if as_json:
         show_json(shown)
@@ -100,14 +102,14 @@
 @address_options(ADDRESSES)
 def abort(service: str, address: str, timeout: float, as_json: bool) -> None:
     """Take the roll-out of SERVICE back: nothing more goes to the new version."""
-    _asked(address, f"/{ROOT}/{service}/{ABORT}", "POST", timeout, as_json=as_json)
+    _fetch_or_exit(address, f"/{ROOT}/{service}/{ABORT}", "POST", timeout, as_json=as_json)
     if as_json:
         show_json({"service": service})
     else:
         click.echo(f"{service} goes back to the version before")
 
 
-def _asked(
+def _fetch_or_exit(
     address: str,
     path: str,
     method: str,
--- a/src/peppershore/command/secret_commands.py
+++ b/src/peppershore/command/secret_commands.py
@@ -1,7 +1,7 @@
-"""``peppershore secret``: key material that routes verify and sign with.
+"""``peppershore secret``: key material with which routes verify and sign.
 
-Material is read from a file or standard input or made here, never taken from
-the command line, and never shown.
+Material is read from a file or standard input, or generated here. It is never accepted
+on the command line and never shown.
 """
 
 from __future__ import annotations
@@ -130,7 +130,7 @@
 
 
 def read_material(from_file: str | None, generate: int | None) -> Result[bytes, Failed]:
-    """Give the material from the one source named; its length is checked."""
+    """Read or generate material; fail unless one source is named and the length fits."""
     if (from_file is None) == (generate is None):
         step = "give --from-file PATH (or -) or --generate BYTES"
         return Failure(usage("exactly one source of material is needed", step))
--- a/src/peppershore/command/serve.py
+++ b/src/peppershore/command/serve.py
@@ -1,4 +1,4 @@
-"""``peppershore serve``: runs one process of the system until it is stopped."""
+"""``peppershore serve``: runs one process of the system in the foreground."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 OnReady = Callable[[int], None]
 Arguments = dict[str, Any]
 
-COLLECT_AFTER = (5_000, 20, 20)
-"""Objects made since the last collection of cycles, by generation.  A call leaves few
-cycles behind, and each collection walks what the process holds."""
+COLLECTION_THRESHOLDS = (5_000, 20, 20)
+"""Thresholds of the cyclic garbage collector, by generation. They are high because a call
+leaves few cycles behind and each collection traverses all objects of the process."""
 
 settings_option = click.option(
     "--settings",
@@ -65,13 +65,13 @@
 
 
 class ProcessStarting(Notice, frozen=True):
-    """The settings are read and the process begins."""
+    """The settings have been read and the process starts."""
 
     cluster: str
 
 
 class SettingAdjusted(Notice, frozen=True):
-    """A setting could not be used as the platform gave it."""
+    """A setting of the platform was invalid and was replaced by the nearest valid value."""
 
     level = "warning"
     key: str
@@ -86,7 +86,7 @@
 
 
 class ProcessNotStarted(Notice, frozen=True):
-    """An address, file or folder of the settings can't be used; the process ends."""
+    """An address, file or folder of the settings is unusable; the process exits."""
 
     level = "error"
     reason: str
@@ -180,11 +180,11 @@
 
 def _read(role: str, kind: type[Kind], path: Path | None, arguments: Arguments) -> Kind:
     loaded = load_settings(kind, path, collect_flags(kind, arguments))
-    return _usable(role, path, loaded)
+    return _loaded_or_exit(role, path, loaded)
 
 
-def _usable(role: str, path: Path | None, loaded: Result[Read, Problems]) -> Read:
-    """Give what was read; settings that can't be used end the command with the reasons."""
+def _loaded_or_exit(role: str, path: Path | None, loaded: Result[Read, Problems]) -> Read:
+    """Return the loaded settings; if they are unusable, show the reasons and exit."""
     if isinstance(loaded, Failure):
         stop_with(settings_failed(role, path, loaded.failure()), as_json=False)
     return loaded.unwrap()
@@ -200,13 +200,13 @@
     role: str, kind: type[Kind], path: Path | None, arguments: Arguments
 ) -> AdjustedSettings[Kind]:
     loaded = load_adjusted_settings(kind, path, collect_flags(kind, arguments))
-    return _usable(role, path, loaded)
+    return _loaded_or_exit(role, path, loaded)
 
 
 def _watch(
     kind: type[Kind], path: Path | None, current: Kind, adjusts: bool
 ) -> SettingsWatch[Kind] | None:
-    """Follow the settings file of a process, if it has one."""
+    """Return a watch of the process's settings file, None if it has no file."""
     return None if path is None else SettingsWatch(kind, path, current, adjusts)
 
 
@@ -223,23 +223,23 @@
 
 
 class Announcer:
-    """Tells once that the process is ready."""
+    """Callback that announces that the process is ready."""
 
     def __init__(self) -> None:
-        """Begin before the process is ready."""
+        """Start in the state before the process is ready."""
         self.is_ready = False
 
     def __call__(self, port: int) -> None:
-        """Log the port and print it for whoever started the process."""
+        """Log the port, and print it on standard output for the parent process."""
         self.is_ready = True
         write_notice(ProcessReady(port))
         show_json({"event": "process_ready", "port": port})
 
 
 def _run(work: Callable[[OnReady], Coroutine[Any, Any, None]]) -> None:
-    """Run a process to its planned stop; one that can't start says why."""
+    """Run a process until its planned stop; log the reason and exit if it can't start."""
     announcer = Announcer()
-    _collect_seldom()
+    _limit_garbage_collection()
     try:
         with asyncio.Runner(loop_factory=BootClockLoop) as runner:
             runner.run(work(announcer))
@@ -251,10 +251,10 @@
     write_notice(ProcessStopped())
 
 
-def _collect_seldom() -> None:
-    """Leave what was imported out of every collection, and collect seldom from now on."""
+def _limit_garbage_collection() -> None:
+    """Exclude imported objects from garbage collection, and enable it with thresholds."""
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
     gc.enable()
 
 
--- a/src/peppershore/command/settings_commands.py
+++ b/src/peppershore/command/settings_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore settings``: checks a settings file, or shows an example of one."""
+"""``peppershore settings``: checks a settings file or shows an example."""
 
 from __future__ import annotations
 
--- a/src/peppershore/command/settings_flags.py
+++ b/src/peppershore/command/settings_flags.py
@@ -1,8 +1,8 @@
-"""Flags for every setting of a role, made from the role's settings type.
+"""Flags for the settings of a role, generated from the role's settings type.
 
-A scalar setting ``data_folder`` becomes ``--data-folder``.  A list of tables
+A scalar setting ``data_folder`` becomes ``--data-folder``. A list of tables
 becomes a repeatable flag, such as ``--replicas name=c1,address=127.0.0.1:7001``.
-The flag's value goes to the settings loader, which judges it like a file's.
+The settings loader validates a flag's value like a value from the settings file.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def settings_flags(role: str) -> Callable[[Command], Command]:
-    """Give a decorator that adds a flag for every setting of ``role`` but nested ones."""
+    """Return a decorator that adds a flag for each setting of ``role`` but nested ones."""
     shown = meanings(role)
 
     def decorate(command: Command) -> Command:
@@ -38,7 +38,7 @@
 
 
 def collect_flags(kind: type[SettingsValue], arguments: dict[str, Any]) -> dict[str, Any]:
-    """Give the flags that were set, in the shape of the settings file."""
+    """Return the values of the given flags, structured like the settings file."""
     flags: dict[str, Any] = {}
     for field in msgspec.structs.fields(kind):
         if field.name == TLS_FIELD:
@@ -47,7 +47,7 @@
         value = arguments.get(field.name)
         if value is None or value == ():
             continue
-        if _is_texts(field):
+        if _is_text_list(field):
             flags[field.name] = list(value)
         elif _is_list(field):
             flags[field.name] = [_table(item) for item in value]
@@ -63,7 +63,7 @@
             for part in msgspec.structs.fields(TlsFiles)
         ]
     flag = _flag(field.name)
-    if _is_texts(field):
+    if _is_text_list(field):
         return [click.option(flag, multiple=True, help=meaning)]
     if _is_nested(field) or _is_table(field):
         return []
@@ -85,7 +85,7 @@
 
 
 def _table(text: str) -> dict[str, str] | str:
-    """Read ``name=a,address=b``; text of another form goes on as it is."""
+    """Parse ``name=a,address=b``; return text of any other form unchanged."""
     parts = [part.partition("=") for part in text.split(",")]
     if not all(separator for _, separator, _ in parts):
         return text
@@ -102,18 +102,18 @@
     return typing.get_origin(field.type) is tuple
 
 
-def _is_texts(field: FieldInfo) -> bool:
+def _is_text_list(field: FieldInfo) -> bool:
     return bool(field.type == tuple[str, ...])
 
 
 def _is_table(field: FieldInfo) -> bool:
-    """Tell an optional table of settings: it stands in a file only."""
+    """Return whether the field is an optional table, which only a file can hold."""
     kinds = [kind for kind in typing.get_args(field.type) if isinstance(kind, type)]
     return any(issubclass(kind, SettingsValue) for kind in kinds) and not _is_list(field)
 
 
 def _is_nested(field: FieldInfo) -> bool:
-    """Tell a list of tables that hold lists: it has no form on one line."""
+    """Return whether the field is a list of tables that hold lists, which has no flag."""
     if not _is_list(field):
         return False
     element = typing.get_args(field.type)[0]
--- a/src/peppershore/command/settings_output.py
+++ b/src/peppershore/command/settings_output.py
@@ -1,4 +1,4 @@
-"""Turns problems of settings into a command's failure."""
+"""Conversion of settings problems into the failure of a command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def settings_failed(
     role: str, path: Path | None, problems: tuple[SettingProblem, ...]
 ) -> Failed:
-    """Give all problems of one role's settings as one failure."""
+    """Return one failure that lists all problems of a role's settings."""
     source = str(path) if path is not None else "the flags"
     shown = tuple(Problem(item.key, item.reason, item.allowed) for item in problems)
     return Failed(
--- a/src/peppershore/command/status_commands.py
+++ b/src/peppershore/command/status_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore status``: what is in force, and who lags and why."""
+"""``peppershore status``: the version in force, and which nodes lag and why."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 async def read_status(group: ControlGroup) -> Result[StatusAnswered, Failed]:
-    """Ask for the state of the cluster: the leader knows most, else any replica."""
+    """Return the cluster's state from the leader, which knows most, else any replica."""
     answer = await ask(group, StatusQuery(), StatusAnswered)
     if isinstance(answer, Failure):
         return Failure(answer.failure().failed)
@@ -52,7 +52,7 @@
 
 
 def format_status(answer: StatusAnswered) -> str:
-    """Give the state of the cluster as tables, what needs a look last."""
+    """Return the state of the cluster as tables, followed by remarks on problems."""
     parts = [
         f"cluster {answer.cluster}: version {answer.version}, in force {answer.in_force}, "
         f"leader {answer.leader or 'unknown'}, answered by {answer.replica}",
@@ -71,7 +71,7 @@
 
 
 def replica_rows(answer: StatusAnswered) -> list[tuple[object, ...]]:
-    """Give a row of ``REPLICA_HEADER`` for each replica."""
+    """Return a row for each replica, with the columns of ``REPLICA_HEADER``."""
     return [
         (
             item.replica,
--- a/src/peppershore/command/tenant_commands.py
+++ b/src/peppershore/command/tenant_commands.py
@@ -1,7 +1,7 @@
-"""``peppershore tenant``: who may call by which keys, how much and how urgently.
+"""``peppershore tenant``: the keys, limits and priority of each tenant.
 
-Keys are read from a file or standard input, never taken from the command line, and
-shown by their fingerprints only.
+Keys are read from a file or standard input, never accepted on the command line, and
+only their fingerprints are shown.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 )
 
 UNSET_NAMES = {"rate": "rate_per_second", "burst": "burst", "priority": "priority"}
-"""What ``--unset`` takes, and the limit that is inherited again."""
+"""Values of ``--unset``, and the limit of the tenant that each one clears."""
 
-_FIGURE = click.FloatRange(0, MAXIMUM_FIGURE)
+_LIMIT_TYPE = click.FloatRange(0, MAXIMUM_FIGURE)
 
 
 class TenantExplanation(msgspec.Struct, frozen=True):
-    """What holds for a tenant at a version, and from where; its keys' fingerprints."""
+    """Effective limits of a tenant at a version with their origins; key fingerprints."""
 
     tenant: str
     version: Version
@@ -63,8 +63,10 @@
 
 @tenant.command(name="set")
 @click.argument("name")
-@click.option("--rate", type=_FIGURE, help="Calls a second over all nodes; 0: no limit.")
-@click.option("--burst", type=_FIGURE, help="Calls on top of the rate.")
+@click.option(
+    "--rate", type=_LIMIT_TYPE, help="Calls a second over all nodes; 0: no limit."
+)
+@click.option("--burst", type=_LIMIT_TYPE, help="Calls on top of the rate.")
 @click.option("--priority", type=click.IntRange(*PRIORITIES), help="0 is most urgent.")
 @click.option(
     "--unset",
@@ -107,14 +109,16 @@
     brings limits back, and never a key.
     """
     limits = {
-        UNSET_NAMES[key]: whole(value) for key, value in given.items() if value is not None
+        UNSET_NAMES[key]: integral_to_int(value)
+        for key, value in given.items()
+        if value is not None
     }
     cleared = {UNSET_NAMES[key] for key in unset}
     if both := cleared & limits.keys():
         message = f"{', '.join(sorted(both))} can't be set and unset at once"
         stop_with(usage(message, "give one of the two"), context.as_json)
-    add = _value(context, read_keys(sources))
-    dropped = _value(context, fingerprints(drop))
+    add = _value_or_exit(context, read_keys(sources))
+    dropped = _value_or_exit(context, fingerprints(drop))
     tree = context.run(read_tree(context.group))
     known = tree.tenants.get(name)
     kept = {} if known is None else given_limits(known)
@@ -176,15 +180,15 @@
 
 
 def explain_tenant(tree: Tree, name: str) -> TenantExplanation:
-    """Give what holds for a tenant of the tree; no key material."""
+    """Return the effective limits of a tenant and its keys' fingerprints."""
     (shown,) = (item for item in view_tree(tree).tenants if item.name == name)
     return TenantExplanation(
         name, tree.version, limit_origins(tree, name), shown.fingerprints
     )
 
 
-def whole(value: Any) -> Any:
-    """Give a whole number as one: the same limit is given back in the same form."""
+def integral_to_int(value: Any) -> Any:
+    """Convert an integral float to an int, so that a limit is shown as it was entered."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
@@ -194,7 +198,7 @@
         stop_with(not_found(f"the tenant {name}", step), context.as_json)
 
 
-def _value(context: OperatorContext, result: Any) -> Any:
+def _value_or_exit(context: OperatorContext, result: Any) -> Any:
     if isinstance(result, Failure):
         failed: Failed = result.failure()
         stop_with(failed, context.as_json)
--- a/src/peppershore/command/tenant_keys.py
+++ b/src/peppershore/command/tenant_keys.py
@@ -1,4 +1,4 @@
-"""Keys and fingerprints as operators give them; no message holds what was given."""
+"""Reader of keys and fingerprints from operators; no message repeats the input."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 )
 
 MAXIMUM_FILE_BYTES = MAXIMUM_KEYS_OF_TENANT * (MAXIMUM_KEY_BYTES + 2)
-"""As many keys as a tenant may have, with a line's end each."""
+"""Size of the most keys that a tenant may have, each with a two-byte line ending."""
 
 
 def read_keys(sources: tuple[str, ...]) -> Result[tuple[str, ...], Failed]:
-    """Read a key from each line of each file; "-" is standard input."""
+    """Read one key from each line of each file; "-" is standard input."""
     keys: list[str] = []
     for number, source in enumerate(sources, 1):
         found = _keys_in(source, f"file {number} of --add-key")
@@ -28,7 +28,7 @@
 
 
 def fingerprints(given: tuple[str, ...]) -> Result[tuple[str, ...], Failed]:
-    """Check that these are fingerprints: a key given in their place goes no further."""
+    """Return fingerprints after a check, so that a key given by mistake is not sent."""
     if not all(map(is_fingerprint, given)):
         message = "--drop-key takes a fingerprint, such as sha256:01234567, and no key"
         step = "`peppershore tenant show` has the fingerprints"
--- a/src/peppershore/command/tenant_usage_command.py
+++ b/src/peppershore/command/tenant_usage_command.py
@@ -1,4 +1,4 @@
-"""``peppershore tenants``: how tenants use their limits, as the leader counts them."""
+"""``peppershore tenants``: usage of the tenants' limits, as counted by the leader."""
 
 from __future__ import annotations
 
@@ -46,20 +46,20 @@
 
 
 async def read_usage(group: ControlGroup) -> Result[TenantUsageAnswered, Failed]:
-    """Ask the leader, by way of any replica."""
+    """Return the usage from the leader, which is found through any replica."""
     answer = await ask(group, TenantUsageQuery(), TenantUsageAnswered)
     return answer.alt(lambda unanswered: unanswered.failed)
 
 
 def format_usage(answer: TenantUsageAnswered) -> str:
-    """Give a row for each tenant with a limit, those at their limit first."""
+    """Return a table of the tenants with a limit, highest use of the limit first."""
     if not answer.is_counted:
         return "no limits are counted: the control group has no [quotas] in its settings"
     head = f"counted by {answer.replica} for {answer.seconds:.0f} s"
     if not answer.tenants:
         return f"{head}: no tenant has a limit"
     admitted = sum(each.admitted for each in answer.tenants)
-    ordered = sorted(answer.tenants, key=lambda each: (-_part(each), each.tenant))
+    ordered = sorted(answer.tenants, key=lambda each: (-_used_fraction(each), each.tenant))
     return f"{head}\n{format_table(HEADER, [_row(each, admitted) for each in ordered])}"
 
 
@@ -70,7 +70,7 @@
         f"{use.used_per_second:.1f}",
         f"{use.rate_per_second:g}",
         f"{use.burst:g}",
-        f"{PERCENT * _part(use):.0f}%",
+        f"{PERCENT * _used_fraction(use):.0f}%",
         use.admitted,
         use.refused,
         f"{PERCENT * share:.1f}%",
@@ -78,5 +78,5 @@
     )
 
 
-def _part(use: TenantUsage) -> float:
+def _used_fraction(use: TenantUsage) -> float:
     return use.used_per_second / use.rate_per_second if use.rate_per_second else 0.0
--- a/src/peppershore/command/trace_command.py
+++ b/src/peppershore/command/trace_command.py
@@ -1,4 +1,4 @@
-"""``peppershore trace``: what the processes wrote of one request, in order."""
+"""``peppershore trace``: the log lines of all processes on one request, in order."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class TraceRow(msgspec.Struct, frozen=True):
-    """One decision; the time counts from when the request was first read."""
+    """One decision; its time counts from when the request was first read."""
 
     at_milliseconds: int
     process: str
@@ -50,7 +50,7 @@
 
 
 def _rows(line: LogLine, start: int) -> list[TraceRow]:
-    """Give a row for each step of a line, and one for its end."""
+    """Return a row for each step in a log line, and one for the outcome."""
     began = line.time - line.milliseconds - start
     rows = [_step_row(line.process, began, step) for step in line.steps]
     at = line.time - start
--- a/src/peppershore/command/tree_commands.py
+++ b/src/peppershore/command/tree_commands.py
@@ -35,9 +35,9 @@
 
 
 class TreeCommands(LazyGroup):
-    """The commands of this module, and those about files and versions."""
+    """Commands of this module, and lazily those about files and versions."""
 
-    places = {
+    locations = {
         name: f"peppershore.command.tree_file_commands:{name}"
         for name in ("diff", "edit", "history", "load", "revert", "save", "validate")
     }
@@ -156,7 +156,7 @@
 
 
 def _check_path(context: OperatorContext, path: str) -> None:
-    """Stop on what can be no path, before anything is asked."""
+    """Exit with a usage error if the path is malformed, before any request is sent."""
     parsed = parse_path(path)
     if isinstance(parsed, Failure):
         failed = usage("the path can't be read", SHOW_STEP, (parsed.failure(),))
--- a/src/peppershore/command/tree_file_commands.py
+++ b/src/peppershore/command/tree_file_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore tree``: files, versions and several operations at once."""
+"""``peppershore tree``: commands for files, versions and edits of many operations."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class TwoTrees(msgspec.Struct, frozen=True):
-    """Two trees to compare."""
+    """Two trees to be compared."""
 
     before: Tree
     after: Tree
@@ -91,7 +91,7 @@
     Secrets that the file names and does not hold are taken as missing; `tree
     load --dry-run` checks the file against the cluster.
     """
-    text = _value(read_text(path), as_json)
+    text = _value_or_exit(read_text(path), as_json)
     found = tree_from_toml(text)
     if isinstance(found, Failure):
         failed = invalid(f"{path} holds no valid tree", found.failure(), "mend the file")
@@ -117,10 +117,10 @@
 
     A file without a table of secrets leaves the secrets as they are; tenants stay.
     """
-    text = _value(read_text(path), context.as_json)
+    text = _value_or_exit(read_text(path), context.as_json)
     current = context.run(read_tree(context.group))
-    wanted = _value(_tree_in(path, text, current), context.as_json)
-    _make_equal(context, names, TwoTrees(current, wanted), dry_run)
+    wanted = _value_or_exit(_read_target_tree(path, text, current), context.as_json)
+    _apply_difference(context, names, TwoTrees(current, wanted), dry_run)
 
 
 @click.command()
@@ -164,7 +164,7 @@
     wanted = TwoTrees(before=trees.after, after=trees.before)
     comment = names.comment or f"revert to version {version}"
     named = msgspec.structs.replace(names, comment=comment)
-    _make_equal(context, named, wanted, dry_run)
+    _apply_difference(context, named, wanted, dry_run)
 
 
 @click.command()
@@ -186,8 +186,8 @@
     path = "/kassa"
     names = ["slots"]
     """
-    text = _value(read_text(path), context.as_json)
-    file: EditFile = _value(parse_edit_file(text), context.as_json)
+    text = _value_or_exit(read_text(path), context.as_json)
+    file: EditFile = _value_or_exit(parse_edit_file(text), context.as_json)
     named = msgspec.structs.replace(names, comment=names.comment or file.comment)
     run_edit(context, named, *file.operations)
 
@@ -204,7 +204,7 @@
     return Success(TwoTrees(first.unwrap(), second.unwrap()))
 
 
-def _tree_in(path: Path, text: str, current: Tree) -> Result[Tree, Failed]:
+def _read_target_tree(path: Path, text: str, current: Tree) -> Result[Tree, Failed]:
     found = tree_from_toml(text, current.secrets, current.tenants)
     if isinstance(found, Failure):
         step = "mend the file; nothing was sent"
@@ -217,10 +217,13 @@
     return Success(wanted)
 
 
-def _make_equal(
+def _apply_difference(
     context: OperatorContext, names: EditNames, trees: TwoTrees, dry_run: bool
 ) -> None:
-    """Send one edit that gives ``trees.before`` the content of ``trees.after``."""
+    """Send one edit that turns ``trees.before`` into ``trees.after``.
+
+    With ``dry_run``, or without a difference, only show the differences.
+    """
     differences = compare_trees(trees.before, trees.after)
     operations = revert_operations(trees.before, trees.after)
     if not operations and names.change_id and not dry_run:
@@ -231,15 +234,16 @@
     if dry_run or not operations:
         _show_differences(context, trees, differences)
         return
-    _stop_without_material(context, operations)
+    _require_material(context, operations)
     request = edit_request(context, names, operations)
     send_edit(context, names, submit_on(context.group, request, trees.before))
 
 
-def _stop_without_material(
-    context: OperatorContext, operations: tuple[Operation, ...]
-) -> None:
-    """Stop where something can't be made: operators never get material back."""
+def _require_material(context: OperatorContext, operations: tuple[Operation, ...]) -> None:
+    """Exit with a failure if operations need key material.
+
+    Replicas never return material to operators, so it can't be restored from here.
+    """
     secrets = _secrets_without_material(operations)
     if secrets:
         message = f"the material of {secrets} is no longer in the tree and can't come back"
@@ -292,7 +296,7 @@
     show_table(("SUBJECT", "CHANGE", "SETTING", "BEFORE", "AFTER"), rows)
 
 
-def _value(result: Result[Any, Failed], as_json: bool) -> Any:
+def _value_or_exit(result: Result[Any, Failed], as_json: bool) -> Any:
     if isinstance(result, Failure):
         stop_with(result.failure(), as_json)
     return result.unwrap()
--- a/src/peppershore/command/tree_output.py
+++ b/src/peppershore/command/tree_output.py
@@ -1,5 +1,7 @@
-"""How trees are shown; no key material: secrets by name, generations and revision,
-tenants' keys by fingerprint."""
+"""Trees as shown, without key material.
+
+Secrets are shown by name, generations and revision, tenants' keys by fingerprint.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
 
 
 class SecretView(msgspec.Struct, frozen=True):
-    """A secret as shown: everything but its material."""
+    """A secret as shown, without its material."""
 
     name: str
     generations: tuple[int, ...]
@@ -37,7 +39,7 @@
 
 
 class TenantView(msgspec.Struct, frozen=True):
-    """A tenant as shown: what it sets itself, and the fingerprints of its keys."""
+    """A tenant as shown: the limits that it sets itself, and its key fingerprints."""
 
     name: str
     limits: dict[str, object]
@@ -57,7 +59,7 @@
 
 
 def view_tree(tree: Tree, below: str = ROOT_PATH) -> TreeView:
-    """Give the shown form of a tree, or of the part at and below a path."""
+    """Return the view of a tree, with only the nodes at and below a path."""
     return TreeView(
         cluster=tree.cluster,
         version=tree.version,
@@ -80,7 +82,7 @@
 
 
 def view_secret(name: str, secret: Secret) -> SecretView:
-    """Give the shown form of a secret."""
+    """Return the view of a secret."""
     return SecretView(
         name=name,
         generations=tuple(item.generation for item in secret.generations),
@@ -91,7 +93,7 @@
 
 
 def view_tenant(name: str, tenant: Tenant) -> TenantView:
-    """Give the shown form of a tenant."""
+    """Return the view of a tenant."""
     return TenantView(
         name=name,
         limits=given_limits(tenant),
@@ -101,7 +103,7 @@
 
 
 def is_within(path: str, below: str) -> bool:
-    """Tell whether ``path`` is ``below`` or lies under it."""
+    """Return whether ``path`` equals ``below`` or is under it."""
     return below in (ROOT_PATH, path) or path.startswith(below + "/")
 
 
@@ -109,7 +111,7 @@
 
 
 def tenant_rows(tenants: tuple[TenantView, ...]) -> list[tuple[object, ...]]:
-    """Give a row for each tenant, with what it sets itself; the rest is inherited."""
+    """Return a row for each tenant with the limits it sets; the rest is inherited."""
     return [
         (
             item.name,
@@ -122,7 +124,7 @@
 
 
 def node_rows(view: TreeView) -> list[tuple[object, ...]]:
-    """Give a row for each override: path, revision, setting, value."""
+    """Return a row for each override: path, revision, setting, value."""
     rows: list[tuple[object, ...]] = []
     for node in view.nodes:
         if not node.overrides:
--- a/src/peppershore/command/values.py
+++ b/src/peppershore/command/values.py
@@ -1,4 +1,4 @@
-"""Reads KEY=VALUE arguments as overrides of a tree node; all problems at once."""
+"""Parser and formatter of KEY=VALUE arguments for the overrides of a tree node."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 OVERRIDE_NAMES: tuple[str, ...] = tuple(
     name for name in Overrides.__struct_fields__ if name not in ROLLOUT_FIELDS
 )
-"""The settings that operators give; those of roll-outs are the control group's own."""
+"""Settings that operators may set; only the control group sets those of roll-outs."""
 
 LIST_SEPARATOR = ","
-_TRUE_WORDS = frozenset({"true", "yes", "on", "1"})
-_FALSE_WORDS = frozenset({"false", "no", "off", "0"})
-_HINTS = typing.get_type_hints(Overrides)
+_TRUE_TEXTS = frozenset({"true", "yes", "on", "1"})
+_FALSE_TEXTS = frozenset({"false", "no", "off", "0"})
+_TYPE_HINTS = typing.get_type_hints(Overrides)
 
 
 def read_assignments(
     assignments: tuple[str, ...],
 ) -> Result[Overrides, tuple[Problem, ...]]:
-    """Read all KEY=VALUE arguments; a key given twice is a problem."""
+    """Parse KEY=VALUE arguments; a failure lists all problems, such as repeated keys."""
     values: dict[str, Any] = {}
     problems: list[Problem] = []
     for assignment in assignments:
@@ -46,13 +46,13 @@
 
 
 def format_assignments(overrides: Overrides) -> tuple[str, ...]:
-    """Give overrides as the KEY=VALUE arguments that would set them."""
+    """Return overrides as the KEY=VALUE arguments that would set them."""
     values = set_values(without_rollout(overrides))
     return tuple(f"{name}={_format_value(value)}" for name, value in values.items())
 
 
 def describe_type(name: str) -> str:
-    """Say in words what a setting may hold."""
+    """Return a text that describes the values that a setting accepts."""
     kind = _value_type(name)
     if kind is bool:
         return "true or false"
@@ -60,8 +60,8 @@
         return "a whole number"
     if typing.get_origin(kind) is tuple:
         element = typing.get_args(kind)[0]
-        return f"a list with commas of {_words(element)}"
-    return _words(kind)
+        return f"a list with commas of {_type_text(element)}"
+    return _type_text(kind)
 
 
 def _format_value(value: object) -> str:
@@ -76,7 +76,7 @@
     kind = _value_type(name)
     raw: Any = text
     if kind is bool:
-        raw = _read_switch(text)
+        raw = _read_boolean(text)
     elif typing.get_origin(kind) is tuple:
         raw = [item.strip() for item in text.split(LIST_SEPARATOR) if item.strip()]
     try:
@@ -86,21 +86,21 @@
         return None
 
 
-def _read_switch(text: str) -> bool | str:
+def _read_boolean(text: str) -> bool | str:
     word = text.lower()
-    if word in _TRUE_WORDS:
+    if word in _TRUE_TEXTS:
         return True
-    return False if word in _FALSE_WORDS else text
+    return False if word in _FALSE_TEXTS else text
 
 
 def _value_type(name: str) -> Any:
-    """Give the type of a setting without "or unset"."""
-    hint = _HINTS[name]
+    """Return the type of a setting without ``UnsetType``."""
+    hint = _TYPE_HINTS[name]
     kinds = [kind for kind in typing.get_args(hint) if kind is not msgspec.UnsetType]
     return kinds[0] if len(kinds) == 1 else typing.Union[tuple(kinds)]  # noqa: UP007
 
 
-def _words(kind: Any) -> str:
+def _type_text(kind: Any) -> str:
     if typing.get_origin(kind) is typing.Literal:
         return " | ".join(str(choice) for choice in typing.get_args(kind))
     return "text" if kind is str else "a whole number"
--- a/src/peppershore/command/version_times.py
+++ b/src/peppershore/command/version_times.py
@@ -1,10 +1,10 @@
-"""When versions came into use, worked out from the lines of hubs and nodes of a time.
+"""Time until nodes use a version, derived from the log lines of hubs and nodes.
 
-A version counts from the moment at which its operator was told that it is taken (by the
-line of the replica that answered), else from its acceptance, until each node that ran all
-the while uses it or a later one.  What a node waited for is split into three parts, so
-that a relay that is behind, a node without a relay and a slow way between them can be told
-apart.
+The wait for a version starts when its operator received the acknowledgement (by the log
+line of the replica that answered), else at its acceptance. It ends when a node uses this
+version or a later one; only nodes that ran throughout count. Each wait is split into three
+parts: the relay lacked the version, the node had no relay, and the path between relay and
+node.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 from peppershore.command.log_files import LogLine
 
-STARTING = "process_starting"
-ACCEPTED = "edit_accepted"
-JUDGED = "release_judged"
-TAKEN = "taken"
+PROCESS_STARTING = "process_starting"
+EDIT_ACCEPTED = "edit_accepted"
+RELEASE_DECIDED = "release_judged"
+RELEASE_ACCEPTED = "taken"
 NODE_ROLE = "node"
 RELAY_EVENTS = frozenset(("tree_advanced", "tree_loaded"))
 
 RELAY_BEHIND = "relay behind"
 NO_RELAY = "without relay"
-ON_THE_WAY = "on the way"
+IN_TRANSIT = "on the way"
 
-HALF = 0.5
-NEARLY_ALL = 0.99
+MEDIAN = 0.5
+PERCENTILE_99 = 0.99
 
 
 class NodeWait(msgspec.Struct, frozen=True):
-    """How long one node waited for a version, and for what; times in milliseconds.
+    """Wait of one node for a version, and its parts, in milliseconds.
 
-    ``relay_behind`` is the time in which the relay in use at that moment lacked the
-    version, ``without_relay`` that in which there was none, ``on_the_way`` what is left:
-    the link and the node itself.  ``relay`` is the one in use at the end.  ``used`` is
-    false for a node that wrote lines past the bound and did not use the version by its
-    last one.
+    ``relay_behind`` is the time in which the node's current relay lacked the version,
+    ``without_relay`` the time without a relay, and ``on_the_way`` the rest, spent on the
+    link and in the node itself. ``relay`` is the relay in use at the end. ``used`` is
+    false for a node that logged lines past the bound and did not use the version by its
+    last line.
     """
 
     node: str
@@ -52,19 +52,21 @@
 
     @property
     def cause(self) -> str:
-        """The longest part of the wait."""
+        """Name of the longest part of the wait."""
         parts = {
             RELAY_BEHIND: self.relay_behind,
             NO_RELAY: self.without_relay,
-            ON_THE_WAY: self.on_the_way,
+            IN_TRANSIT: self.on_the_way,
         }
         return max(parts, key=lambda part: parts[part])
 
 
 class VersionWaits(msgspec.Struct, frozen=True):
-    """One version: Unix milliseconds of its acknowledgement, and the waits of its nodes.
+    """Waits of the nodes for one version.
 
-    ``late`` are the waits beyond the bound, the longest first; ``last`` is the longest.
+    ``acknowledged_at`` is Unix milliseconds. ``half_milliseconds`` and
+    ``nearly_all_milliseconds`` are the 50th and 99th percentile of the waits. ``late`` are
+    the waits beyond the bound, longest first; ``last`` is the longest wait.
     """
 
     version: int
@@ -76,29 +78,29 @@
     late: tuple[NodeWait, ...]
 
 
-class _Life:
-    """One life of a node's process: versions used and relays, by time."""
+class _Incarnation:
+    """One run of a node's process: versions and relays that it used, by time."""
 
-    def __init__(self, node: str, begun_at: int) -> None:
+    def __init__(self, node: str, started_at: int) -> None:
         self.node = node
-        self.begun_at = begun_at
-        self.last_line_at = begun_at
+        self.started_at = started_at
+        self.last_line_at = started_at
         self.used: list[tuple[int, int]] = []
         self.relays: list[tuple[int, str]] = []
 
     def used_at(self, version: int) -> int | None:
-        """Give when this version or a later one was used first."""
+        """Return when this version or a later one was first used, None if never."""
         for at, used in self.used:
             if used >= version:
                 return at
         return None
 
     def uses(self, relay: object) -> bool:
-        """Tell whether this relay is the one in use by the lines so far."""
+        """Return whether this relay is in use according to the lines so far."""
         return bool(self.relays) and self.relays[-1][1] == relay
 
     def relays_between(self, begin: int, end: int) -> list[tuple[int, int, str]]:
-        """Give the relays in use one after the other: from, until, name ("": none)."""
+        """Return the relays used in turn, as (from, until, name); "" for no relay."""
         before = [relay for at, relay in self.relays if at <= begin]
         changes = [(begin, before[-1] if before else "")]
         changes += [change for change in self.relays if begin < change[0] < end]
@@ -108,39 +110,42 @@
         ]
 
 
-class _Story:
-    """What the lines tell of all processes."""
+class _Timeline:
+    """Events of all processes, collected from their log lines."""
 
     def __init__(self) -> None:
         self.accepted: dict[int, tuple[int, str]] = {}
-        self.taken: dict[str, int] = {}
-        self.lives: list[_Life] = []
+        self.release_accepted: dict[str, int] = {}
+        self.incarnations: list[_Incarnation] = []
         self.reached: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
-        self._current: dict[str, _Life] = {}
+        self._current: dict[str, _Incarnation] = {}
 
-    def take(self, line: LogLine) -> None:
-        """Note one line; lines come by time."""
+    def add_line(self, line: LogLine) -> None:
+        """Record one line; lines must be added in order of time."""
         fields = line.fields
         if line.role == NODE_ROLE:
-            self._take_node(line)
-        elif line.event == ACCEPTED:
+            self._add_node_line(line)
+        elif line.event == EDIT_ACCEPTED:
             version = _number(fields.get("version"))
             self.accepted.setdefault(version, (line.time, str(fields.get("change_id"))))
-        elif line.event == JUDGED and line.outcome == TAKEN:
-            self.taken.setdefault(str(fields.get("change_id")), line.time)
+        elif line.event == RELEASE_DECIDED and line.outcome == RELEASE_ACCEPTED:
+            self.release_accepted.setdefault(str(fields.get("change_id")), line.time)
         elif line.event in RELAY_EVENTS:
             version = _number(fields.get("version"))
             self.reached[line.process].append((version, line.time))
 
     def acknowledged(self) -> dict[int, int]:
-        """Give when each version was acknowledged, or accepted where nobody was told."""
+        """Return when each version was acknowledged, else when it was accepted."""
         return {
-            version: self.taken.get(change_id, at)
+            version: self.release_accepted.get(change_id, at)
             for version, (at, change_id) in self.accepted.items()
         }
 
     def relay_reached(self, relay: str, version: int, since: int) -> int | None:
-        """Give when a relay had a version: itself, or the process that is its host's."""
+        """Return when a relay reached a version, not before ``since``; None if never.
+
+        A relay without lines of its own is looked up by the process of its host.
+        """
         for name in (relay, relay.rpartition(":")[0]):
             for reached, at in self.reached.get(name, ()):
                 if reached >= version and at >= since:
@@ -149,63 +154,72 @@
                     return since
         return None
 
-    def _take_node(self, line: LogLine) -> None:
-        if line.event == STARTING or line.process not in self._current:
-            self._current[line.process] = _Life(line.process, line.time)
-            self.lives.append(self._current[line.process])
-        life = self._current[line.process]
-        life.last_line_at = line.time
+    def _add_node_line(self, line: LogLine) -> None:
+        if line.event == PROCESS_STARTING or line.process not in self._current:
+            self._current[line.process] = _Incarnation(line.process, line.time)
+            self.incarnations.append(self._current[line.process])
+        incarnation = self._current[line.process]
+        incarnation.last_line_at = line.time
         if line.event == "version_applied":
-            life.used.append((line.time, _number(line.fields.get("version"))))
+            incarnation.used.append((line.time, _number(line.fields.get("version"))))
         elif line.event == "relay_chosen":
-            life.relays.append((line.time, str(line.fields.get("relay"))))
-        elif line.event == "relay_left" and life.uses(line.fields.get("relay")):
-            life.relays.append((line.time, ""))
+            incarnation.relays.append((line.time, str(line.fields.get("relay"))))
+        elif line.event == "relay_left" and incarnation.uses(line.fields.get("relay")):
+            incarnation.relays.append((line.time, ""))
 
 
 def version_times(
     lines: Iterable[LogLine], bound_milliseconds: int
 ) -> tuple[VersionWaits, ...]:
-    """Give every version that nodes waited for, oldest first."""
-    story = _Story()
+    """Return the waits for every version that nodes waited for, oldest first."""
+    timeline = _Timeline()
     for line in lines:
-        story.take(line)
+        timeline.add_line(line)
     found: list[VersionWaits] = []
-    for version, acknowledged_at in sorted(story.acknowledged().items()):
-        waits = _waits(story, version, acknowledged_at, bound_milliseconds)
+    for version, acknowledged_at in sorted(timeline.acknowledged().items()):
+        waits = _waits(timeline, version, acknowledged_at, bound_milliseconds)
         if waits:
             found.append(_summary(version, acknowledged_at, waits, bound_milliseconds))
     return tuple(found)
 
 
-def _waits(story: _Story, version: int, since: int, bound: int) -> list[NodeWait]:
-    """Give the waits of the nodes that ran from the acknowledgement past the bound."""
+def _waits(timeline: _Timeline, version: int, since: int, bound: int) -> list[NodeWait]:
+    """Return the waits of the nodes that used some version at the acknowledgement.
+
+    A node that logged nothing past the bound counts only if it used the version.
+    """
     waits: list[NodeWait] = []
-    for life in story.lives:
-        if life.begun_at > since or not life.used or life.used[0][0] > since:
+    for incarnation in timeline.incarnations:
+        if (
+            incarnation.started_at > since
+            or not incarnation.used
+            or incarnation.used[0][0] > since
+        ):
             continue
-        used_at = life.used_at(version)
-        if used_at is None and life.last_line_at < since + bound:
+        used_at = incarnation.used_at(version)
+        if used_at is None and incarnation.last_line_at < since + bound:
             continue
-        waits.append(_wait(story, life, version, since))
+        waits.append(_wait(timeline, incarnation, version, since))
     return waits
 
 
-def _wait(story: _Story, life: _Life, version: int, since: int) -> NodeWait:
-    used_at = life.used_at(version)
-    end = max(since, life.last_line_at if used_at is None else used_at)
+def _wait(
+    timeline: _Timeline, incarnation: _Incarnation, version: int, since: int
+) -> NodeWait:
+    used_at = incarnation.used_at(version)
+    end = max(since, incarnation.last_line_at if used_at is None else used_at)
     behind, without, on_the_way = 0, 0, 0
     relay = ""
-    for begin, until, relay in life.relays_between(since, end):
+    for begin, until, relay in incarnation.relays_between(since, end):
         if not relay:
             without += until - begin
             continue
-        reached = story.relay_reached(relay, version, since)
+        reached = timeline.relay_reached(relay, version, since)
         had_at = until if reached is None else min(max(reached, begin), until)
         behind += had_at - begin
         on_the_way += until - had_at
     return NodeWait(
-        node=life.node,
+        node=incarnation.node,
         relay=relay,
         milliseconds=end - since,
         used=used_at is not None,
@@ -225,15 +239,15 @@
         version=version,
         acknowledged_at=acknowledged_at,
         nodes=len(ordered),
-        half_milliseconds=_quantile(durations, HALF),
-        nearly_all_milliseconds=_quantile(durations, NEARLY_ALL),
+        half_milliseconds=_quantile(durations, MEDIAN),
+        nearly_all_milliseconds=_quantile(durations, PERCENTILE_99),
         last=ordered[-1],
         late=tuple(reversed(late)),
     )
 
 
 def _quantile(ordered: list[int], part: float) -> int:
-    """Give the least duration within which this part of all waits ended."""
+    """Return the shortest duration within which this fraction of all waits ended."""
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
 
 
--- a/src/peppershore/command/watch_command.py
+++ b/src/peppershore/command/watch_command.py
@@ -1,4 +1,4 @@
-"""``peppershore watch``: an edit taking effect, proxy by proxy."""
+"""``peppershore watch``: follows an edit until every proxy has applied it."""
 
 from __future__ import annotations
 
--- a/src/peppershore/command/watch_output.py
+++ b/src/peppershore/command/watch_output.py
@@ -1,4 +1,4 @@
-"""How a watch is shown: a line for what is new, or one JSON object for each answer."""
+"""Output of a watch: a text line for each change, or a JSON object for each answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class WatchLines:
-    """Turns the answers of a watch into lines: what is new since the answer before."""
+    """Conversion of a watch's answers into lines with what changed since the last one."""
 
     def __init__(self, wanted: Version = 0) -> None:
         """Watch for ``wanted``; 0: for the newest version of each answer."""
@@ -25,8 +25,8 @@
         self._relays: dict[str, str] = {}
         self._waiting: dict[str, LaggingNode] = {}
 
-    def take(self, step: WatchStep) -> list[str]:
-        """Give the lines that an answer adds."""
+    def new_lines(self, step: WatchStep) -> list[str]:
+        """Return the lines for what an answer changes."""
         status = step.status
         lines: list[str] = []
         self._wanted = self._given or status.version
@@ -55,7 +55,7 @@
         return self._changed(f"{relay.relay} ({relay.zone})", text)
 
     def _changed(self, relay: str, text: str) -> list[str]:
-        """Give a line unless the same was told of the relay before."""
+        """Return a line, or none if the relay's last line had the same text."""
         if self._relays.get(relay) == text:
             return []
         self._relays[relay] = text
@@ -75,7 +75,7 @@
 
 
 class WatchOutput:
-    """Shows a watch as it goes on."""
+    """Output of the answers of a watch as they arrive."""
 
     def __init__(self, as_json: bool, wanted: Version = 0) -> None:
         """Watch for ``wanted``; 0: for the newest version of each answer."""
@@ -83,11 +83,11 @@
         self._lines = WatchLines(wanted)
 
     def step(self, step: WatchStep) -> None:
-        """Show one answer at once."""
+        """Show one answer and flush the output."""
         if self._as_json:
             show_json(step)
         else:
-            for line in self._lines.take(step):
+            for line in self._lines.new_lines(step):
                 click.echo(line)
         sys.stdout.flush()
 
--- a/src/peppershore/command/watching.py
+++ b/src/peppershore/command/watching.py
@@ -1,4 +1,4 @@
-"""Follows a version, or every version, until it is in force on every node."""
+"""Watch of one version, or of every version, until it is in force on every node."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 MILLISECONDS_PER_SECOND = 1_000
 NEVER_IN_FORCE: Version = 2**62
-"""A version above all: a watch for it does not end by itself."""
+"""Version above all others; a watch for it does not end by itself."""
 
 
 class WatchStart(msgspec.Struct, frozen=True):
-    """What a watch counts from: a moment of the loop's clock and bytes sent by then.
+    """Start of a watch: a time of the event loop's clock, and the bytes sent until then.
 
-    ``control_bytes`` None takes what the first answer says.
+    If ``control_bytes`` is None, the bytes reported by the first answer are used.
     """
 
     at: float
@@ -31,17 +31,17 @@
 
 
 class WatchStep(msgspec.Struct, frozen=True):
-    """One answer of a watch and when it came."""
+    """One answer of a watch, and the time since its start."""
 
     elapsed_milliseconds: int
     status: StatusAnswered
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """How a version came into force.
+    """Result of a watch of a version that is in force.
 
-    ``convergence_milliseconds`` runs from the start of the watch;
-    ``control_bytes`` is what the relays sent to nodes in that time.
+    ``convergence_milliseconds`` is the time since the start of the watch;
+    ``control_bytes`` is the number of bytes that relays sent to nodes in that time.
     """
 
     version: Version
@@ -58,7 +58,7 @@
 async def watch_version(
     group: ControlGroup, wanted: Version, start: WatchStart, on_step: OnStep
 ) -> Result[WatchResult, Failed]:
-    """Tell ``on_step`` of each answer until ``wanted`` is in force or time is over."""
+    """Pass each answer to ``on_step`` until ``wanted`` is in force or time runs out."""
     loop = asyncio.get_running_loop()
     first_bytes = start.control_bytes
     last: StatusAnswered | None = None
@@ -80,21 +80,21 @@
 
 
 def control_bytes(status: StatusAnswered) -> int:
-    """Give what all relays have sent to their nodes."""
+    """Return the number of bytes that all relays have sent to their nodes."""
     return sum(relay.control_bytes for relay in status.relays)
 
 
 async def follow_versions(
     group: ControlGroup, on_step: OnStep, on_result: OnResult
 ) -> Result[None, Failed]:
-    """Tell of each answer and of each newest version that comes into force.
+    """Pass on each answer, and a result for each newest version that comes into force.
 
-    Ends only with a failure, when the group's time is over.  A version's time runs
+    Returns only a failure, when the group's time-out has passed. A version's time counts
     from the first answer that shows it.
     """
     loop = asyncio.get_running_loop()
     wanted: Version = 0
-    started, first_bytes, is_told = loop.time(), 0, True
+    started, first_bytes, is_reported = loop.time(), 0, True
     answers = stream(group, WatchRequest(NEVER_IN_FORCE), StatusAnswered)
     async with aclosing(answers) as steps:
         async for step in steps:
@@ -103,12 +103,12 @@
             status = step.unwrap()
             sent = control_bytes(status)
             if status.version > wanted:
-                is_told = wanted == 0 and status.in_force >= status.version
+                is_reported = wanted == 0 and status.in_force >= status.version
                 wanted, started, first_bytes = status.version, loop.time(), sent
             elapsed = round((loop.time() - started) * MILLISECONDS_PER_SECOND)
             on_step(WatchStep(elapsed, status))
-            if status.in_force >= wanted and not is_told:
-                is_told = True
+            if status.in_force >= wanted and not is_reported:
+                is_reported = True
                 nodes = sum(relay.nodes for relay in status.relays)
                 spent = max(0, sent - first_bytes)
                 on_result(WatchResult(wanted, status.in_force, nodes, elapsed, spent))
--- a/tests/command/test_watch_output.py
+++ b/tests/command/test_watch_output.py
@@ -14,8 +14,8 @@
 STATUS = StatusAnswered("refund", "c1", "c1", 7, 6, (), (RELAY,), ())
 
 
-def take(lines: WatchLines, status: StatusAnswered) -> list[str]:
-    return [line.split("ms  ")[1] for line in lines.take(WatchStep(5, status))]
+def new_lines(lines: WatchLines, status: StatusAnswered) -> list[str]:
+    return [line.split("ms  ")[1] for line in lines.new_lines(WatchStep(5, status))]
 
 
 def changed(relay: RelayStatus, **values: object) -> StatusAnswered:
@@ -24,14 +24,14 @@
 
 def test_tells_what_is_new_and_nothing_twice() -> None:
     lines = WatchLines(7)
-    assert take(lines, STATUS) == [
+    assert new_lines(lines, STATUS) == [
         "in force 6 of 7",
         "r1 (pasila): its nodes are at 6 or above",
         "  kassa-1 holds 6: version 7 was sent",
     ]
-    assert take(lines, STATUS) == []
+    assert new_lines(lines, STATUS) == []
     done = msgspec.structs.replace(RELAY, in_force=7, lagging=())
-    assert take(lines, changed(done, in_force=7)) == [
+    assert new_lines(lines, changed(done, in_force=7)) == [
         "in force 7 of 7",
         "r1 (pasila): all its 2 nodes hold 7",
         "  kassa-1 lags no more",
@@ -40,15 +40,15 @@
 
 def test_tells_of_relays_that_hold_everything_up() -> None:
     lines = WatchLines(7)
-    take(lines, STATUS)
+    new_lines(lines, STATUS)
     for relay, text in (
         (msgspec.structs.replace(RELAY, settled=False), "started a moment ago"),
         (msgspec.structs.replace(RELAY, report_age_milliseconds=11_000), "no report"),
         (msgspec.structs.replace(RELAY, version=5), "the relay is at 5"),
     ):
-        (line,) = take(lines, changed(relay))
+        (line,) = new_lines(lines, changed(relay))
         assert text in line
-    (line,) = take(
+    (line,) = new_lines(
         lines, msgspec.structs.replace(STATUS, relays=(), relays_awaited=("r9",))
     )[:1]
     assert line.startswith("r9: heard by other relays")
@@ -56,6 +56,6 @@
 
 def test_follows_the_newest_version_of_each_answer() -> None:
     lines = WatchLines()
-    assert take(lines, STATUS)[0] == "in force 6 of 7"
+    assert new_lines(lines, STATUS)[0] == "in force 6 of 7"
     newer = msgspec.structs.replace(STATUS, version=9, in_force=7)
-    assert take(lines, newer)[0] == "in force 7 of 9"
+    assert new_lines(lines, newer)[0] == "in force 7 of 9"
