--- a/tests/command/conftest.py
+++ b/tests/command/conftest.py
@@ -1,4 +1,4 @@
-"""A running control replica, shared by the tests of one module."""
+"""Fixture with a running control replica, shared by the tests of one module."""
 
 from __future__ import annotations
 
--- a/tests/command/test_client_retries.py
+++ b/tests/command/test_client_retries.py
@@ -1,4 +1,4 @@
-"""Finding the leader, resending the same bytes, and saying what is unknown."""
+"""The client finds the leader, resends the same bytes and reports unknown outcomes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ScriptedReplica:
-    """Answers the n-th question as the script says; None hangs up."""
+    """Replica that answers the n-th request as scripted; None closes the link."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -47,9 +47,9 @@
         await self._listener.close()
 
     def _accepted(self, link: Link) -> None:
-        link.start(lambda message, _: self._take(link, message), lambda _: None)
+        link.start(lambda message, _: self._handle_message(link, message), lambda _: None)
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         self.received.append(message)
         answer = self.script(self, len(self.received))
         if answer is not None:
@@ -103,7 +103,7 @@
     assert replica.received == [EDIT, EDIT, EDIT]
 
 
-def test_waits_when_told_to_come_back() -> None:
+def test_waits_as_long_as_the_answer_retry_after_says() -> None:
     answer, (replica,) = play([lambda _, count: RetryAfter(30) if count == 1 else ACCEPTED])
     assert answer == Success(ACCEPTED)
     assert len(replica.received) == 2
@@ -128,7 +128,7 @@
     assert answer.failure().failed.code == ExitCode.UNREACHABLE
 
 
-def test_replicas_that_name_each_other_do_not_trap_the_search() -> None:
+def test_search_ends_when_replicas_name_each_other_as_leader() -> None:
     addresses: list[str] = []
 
     def names_the_other(replica: ScriptedReplica, count: int) -> Message:
@@ -188,7 +188,7 @@
     assert f"--change-id {failed.change_id}" in failed.next_step
 
 
-def test_made_revisions_are_those_of_the_tree_that_was_read() -> None:
+def test_default_expected_revisions_are_those_of_the_tree_read() -> None:
     _, received = submit_to(lambda *_: None)
     first = received[0]
     assert isinstance(first, SubmitEdit)
--- a/tests/command/test_early_signals.py
+++ b/tests/command/test_early_signals.py
@@ -1,9 +1,9 @@
-"""A process that is told of changed settings while it starts.
+"""SIGHUP, which reports changed settings, must not terminate a process that is starting.
 
-Seen: a soak that restarts processes and changes their settings in overlapping series found
-hubs and nodes ended by SIGHUP (exit status -1).
-Cause: the signal came while the program was being imported, 0.1 to 0.3 s before its loop
-took it over; until then the system's default, the end of the process, was in force.
+A soak test that restarted processes and changed their settings at the same time found hubs
+and nodes terminated by SIGHUP (exit status -1). The signal arrived during the imports, 0.1
+to 0.3 s before the event loop handled it; until then the system's default action, to
+terminate the process, applied.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def _hangup_before_imports(*arguments: str) -> str:
-    """Give what SIGHUP does when the commands are about to be imported."""
+    """Return the SIGHUP handler's name at the time when the commands are imported."""
     done = subprocess.run(
         [sys.executable, "-c", PROGRAM, *arguments],
         capture_output=True,
@@ -38,9 +38,9 @@
     return done.stdout.strip()
 
 
-def test_a_process_that_is_starting_is_not_ended_by_a_reload() -> None:
+def test_sighup_does_not_terminate_a_starting_process() -> None:
     assert _hangup_before_imports("serve", "hub") == signal.SIG_IGN.name
 
 
-def test_a_command_at_a_terminal_still_ends_with_it() -> None:
+def test_sighup_terminates_an_operator_command() -> None:
     assert _hangup_before_imports("watch") == signal.SIG_DFL.name
--- a/tests/command/test_explain_whole_configuration.py
+++ b/tests/command/test_explain_whole_configuration.py
@@ -1,4 +1,4 @@
-"""``peppershore explain`` on a tree that was made from a whole configuration."""
+"""``peppershore explain`` on a tree that was built from a complete configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _tree() -> Tree:
-    """Give a tree without zones: a whole configuration names none."""
+    """Return a tree without zones, as a complete configuration names none."""
     pay = RouteDefinition(
         host="pay.example",
         path_prefix="/",
@@ -39,7 +39,7 @@
     assert values["host"] == "pay.example"
 
 
-def test_its_unknown_routes_are_still_named_as_such() -> None:
+def test_unknown_route_of_a_tree_without_zones_is_named() -> None:
     explained = explain_route(_tree(), "kassa", "pasila", "refund")
     assert "refund" in explained.failure().message
     assert "pay" in explained.failure().next_step
--- a/tests/command/test_input_decoders.py
+++ b/tests/command/test_input_decoders.py
@@ -1,4 +1,4 @@
-"""Arguments and edit files: arbitrary input gives a value or problems, never an error."""
+"""Arbitrary arguments and edit files yield a value or problems, never an exception."""
 
 from __future__ import annotations
 
--- a/tests/command/test_late_calls.py
+++ b/tests/command/test_late_calls.py
@@ -1,4 +1,4 @@
-"""Why answers were late, by the lines of both nodes; the pace in a call's steps."""
+"""Causes of late answers from the log lines of both nodes; the pace shown in a trace."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 def _lines(name: str, took: int, ran: int, waited: int, pace: int) -> list[str]:
     story = msgspec.structs.replace(ANSWERED, request_id=name, milliseconds=took)
-    run = msgspec.structs.replace(
+    served = msgspec.structs.replace(
         RAN,
         request_id=name,
         milliseconds=ran,
         waited_milliseconds=waited,
         pace_percent=pace,
     )
-    return [written("e1", story, took), written("k1", run, took)]
+    return [written("e1", story, took), written("k1", served, took)]
 
 
 def _found(tmp_path: Path, lines: list[str]) -> dict[str, object]:
@@ -61,7 +61,7 @@
     }
 
 
-def test_a_trace_shows_the_pace_that_a_choice_went_by(tmp_path: Path) -> None:
+def test_trace_shows_the_pace_used_to_choose_a_node(tmp_path: Path) -> None:
     step = CallStep(
         1,
         "sent",
@@ -71,9 +71,9 @@
         pace_source="told",
     )
     story = msgspec.structs.replace(ANSWERED, steps=(step,))
-    run = msgspec.structs.replace(RAN, waited_milliseconds=3, pace_percent=240)
+    served = msgspec.structs.replace(RAN, waited_milliseconds=3, pace_percent=240)
     file = tmp_path / "all.log"
-    file.write_text("\n".join([written("e1", story, 60), written("k1", run, 50)]))
+    file.write_text("\n".join([written("e1", story, 60), written("k1", served, 50)]))
     output = CliRunner().invoke(main, ["trace", "r-17", str(file)]).output
     assert "pace 250 % 80 ms ago (told)" in output
     assert "waited_milliseconds 3, pace_percent 240" in output
--- a/tests/command/test_log_commands.py
+++ b/tests/command/test_log_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore trace`` and ``peppershore logs`` on lines that a process wrote."""
+"""``peppershore trace`` and ``peppershore logs`` on log lines of processes."""
 
 from __future__ import annotations
 
@@ -139,7 +139,9 @@
         ("limit-not-known", "nobody grants calls"),
     ],
 )
-def test_causes_name_what_is_short(tmp_path: Path, reason: str, expected: str) -> None:
+def test_causes_name_the_exhausted_resource(
+    tmp_path: Path, reason: str, expected: str
+) -> None:
     file = tmp_path / "nodes.log"
     file.write_text(written("e1", lost("r-1", reason), 5))
     shown = CliRunner().invoke(main, ["logs", "causes", str(file), "--json"])
@@ -147,7 +149,7 @@
     assert (cause["cause"], cause["reason"]) == (expected, reason)
 
 
-def test_causes_tell_what_decided_a_401_and_count_calls_without_a_line(
+def test_causes_show_versions_behind_a_401_and_count_unlogged_calls(
     tmp_path: Path,
 ) -> None:
     def refused(number: int, version: int, age: int, left_out: int = 0) -> str:
@@ -222,7 +224,7 @@
     assert "6 calls failed" in table.output
 
 
-def test_causes_tell_what_decided_a_429(tmp_path: Path) -> None:
+def test_causes_show_the_limit_that_decided_a_429(tmp_path: Path) -> None:
     refused = msgspec.structs.replace(
         lost("r-1", "over-limit", "not-run", 429), tenant="studio"
     )
@@ -296,7 +298,7 @@
 ]
 
 
-def test_versions_tell_how_long_nodes_waited_and_for_what(tmp_path: Path) -> None:
+def test_versions_show_the_waits_of_nodes_and_their_causes(tmp_path: Path) -> None:
     log = tmp_path / "all.log"
     log.write_text("\n".join(VERSION_LINES) + "\n")
     shown = CliRunner().invoke(main, ["logs", "versions", str(log), "--json"])
@@ -363,7 +365,7 @@
     return str(tmp_path / "e1.log")
 
 
-def test_logs_links_tells_what_filled_them(link_file: str) -> None:
+def test_logs_links_shows_traffic_by_kind_of_message(link_file: str) -> None:
     found = CliRunner().invoke(main, ["logs", "links", link_file, "--json"])
     assert found.exit_code == 0
     loads = json.loads(found.output)
--- a/tests/command/test_serve_start.py
+++ b/tests/command/test_serve_start.py
@@ -1,4 +1,4 @@
-"""A process that can't start says why in a log line and ends with its own code."""
+"""A process that can't start logs the reason and exits with a code of its own."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @pytest.fixture
-def taken() -> Iterator[str]:
-    """An address that another listener holds."""
+def used_address() -> Iterator[str]:
+    """Address that another listener already uses."""
     with socket.create_server((HOST, 0)) as holder:
         yield f"{HOST}:{holder.getsockname()[1]}"
 
@@ -53,17 +53,17 @@
 
 
 @pytest.mark.parametrize("role", ["control", "claims", "relay", "node"])
-def test_address_in_use(role: str, taken: str, tmp_path: Path) -> None:
-    code, lines = run(*arguments_of(role, taken, tmp_path))
+def test_address_in_use(role: str, used_address: str, tmp_path: Path) -> None:
+    code, lines = run(*arguments_of(role, used_address, tmp_path))
     assert code == ExitCode.NOT_STARTED
     assert lines[-1]["event"] == "process_not_started"
     assert "in use" in lines[-1]["reason"]
     assert lines[-1]["advice"]
 
 
-def test_admin_address_in_use(taken: str, tmp_path: Path) -> None:
+def test_admin_address_in_use(used_address: str, tmp_path: Path) -> None:
     arguments = arguments_of("control", f"{HOST}:0", tmp_path)
-    code, lines = run(*arguments, "--admin-listen", taken)
+    code, lines = run(*arguments, "--admin-listen", used_address)
     assert (code, lines[-1]["event"]) == (ExitCode.NOT_STARTED, "process_not_started")
 
 
--- a/tests/command/test_tenant_commands.py
+++ b/tests/command/test_tenant_commands.py
@@ -1,4 +1,4 @@
-"""Every command of tenants against a real replica; no output holds a key."""
+"""All tenant commands against a real replica; no output contains a key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def studio(cluster: Cluster) -> Iterator[None]:
-    """Give each test the tenant studio, of one key, and no other."""
+    """Give each test the tenant studio with one key, and no other tenant."""
     for item in tenants(cluster):
         cluster.ok("tenant", "remove", item)
     cluster.ok("tenant", "set", "studio", "--rate", "350", "--add-key", "-", text=KEY)
@@ -107,7 +107,7 @@
     return "--expected-revision", f"tenant:studio={revision}" if revision else "0"
 
 
-UNFIT: dict[str, tuple[tuple[str, ...], ExitCode, str]] = {
+INVALID_OPTIONS: dict[str, tuple[tuple[str, ...], ExitCode, str]] = {
     "a key for a fingerprint": (("--drop-key", KEY), ExitCode.USAGE, "and no key"),
     "a key for a file": (("--add-key", KEY), ExitCode.USAGE, "file 1 of --add-key"),
     "set and unset": (("--rate", "1", "--unset", "rate"), ExitCode.USAGE, "at once"),
@@ -118,15 +118,15 @@
 }
 
 
-@pytest.mark.parametrize("case", UNFIT)
-def test_what_does_not_fit_changes_nothing_and_shows_no_key(
+@pytest.mark.parametrize("case", INVALID_OPTIONS)
+def test_invalid_options_change_nothing_and_show_no_key(
     cluster: Cluster, case: str
 ) -> None:
-    arguments, code, told = UNFIT[case]
+    arguments, code, message = INVALID_OPTIONS[case]
     before = tenants(cluster)
     done = cluster.command("tenant", "set", "studio", *arguments, text=KEY)
     assert done.exit_code == code
-    assert told in done.error
+    assert message in done.error
     assert_hidden(done)
     assert tenants(cluster) == before
 
--- a/tests/command/test_tree_commands.py
+++ b/tests/command/test_tree_commands.py
@@ -1,4 +1,4 @@
-"""Every command of the tree, zones, secrets and history against a real replica."""
+"""All commands for the tree, zones, secrets and history against a real replica."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @pytest.fixture(autouse=True)
 def tree(cluster: Cluster, tmp_path: Path) -> None:
-    """Give each test the same tree, whichever tests ran before on this replica."""
+    """Load the same tree for each test, as the tests share one replica."""
     file = tmp_path / "start.toml"
     file.write_text(TREE)
     cluster.ok("tree", "load", str(file))
 
 
 def rows(output: str) -> list[list[str]]:
-    """The cells of a table that a command printed."""
+    """Return the cells of a table that a command printed."""
     return [line.split() for line in output.splitlines()]
 
 
@@ -126,7 +126,9 @@
     assert shown["expected_revision"] == 1 < shown["actual_revision"]
 
 
-def test_must_not_exist_can_be_asked_for(cluster: Cluster) -> None:
+def test_expected_revision_0_requires_that_the_node_does_not_exist(
+    cluster: Cluster,
+) -> None:
     cluster.ok("tree", "set", "/fresh", "slots=3", "--expected-revision", "0")
     again = cluster.command("tree", "set", "/fresh", "slots=4", "--expected-revision", "0")
     assert again.exit_code == ExitCode.CONFLICT
@@ -252,7 +254,7 @@
         assert cluster.command("status", "--timeout", text).exit_code == ExitCode.USAGE
 
 
-def test_added_replica_that_never_comes_is_not_said_to_be_unsent(cluster: Cluster) -> None:
+def test_adding_an_unreachable_replica_has_an_unknown_outcome(cluster: Cluster) -> None:
     arguments = ("replica", "add", "c2", "127.0.0.1:1", "--timeout", "0.5", "--json")
     failed = cluster.command(*arguments).json["failed"]
     assert failed["code"] == ExitCode.UNKNOWN
--- a/tests/command/test_tree_warnings.py
+++ b/tests/command/test_tree_warnings.py
@@ -1,4 +1,4 @@
-"""``tree validate`` warns of routes that serve nobody."""
+"""``tree validate`` warns of routes that no caller can use."""
 
 from __future__ import annotations
 
--- a/tests/command/test_watch_output.py
+++ b/tests/command/test_watch_output.py
@@ -1,4 +1,4 @@
-"""A watch tells each thing once: relays, lagging nodes, and why nothing rises."""
+"""A watch shows each change once: relays, lagging nodes, and what delays a version."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return msgspec.structs.replace(STATUS, relays=(relay,), **values)
 
 
-def test_tells_what_is_new_and_nothing_twice() -> None:
+def test_shows_each_change_once() -> None:
     lines = WatchLines(7)
     assert new_lines(lines, STATUS) == [
         "in force 6 of 7",
@@ -38,7 +38,7 @@
     ]
 
 
-def test_tells_of_relays_that_hold_everything_up() -> None:
+def test_names_the_relays_that_delay_a_version() -> None:
     lines = WatchLines(7)
     new_lines(lines, STATUS)
     for relay, text in (
