--- a/src/peppershore/command/client.py
+++ b/src/peppershore/command/client.py
@@ -134,8 +134,8 @@
     def prefer(self, address: str) -> None:
         """Try ``address`` next, at most once in a round.
 
-        Replicas that name each other as the leader would otherwise keep the search
-        between them.
+        Replicas that name each other as the leader would otherwise be tried in turn
+        without a pause.
         """
         if address and address not in self._redirected:
             self._redirected.add(address)
--- a/src/peppershore/command/key_commands.py
+++ b/src/peppershore/command/key_commands.py
@@ -108,8 +108,8 @@
 def rotate_authority(folder: Path, as_json: bool) -> None:
     """Make a new authority beside the old one, which stays trusted.
 
-    Bring the new authority.crt to every machine, then `keys rotate --all` and
-    bring the files out, and at last `keys retire-authority`.
+    Copy the new authority.crt to every machine, then run `keys rotate --all` and copy
+    the new files, and finally run `keys retire-authority`.
     """
     _value_or_exit(_as_usage_failure(certificates.load_authority(folder)), as_json)
     _value_or_exit(_as_usage_failure(certificates.make_authority(folder)), as_json)
--- a/src/peppershore/command/logs_command.py
+++ b/src/peppershore/command/logs_command.py
@@ -117,7 +117,7 @@
 @click.argument("files", nargs=-1, required=True, type=click.File("r", errors="replace"))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def summary(files: tuple[TextIO, ...], as_json: bool) -> None:
-    """Count ends of calls and events in log FILES (- is standard input)."""
+    """Count outcomes of calls and events in log FILES (- is standard input)."""
     found = summarize(read_logs(files))
     if as_json:
         show_json(found)
@@ -132,11 +132,11 @@
 @click.argument("files", nargs=-1, required=True, type=click.File("r", errors="replace"))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def causes(files: tuple[TextIO, ...], as_json: bool) -> None:
-    """Tell why calls failed, by cause, second and back end, from FILES of all nodes.
+    """Show why calls failed, by cause, second and back end, from FILES of all nodes.
 
-    With the versions that nodes went by, and for how long one of them had not heard a
-    confirmation of its version (-1: never).  Calls without a line of their own count
-    with the next line of their kind.
+    Shows the versions that the nodes used, and the longest time for which one of them had
+    received no confirmation of its version (-1: never received).  Calls without a log line
+    of their own count with the next line of their kind.
     """
     found = lost_calls(read_logs(files).lines)
     if as_json:
@@ -161,7 +161,7 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def late(files: tuple[TextIO, ...], beyond: int, as_json: bool) -> None:
-    """Tell why answers were late, from FILES of all nodes.
+    """Show why answers were late, from FILES of all nodes.
 
     Nodes write lines of answered calls with ``log_answered_every`` above 0.
     """
@@ -186,9 +186,9 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def versions(files: tuple[TextIO, ...], bound: int, as_json: bool) -> None:
-    """Tell how long nodes waited for each version, and for what.
+    """Show how long nodes waited for each version, and for what.
 
-    FILES are those of all hubs (or replicas and relays) and nodes of a time.
+    FILES are the logs of all hubs (or replicas and relays) and nodes over a period.
     """
     found = version_times(read_logs(files).lines, bound)
     if as_json:
@@ -212,9 +212,9 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def links(files: tuple[TextIO, ...], role: str, as_json: bool) -> None:
-    """Tell what filled the links, by kind of message, and the busiest moments.
+    """Show the load of the links by kind of message, and the busiest intervals.
 
-    Processes write the lines for it with ``link_report_milliseconds`` above 0.
+    Processes write the log lines for it with ``link_report_milliseconds`` above 0.
     """
     found = link_loads(read_logs(files).lines, role)
     if as_json:
@@ -275,12 +275,12 @@
         foreign=files.foreign,
         from_time=min(times),
         to_time=max(times),
-        calls=_call_ends(files.lines),
-        events=_events(files.lines),
+        calls=_calls_by_outcome(files.lines),
+        events=_lines_by_event(files.lines),
     )
 
 
-def _call_ends(lines: list[LogLine]) -> tuple[CallEnds, ...]:
+def _calls_by_outcome(lines: list[LogLine]) -> tuple[CallEnds, ...]:
     counts: Counter[tuple[str, str, str, str]] = Counter()
     examples: dict[tuple[str, str, str, str], str] = {}
     for line in lines:
@@ -295,7 +295,7 @@
     )
 
 
-def _events(lines: list[LogLine]) -> tuple[EventLines, ...]:
+def _lines_by_event(lines: list[LogLine]) -> tuple[EventLines, ...]:
     counts: Counter[tuple[str, str]] = Counter()
     processes: dict[tuple[str, str], set[str]] = {}
     for line in lines:
--- a/src/peppershore/command/quarantine_commands.py
+++ b/src/peppershore/command/quarantine_commands.py
@@ -29,16 +29,17 @@
 
 @click.group()
 def quarantine() -> None:
-    """See which requests end the back ends that run them, and let one go."""
+    """List the requests that crash the back ends that run them, and release one."""
 
 
 @quarantine.command(name="list")
 @address_options(ADDRESSES)
 def list_(address: str, timeout: float, as_json: bool) -> None:
-    """List requests under which two back ends or more ended.
+    """List requests under which two or more back ends crashed.
 
-    A suspect runs alone; one that is held is refused as not run.  LIVES are those of the
-    back ends that ended; `back_end_ended` and `call_story` lines name the fingerprint.
+    A suspect runs alone; one that is held is refused as not run.  LIVES are the
+    incarnations of the back ends that crashed; the log lines `back_end_ended` and
+    `call_story` name the fingerprint.
     """
     listed = _fetch_or_exit(
         address, f"/{ROOT}", "GET", QuarantineList, timeout, as_json=as_json
@@ -53,7 +54,7 @@
 @click.argument("fingerprint")
 @address_options(ADDRESSES)
 def release(fingerprint: str, address: str, timeout: float, as_json: bool) -> None:
-    """Let the request FINGERPRINT run again, everywhere, as if nothing had ended."""
+    """Let the request FINGERPRINT run again, everywhere, as if no back end had crashed."""
     path = f"/{ROOT}/{fingerprint}/{RELEASE}"
     released = _fetch_or_exit(
         address, path, "POST", ReleasedRequest, timeout, as_json=as_json
--- a/src/peppershore/command/tenant_commands.py
+++ b/src/peppershore/command/tenant_commands.py
@@ -121,11 +121,13 @@
     dropped = _value_or_exit(context, fingerprints(drop))
     tree = context.run(read_tree(context.group))
     known = tree.tenants.get(name)
-    kept = {} if known is None else given_limits(known)
-    wanted = {key: held for key, held in (kept | limits).items() if key not in cleared}
+    current_limits = {} if known is None else given_limits(known)
+    target_limits = {
+        key: held for key, held in (current_limits | limits).items() if key not in cleared
+    }
     operations: list[Operation] = []
-    if known is None or wanted != kept or not (add or dropped):
-        operations.append(SetTenant(name, **wanted))
+    if known is None or target_limits != current_limits or not (add or dropped):
+        operations.append(SetTenant(name, **target_limits))
     if add or dropped:
         operations.append(ChangeTenantKeys(name, add, dropped))
     request = edit_request(context, names, tuple(operations))
--- a/src/peppershore/command/tenant_usage_command.py
+++ b/src/peppershore/command/tenant_usage_command.py
@@ -34,8 +34,9 @@
 def tenants(context: OperatorContext) -> None:
     """Show how tenants use their limits: usage, limit, admitted, refused, share.
 
-    The leader counts since its leadership began: used is of the last whole window, a
-    tenant's share that of all admitted calls, refused what nodes told of by now.
+    The leader counts since its leadership began.  Used is the rate of the last complete
+    window, share the tenant's part of all admitted calls, refused what nodes have reported
+    so far.
     """
 
     answer = context.run(read_usage(context.group))
--- a/src/peppershore/command/tree_file_commands.py
+++ b/src/peppershore/command/tree_file_commands.py
@@ -119,8 +119,8 @@
     """
     text = _value_or_exit(read_text(path), context.as_json)
     current = context.run(read_tree(context.group))
-    wanted = _value_or_exit(_read_target_tree(path, text, current), context.as_json)
-    _apply_difference(context, names, TwoTrees(current, wanted), dry_run)
+    target = _value_or_exit(_read_target_tree(path, text, current), context.as_json)
+    _apply_difference(context, names, TwoTrees(current, target), dry_run)
 
 
 @click.command()
@@ -154,17 +154,17 @@
 @edit_options
 @operator_options
 def revert(context: OperatorContext, names: EditNames, version: int, dry_run: bool) -> None:
-    """Give the tree the content of a kept VERSION again, as a new version.
+    """Restore the content of a kept VERSION of the tree, as a new version.
 
     Secrets that exist now keep their generations.  Tenants get the limits of that
-    version and keep the keys they have now; one that is gone can't come back without
-    its keys, and then nothing changes.
+    version and keep the keys they have now.  A removed tenant can't be restored, as its
+    keys are no longer stored; nothing changes then.
     """
     trees = context.run(_read_two(context.group, version, 0))
-    wanted = TwoTrees(before=trees.after, after=trees.before)
+    target = TwoTrees(before=trees.after, after=trees.before)
     comment = names.comment or f"revert to version {version}"
     named = msgspec.structs.replace(names, comment=comment)
-    _apply_difference(context, named, wanted, dry_run)
+    _apply_difference(context, named, target, dry_run)
 
 
 @click.command()
@@ -209,12 +209,12 @@
     if isinstance(found, Failure):
         step = "mend the file; nothing was sent"
         return Failure(invalid(f"{path} holds no valid tree", found.failure(), step))
-    wanted = found.unwrap()
-    if wanted.cluster != current.cluster:
-        message = f"{path} is of cluster {wanted.cluster!r}, not {current.cluster!r}"
+    target = found.unwrap()
+    if target.cluster != current.cluster:
+        message = f"{path} is of cluster {target.cluster!r}, not {current.cluster!r}"
         step = "check --replica, or change the cluster's name in the file"
         return Failure(usage(message, step))
-    return Success(wanted)
+    return Success(target)
 
 
 def _apply_difference(
--- a/src/peppershore/command/watch_command.py
+++ b/src/peppershore/command/watch_command.py
@@ -46,15 +46,15 @@
 
 
 async def _watch(context: OperatorContext, version: Version | None) -> Result[None, Failed]:
-    wanted = version
-    if wanted is None:
+    target = version
+    if target is None:
         newest = await read_tree(context.group)
         if isinstance(newest, Failure):
             return Failure(newest.failure())
-        wanted = newest.unwrap().version
-    output = WatchOutput(context.as_json, wanted)
+        target = newest.unwrap().version
+    output = WatchOutput(context.as_json, target)
     start = WatchStart(asyncio.get_running_loop().time())
-    watched = await watch_version(context.group, wanted, start, output.step)
+    watched = await watch_version(context.group, target, start, output.step)
     if isinstance(watched, Failure):
         return Failure(watched.failure())
     output.result(watched.unwrap())
--- a/src/peppershore/command/watch_output.py
+++ b/src/peppershore/command/watch_output.py
@@ -17,10 +17,10 @@
 class WatchLines:
     """Conversion of a watch's answers into lines with what changed since the last one."""
 
-    def __init__(self, wanted: Version = 0) -> None:
-        """Watch for ``wanted``; 0: for the newest version of each answer."""
-        self._given = wanted
-        self._wanted = wanted
+    def __init__(self, target: Version = 0) -> None:
+        """Watch for version ``target``; 0 stands for the newest version of each answer."""
+        self._given = target
+        self._target = target
         self._in_force: Version | None = None
         self._relays: dict[str, str] = {}
         self._waiting: dict[str, LaggingNode] = {}
@@ -29,10 +29,10 @@
         """Return the lines for what an answer changes."""
         status = step.status
         lines: list[str] = []
-        self._wanted = self._given or status.version
+        self._target = self._given or status.version
         if status.in_force != self._in_force:
             self._in_force = status.in_force
-            lines.append(f"in force {status.in_force} of {self._wanted}")
+            lines.append(f"in force {status.in_force} of {self._target}")
         for name in status.relays_awaited:
             text = f"heard by other relays, has not reported to {status.replica}"
             lines += self._changed(name, text)
@@ -44,11 +44,11 @@
     def _relay_lines(self, relay: RelayStatus) -> list[str]:
         if is_silent(relay):
             text = "no report for some seconds; it counts until it is forgotten"
-        elif relay.in_force >= self._wanted:
-            text = f"all its {relay.nodes} nodes hold {self._wanted}"
+        elif relay.in_force >= self._target:
+            text = f"all its {relay.nodes} nodes hold {self._target}"
         elif not relay.settled:
             text = "started a moment ago and may not know all its nodes"
-        elif relay.version < self._wanted:
+        elif relay.version < self._target:
             text = f"the relay is at {relay.version}"
         else:
             text = f"its nodes are at {relay.in_force} or above"
@@ -77,10 +77,10 @@
 class WatchOutput:
     """Output of the answers of a watch as they arrive."""
 
-    def __init__(self, as_json: bool, wanted: Version = 0) -> None:
-        """Watch for ``wanted``; 0: for the newest version of each answer."""
+    def __init__(self, as_json: bool, target: Version = 0) -> None:
+        """Watch for version ``target``; 0 stands for the newest version of each answer."""
         self._as_json = as_json
-        self._lines = WatchLines(wanted)
+        self._lines = WatchLines(target)
 
     def step(self, step: WatchStep) -> None:
         """Show one answer and flush the output."""
--- a/src/peppershore/command/watching.py
+++ b/src/peppershore/command/watching.py
@@ -56,26 +56,26 @@
 
 
 async def watch_version(
-    group: ControlGroup, wanted: Version, start: WatchStart, on_step: OnStep
+    group: ControlGroup, target: Version, start: WatchStart, on_step: OnStep
 ) -> Result[WatchResult, Failed]:
-    """Pass each answer to ``on_step`` until ``wanted`` is in force or time runs out."""
+    """Pass each answer to ``on_step`` until ``target`` is in force or time runs out."""
     loop = asyncio.get_running_loop()
     first_bytes = start.control_bytes
     last: StatusAnswered | None = None
-    answers = stream(group, WatchRequest(wanted), StatusAnswered)
+    answers = stream(group, WatchRequest(target), StatusAnswered)
     async with aclosing(answers) as steps:
         async for step in steps:
             if isinstance(step, Failure):
-                return Failure(_not_in_force(wanted, last, step.failure().failed))
+                return Failure(_not_in_force(target, last, step.failure().failed))
             last = step.unwrap()
             sent = control_bytes(last)
             first_bytes = sent if first_bytes is None else first_bytes
             elapsed = round((loop.time() - start.at) * MILLISECONDS_PER_SECOND)
             on_step(WatchStep(elapsed, last))
-            if last.in_force >= wanted:
+            if last.in_force >= target:
                 nodes = sum(relay.nodes for relay in last.relays)
                 spent = max(0, sent - first_bytes)
-                return Success(WatchResult(wanted, last.in_force, nodes, elapsed, spent))
+                return Success(WatchResult(target, last.in_force, nodes, elapsed, spent))
     raise AssertionError("a stream of answers ends with a failure")
 
 
@@ -93,7 +93,7 @@
     from the first answer that shows it.
     """
     loop = asyncio.get_running_loop()
-    wanted: Version = 0
+    target: Version = 0
     started, first_bytes, is_reported = loop.time(), 0, True
     answers = stream(group, WatchRequest(NEVER_IN_FORCE), StatusAnswered)
     async with aclosing(answers) as steps:
@@ -102,31 +102,31 @@
                 return Failure(step.failure().failed)
             status = step.unwrap()
             sent = control_bytes(status)
-            if status.version > wanted:
-                is_reported = wanted == 0 and status.in_force >= status.version
-                wanted, started, first_bytes = status.version, loop.time(), sent
+            if status.version > target:
+                is_reported = target == 0 and status.in_force >= status.version
+                target, started, first_bytes = status.version, loop.time(), sent
             elapsed = round((loop.time() - started) * MILLISECONDS_PER_SECOND)
             on_step(WatchStep(elapsed, status))
-            if status.in_force >= wanted and not is_reported:
+            if status.in_force >= target and not is_reported:
                 is_reported = True
                 nodes = sum(relay.nodes for relay in status.relays)
                 spent = max(0, sent - first_bytes)
-                on_result(WatchResult(wanted, status.in_force, nodes, elapsed, spent))
+                on_result(WatchResult(target, status.in_force, nodes, elapsed, spent))
     raise AssertionError("a stream of answers ends with a failure")
 
 
-def _not_in_force(wanted: Version, last: StatusAnswered | None, lost: Failed) -> Failed:
+def _not_in_force(target: Version, last: StatusAnswered | None, lost: Failed) -> Failed:
     if last is None:
         return lost
-    if last.version < wanted:
-        message = f"version {wanted} is not accepted yet; the newest is {last.version}"
+    if last.version < target:
+        message = f"version {target} is not accepted yet; the newest is {last.version}"
         step = "`peppershore tree history` lists the accepted versions"
     else:
         lagging = sum(len(relay.lagging) for relay in last.relays)
-        behind = [item.relay for item in last.relays if item.in_force < wanted]
+        behind = [item.relay for item in last.relays if item.in_force < target]
         where = f"; below it: {', '.join(behind)}" if behind else ""
         message = (
-            f"version {wanted} is not in force everywhere yet "
+            f"version {target} is not in force everywhere yet "
             f"({lagging} known to lag{where})"
         )
         step = "`peppershore status` shows who lags and why; watch again for longer"
--- a/tests/command/test_client_retries.py
+++ b/tests/command/test_client_retries.py
@@ -103,7 +103,7 @@
     assert replica.received == [EDIT, EDIT, EDIT]
 
 
-def test_waits_as_long_as_the_answer_retry_after_says() -> None:
+def test_retries_after_a_retry_after_answer() -> None:
     answer, (replica,) = play([lambda _, count: RetryAfter(30) if count == 1 else ACCEPTED])
     assert answer == Success(ACCEPTED)
     assert len(replica.received) == 2
@@ -128,7 +128,7 @@
     assert answer.failure().failed.code == ExitCode.UNREACHABLE
 
 
-def test_search_ends_when_replicas_name_each_other_as_leader() -> None:
+def test_replicas_that_name_each_other_are_not_asked_without_pause() -> None:
     addresses: list[str] = []
 
     def names_the_other(replica: ScriptedReplica, count: int) -> Message:
--- a/tests/command/test_log_commands.py
+++ b/tests/command/test_log_commands.py
@@ -305,7 +305,7 @@
     (version,) = json.loads(shown.output)["versions"]
     assert version["version"] == 2
     assert version["acknowledged_at"] == 1_000_110
-    assert version["nodes"] == 4, "a node that was gone before the bound does not count"
+    assert version["nodes"] == 4, "a node that exited before the bound does not count"
     assert version["half_milliseconds"] == 2_900
     assert version["last"]["node"] == "silent"
     late = {wait["node"]: wait for wait in version["late"]}
@@ -327,7 +327,9 @@
     assert moving["milliseconds"] == 1_010
     assert moving["without_relay"] == 950
     assert moving["relay_behind"] == 40, "the relay that it left did not have the version"
-    assert moving["on_the_way"] == 20, "its new relay had it before its operator knew"
+    assert moving["on_the_way"] == 20, (
+        "its new relay had the version before the acknowledgement"
+    )
 
 
 def test_versions_name_the_time_at_a_relay_that_a_node_left_later(tmp_path: Path) -> None:
