--- a/src/peppershore/command/edits.py
+++ b/src/peppershore/command/edits.py
@@ -163,7 +163,7 @@
 
 
 async def _conflict_with_winner(group: ControlGroup, outcome: EditConflict) -> Failed:
-    """Return the failure with the current overrides of the subject, if they can be read."""
+    """Return the failure, with the node's current overrides if they can be read."""
     failed = _conflict(outcome)
     found = await read_tree(group)
     node = found.map(lambda tree: tree.nodes.get(outcome.subject)).value_or(None)
--- a/src/peppershore/command/exit_codes.py
+++ b/src/peppershore/command/exit_codes.py
@@ -23,7 +23,7 @@
     UNKNOWN = 6
     """An edit was sent and its answer was lost; retry it with the same change id."""
     EXPIRED = 7
-    """The change id is older than all recorded outcomes; the edit was not applied."""
+    """The change id is older than all recorded outcomes; it was not applied again."""
     NOT_FOUND = 8
     """The object that the command names does not exist."""
     NOT_IN_FORCE = 9
--- a/src/peppershore/command/explain_command.py
+++ b/src/peppershore/command/explain_command.py
@@ -90,8 +90,8 @@
 ) -> Result[Explanation, Failed]:
     """Return the effective settings of a route; fail if it or its zone does not exist.
 
-    A tree built from complete configurations names no zones. It is the same in all of
-    them, so any zone name is accepted.
+    A tree built from complete configurations names no zones. Every zone has the same
+    settings there, so any zone name is accepted.
     """
     if tree.zones and zone not in tree.zones:
         step = "`peppershore tree show` lists the zones"
--- a/src/peppershore/command/key_commands.py
+++ b/src/peppershore/command/key_commands.py
@@ -151,7 +151,7 @@
 def read_identities(
     cluster: str, texts: tuple[str, ...]
 ) -> Result[tuple[PeerIdentity, ...], Failed]:
-    """Parse ROLE/NAME arguments; each name must be usable as a file name."""
+    """Parse ROLE/NAME arguments; each name must be a plain file name."""
     found: list[PeerIdentity] = []
     for text in texts:
         identity = parse_identity(f"{SCHEME}{cluster}/{text}")
--- a/src/peppershore/command/options.py
+++ b/src/peppershore/command/options.py
@@ -109,7 +109,7 @@
     timeout: float | None,
     as_json: bool,
 ) -> Result[OperatorContext, Failed]:
-    """Build the context from settings file and flags; a flag overrides the file."""
+    """Merge flags over the settings file, and build the context if the result is valid."""
     flags: dict[str, Any] = {}
     if replicas:
         flags["replicas"] = list(replicas)
--- a/src/peppershore/command/rollout_commands.py
+++ b/src/peppershore/command/rollout_commands.py
@@ -28,7 +28,7 @@
 
 @click.group()
 def rollout() -> None:
-    """Roll out a new version of a service's software by share of calls, and watch it."""
+    """Roll out a new version of a service's software by share, and watch it."""
 
 
 @rollout.command()
@@ -77,7 +77,7 @@
 def status(service: str, address: str, timeout: float, as_json: bool) -> None:
     """Show how far the latest roll-out of SERVICE is, and what it waits for.
 
-    The leader has the metrics of all zones; other hubs have those of their own zone.
+    The leader knows all metrics; other hubs know those of their own zone.
     """
     found = _fetch_or_exit(
         address, f"/{ROOT}/{service}/{STATUS}", "GET", timeout, as_json=as_json
@@ -101,7 +101,7 @@
 @click.argument("service")
 @address_options(ADDRESSES)
 def abort(service: str, address: str, timeout: float, as_json: bool) -> None:
-    """Roll SERVICE back: no further calls go to the new version."""
+    """Roll back the roll-out of SERVICE: nothing more goes to the new version."""
     _fetch_or_exit(address, f"/{ROOT}/{service}/{ABORT}", "POST", timeout, as_json=as_json)
     if as_json:
         show_json({"service": service})
--- a/src/peppershore/command/serve.py
+++ b/src/peppershore/command/serve.py
@@ -45,8 +45,9 @@
 Arguments = dict[str, Any]
 
 COLLECTION_THRESHOLDS = (5_000, 20, 20)
-"""Thresholds of the cyclic garbage collector, by generation. They are high because a call
-leaves few cycles behind and each collection traverses all objects of the process."""
+"""Thresholds of the cyclic garbage collector, by generation; the first one counts objects
+created since the last collection. They are high because a call leaves few cycles behind and
+each collection traverses the objects that the process holds."""
 
 settings_option = click.option(
     "--settings",
@@ -71,7 +72,7 @@
 
 
 class SettingAdjusted(Notice, frozen=True):
-    """A setting of the platform was invalid and was replaced by the nearest valid value."""
+    """A setting from the platform was invalid; the nearest valid value is used instead."""
 
     level = "warning"
     key: str
@@ -223,7 +224,7 @@
 
 
 class Announcer:
-    """Callback that announces that the process is ready."""
+    """Callback that records and announces that the process is ready."""
 
     def __init__(self) -> None:
         """Start in the state before the process is ready."""
@@ -252,7 +253,7 @@
 
 
 def _limit_garbage_collection() -> None:
-    """Exclude imported objects from garbage collection, and enable it with thresholds."""
+    """Exclude imported objects from garbage collection, and let it run rarely."""
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
     gc.enable()
--- a/src/peppershore/command/settings_flags.py
+++ b/src/peppershore/command/settings_flags.py
@@ -113,7 +113,10 @@
 
 
 def _is_nested(field: FieldInfo) -> bool:
-    """Return whether the field is a list of tables that hold lists, which has no flag."""
+    """Return whether the field is a list of tables that hold lists.
+
+    Such a table can't be written on one line, so the field has no flag.
+    """
     if not _is_list(field):
         return False
     element = typing.get_args(field.type)[0]
--- a/src/peppershore/command/tenant_commands.py
+++ b/src/peppershore/command/tenant_commands.py
@@ -42,7 +42,7 @@
 )
 
 UNSET_NAMES = {"rate": "rate_per_second", "burst": "burst", "priority": "priority"}
-"""Values of ``--unset``, and the limit of the tenant that each one clears."""
+"""Values of ``--unset``, and the limit that the tenant then inherits again."""
 
 _LIMIT_TYPE = click.FloatRange(0, MAXIMUM_FIGURE)
 
@@ -182,7 +182,7 @@
 
 
 def explain_tenant(tree: Tree, name: str) -> TenantExplanation:
-    """Return the effective limits of a tenant and its keys' fingerprints."""
+    """Return a tenant's effective limits and key fingerprints, without key material."""
     (shown,) = (item for item in view_tree(tree).tenants if item.name == name)
     return TenantExplanation(
         name, tree.version, limit_origins(tree, name), shown.fingerprints
@@ -190,7 +190,7 @@
 
 
 def integral_to_int(value: Any) -> Any:
-    """Convert an integral float to an int, so that a limit is shown as it was entered."""
+    """Convert an integral float to an int, so that equal limits have the same form."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
--- a/src/peppershore/command/tenant_keys.py
+++ b/src/peppershore/command/tenant_keys.py
@@ -28,7 +28,7 @@
 
 
 def fingerprints(given: tuple[str, ...]) -> Result[tuple[str, ...], Failed]:
-    """Return fingerprints after a check, so that a key given by mistake is not sent."""
+    """Return the fingerprints, or fail if a text is none, so that no key is sent."""
     if not all(map(is_fingerprint, given)):
         message = "--drop-key takes a fingerprint, such as sha256:01234567, and no key"
         step = "`peppershore tenant show` has the fingerprints"
--- a/src/peppershore/command/tree_file_commands.py
+++ b/src/peppershore/command/tree_file_commands.py
@@ -157,8 +157,8 @@
     """Restore the content of a kept VERSION of the tree, as a new version.
 
     Secrets that exist now keep their generations.  Tenants get the limits of that
-    version and keep the keys they have now.  A removed tenant can't be restored, as its
-    keys are no longer stored; nothing changes then.
+    version and keep the keys they have now.  A removed tenant can't be restored
+    without its keys, and then nothing changes.
     """
     trees = context.run(_read_two(context.group, version, 0))
     target = TwoTrees(before=trees.after, after=trees.before)
@@ -222,7 +222,8 @@
 ) -> None:
     """Send one edit that turns ``trees.before`` into ``trees.after``.
 
-    With ``dry_run``, or without a difference, only show the differences.
+    With ``dry_run``, or without a difference, only show the differences. Without a
+    difference but with the change id of an accepted edit, show that edit's acceptance.
     """
     differences = compare_trees(trees.before, trees.after)
     operations = revert_operations(trees.before, trees.after)
@@ -240,7 +241,7 @@
 
 
 def _require_material(context: OperatorContext, operations: tuple[Operation, ...]) -> None:
-    """Exit with a failure if operations need key material.
+    """Exit with a failure if an operation needs key material that was removed.
 
     Replicas never return material to operators, so it can't be restored from here.
     """
