--- a/src/peppershore/command/client.py
+++ b/src/peppershore/command/client.py
@@ -142,7 +142,7 @@
             self._waiting.appendleft(address)
 
     def record_failure(self, address: str, lost: LinkLost) -> None:
-        """Record why a replica did not answer."""
+        """Record why a replica did not answer and whether the request may have arrived."""
         self.reasons[address] = lost.reason
         self.maybe_sent = self.maybe_sent or lost.sent
 
@@ -173,7 +173,10 @@
 async def ask(
     group: ControlGroup, question: Message, answer_type: type[Answer]
 ) -> Result[Answer, NoAnswer]:
-    """Send a request until a replica returns an ``answer_type`` or the time-out passes."""
+    """Send a request to one replica after the other and return the first ``answer_type``.
+
+    Fails when the group's time-out has passed or every replica has refused the request.
+    """
     search = ReplicaSearch(group)
     payload = encode_message(question)
     while (address := await search.next_address()) is not None:
@@ -190,8 +193,8 @@
     """Request a stream of answers and yield each of them.
 
     When a link is lost or silent, the request is sent again to another replica. The last
-    item is a failure, when the group's time-out has passed; a caller that has what it
-    needs closes the stream before.
+    item is a failure, when the group's time-out has passed or every replica has refused;
+    a caller that has what it needs closes the stream before.
     """
     search = ReplicaSearch(group)
     payload = encode_message(question)
