--- a/src/peppershore/command/rollout_commands.py
+++ b/src/peppershore/command/rollout_commands.py
@@ -1,4 +1,4 @@
-"""``peppershore rollout``: bring a new version of a service in, or take it back."""
+"""``peppershore rollout``: rolls out a new version of a service, or rolls it back."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @click.group()
 def rollout() -> None:
-    """Bring a new version of a service's software in by share, and watch it."""
+    """Roll out a new version of a service's software by share, and watch it."""
 
 
 @rollout.command()
@@ -53,11 +53,11 @@
 ) -> None:
     """Move the calls of SERVICE to back ends that run VERSION.
 
-    They have to be started beside the old ones.  The same order again is acknowledged
-    again.
+    They have to be started in addition to the old ones.  The same order again is
+    acknowledged again.
     """
     order = RolloutOrder(service, version, seconds)
-    _asked(
+    _fetch_or_exit(
         address,
         f"/{ROOT}",
         "POST",
@@ -77,9 +77,11 @@
 def status(service: str, address: str, timeout: float, as_json: bool) -> None:
     """Show how far the latest roll-out of SERVICE is, and what it waits for.
 
-    The leader knows all figures; other hubs know those of their own zone.
+    The leader knows all metrics; other hubs know those of their own zone.
     """
-    found = _asked(address, f"/{ROOT}/{service}/{STATUS}", "GET", timeout, as_json=as_json)
+    found = _fetch_or_exit(
+        address, f"/{ROOT}/{service}/{STATUS}", "GET", timeout, as_json=as_json
+    )
     shown = msgspec.json.decode(found, type=StatusBody)
     if as_json:
         show_json(shown)
@@ -99,15 +101,15 @@
 @click.argument("service")
 @address_options(ADDRESSES)
 def abort(service: str, address: str, timeout: float, as_json: bool) -> None:
-    """Take the roll-out of SERVICE back: nothing more goes to the new version."""
-    _asked(address, f"/{ROOT}/{service}/{ABORT}", "POST", timeout, as_json=as_json)
+    """Roll back the roll-out of SERVICE: nothing more goes to the new version."""
+    _fetch_or_exit(address, f"/{ROOT}/{service}/{ABORT}", "POST", timeout, as_json=as_json)
     if as_json:
         show_json({"service": service})
     else:
         click.echo(f"{service} goes back to the version before")
 
 
-def _asked(
+def _fetch_or_exit(
     address: str,
     path: str,
     method: str,
--- a/src/peppershore/command/watch_output.py
+++ b/src/peppershore/command/watch_output.py
@@ -1,4 +1,4 @@
-"""How a watch is shown: a line for what is new, or one JSON object for each answer."""
+"""Output of a watch: a text line for each change, or a JSON object for each answer."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class WatchLines:
-    """Turns the answers of a watch into lines: what is new since the answer before."""
+    """Conversion of a watch's answers into lines with what changed since the last one."""
 
-    def __init__(self, wanted: Version = 0) -> None:
-        """Watch for ``wanted``; 0: for the newest version of each answer."""
-        self._given = wanted
-        self._wanted = wanted
+    def __init__(self, target: Version = 0) -> None:
+        """Watch for version ``target``; 0 stands for the newest version of each answer."""
+        self._given = target
+        self._target = target
         self._in_force: Version | None = None
         self._relays: dict[str, str] = {}
         self._waiting: dict[str, LaggingNode] = {}
 
-    def take(self, step: WatchStep) -> list[str]:
-        """Give the lines that an answer adds."""
+    def new_lines(self, step: WatchStep) -> list[str]:
+        """Return the lines for what an answer changes."""
         status = step.status
         lines: list[str] = []
-        self._wanted = self._given or status.version
+        self._target = self._given or status.version
         if status.in_force != self._in_force:
             self._in_force = status.in_force
-            lines.append(f"in force {status.in_force} of {self._wanted}")
+            lines.append(f"in force {status.in_force} of {self._target}")
         for name in status.relays_awaited:
             text = f"heard by other relays, has not reported to {status.replica}"
             lines += self._changed(name, text)
@@ -44,18 +44,18 @@
     def _relay_lines(self, relay: RelayStatus) -> list[str]:
         if is_silent(relay):
             text = "no report for some seconds; it counts until it is forgotten"
-        elif relay.in_force >= self._wanted:
-            text = f"all its {relay.nodes} nodes hold {self._wanted}"
+        elif relay.in_force >= self._target:
+            text = f"all its {relay.nodes} nodes hold {self._target}"
         elif not relay.settled:
             text = "started a moment ago and may not know all its nodes"
-        elif relay.version < self._wanted:
+        elif relay.version < self._target:
             text = f"the relay is at {relay.version}"
         else:
             text = f"its nodes are at {relay.in_force} or above"
         return self._changed(f"{relay.relay} ({relay.zone})", text)
 
     def _changed(self, relay: str, text: str) -> list[str]:
-        """Give a line unless the same was told of the relay before."""
+        """Return a line, or none if the relay's last line had the same text."""
         if self._relays.get(relay) == text:
             return []
         self._relays[relay] = text
@@ -75,19 +75,19 @@
 
 
 class WatchOutput:
-    """Shows a watch as it goes on."""
+    """Output of the answers of a watch as they arrive."""
 
-    def __init__(self, as_json: bool, wanted: Version = 0) -> None:
-        """Watch for ``wanted``; 0: for the newest version of each answer."""
+    def __init__(self, as_json: bool, target: Version = 0) -> None:
+        """Watch for version ``target``; 0 stands for the newest version of each answer."""
         self._as_json = as_json
-        self._lines = WatchLines(wanted)
+        self._lines = WatchLines(target)
 
     def step(self, step: WatchStep) -> None:
-        """Show one answer at once."""
+        """Show one answer and flush the output."""
         if self._as_json:
             show_json(step)
         else:
-            for line in self._lines.take(step):
+            for line in self._lines.new_lines(step):
                 click.echo(line)
         sys.stdout.flush()
 
