--- a/src/peppershore/process/admin_http.py
+++ b/src/peppershore/process/admin_http.py
@@ -80,7 +80,7 @@
         return await self._service.start(listen)
 
     async def close(self) -> None:
-        """Stop listening and drop open connections."""
+        """Stop listening and close open connections without completing their requests."""
         await self._service.close()
 
     async def _answer(self, request: ServiceRequest) -> ServiceAnswer:
--- a/src/peppershore/process/commands.py
+++ b/src/peppershore/process/commands.py
@@ -13,10 +13,10 @@
 
 
 class Command(msgspec.Struct, frozen=True):
-    """Base of all commands."""
+    """Base of all commands: the outputs of a core, which its shell executes."""
 
     def __repr__(self) -> str:
-        """Show only the length of values of type bytes."""
+        """Return a ``repr`` that shows only the length of values of type bytes."""
         return describe(self)
 
 
@@ -67,7 +67,8 @@
 class PersistRecords(Command, frozen=True):
     """Base of the durable writes of a role; RecordsPersisted or RecordsFailed follows.
 
-    The shell may merge the writes of several tokens into one synced commit.
+    ``token`` is a number by which the core recognizes the event that follows. The shell
+    may merge several of these commands into one synced commit.
     """
 
     token: int
--- a/src/peppershore/process/configuration_page.py
+++ b/src/peppershore/process/configuration_page.py
@@ -18,7 +18,7 @@
 
 
 class HeldSecret(msgspec.Struct, frozen=True):
-    """A secret as shown on the page, without its key material."""
+    """A secret of the configuration as shown on the page, without its key material."""
 
     name: str
     generations: tuple[int, ...]
--- a/src/peppershore/process/events.py
+++ b/src/peppershore/process/events.py
@@ -19,7 +19,7 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Base of all events."""
+    """Base of all events: the inputs that a shell passes to its core's ``step``."""
 
 
 class Started(Event, frozen=True):
@@ -64,13 +64,20 @@
 
 
 class RecordsPersisted(Event, frozen=True):
-    """The records of the ``PersistRecords`` with this token are written and synced."""
+    """The records of a ``PersistRecords`` command are written to disk and synced.
+
+    ``token`` is the number that the core gave to the command.
+    """
 
     token: int
 
 
 class RecordsFailed(Event, frozen=True):
-    """The disk write failed; no record of this token may be relied on."""
+    """The records of a ``PersistRecords`` command could not be written to disk.
+
+    ``token`` is the number that the core gave to the command; none of its records may be
+    relied on.
+    """
 
     token: int
     reason: str
--- a/src/peppershore/process/http_service.py
+++ b/src/peppershore/process/http_service.py
@@ -24,7 +24,7 @@
 
 
 class ServiceRequest(msgspec.Struct, frozen=True):
-    """One request; ``query`` does not include the "?"."""
+    """One HTTP request to the service; ``query`` does not include the "?"."""
 
     method: str
     path: str
@@ -33,7 +33,10 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True):
-    """One response; ``fields`` are header fields besides content type and length."""
+    """The HTTP response to a request.
+
+    ``fields`` are header fields besides content type and length.
+    """
 
     status: int = STATUS_OK
     body: bytes = b""
@@ -71,7 +74,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop listening and drop open connections."""
+        """Stop listening and close open connections without completing their requests."""
         if self._server is not None:
             self._server.close()
         for task in tuple(self._connections):
--- a/src/peppershore/process/link_numbers.py
+++ b/src/peppershore/process/link_numbers.py
@@ -11,11 +11,11 @@
     """Allocates the link numbers of one core."""
 
     def __init__(self) -> None:
-        """Start at 1."""
+        """Start with 1 as the first number."""
         self._next = 1
 
     def take(self) -> LinkId:
-        """Return the next unused number."""
+        """Return the next unused link number."""
         number = self._next
         self._next += LINK_STEP
         return number
--- a/src/peppershore/process/link_report.py
+++ b/src/peppershore/process/link_report.py
@@ -46,7 +46,8 @@
     ) -> None:
         """Report to ``notice_sink``; an interval of 0 turns reports off.
 
-        ``link_megabits`` is only shown in the log line.
+        ``link_megabits`` is the capacity of the machine's network link in megabits per
+        second; it is only shown in the log line.
         """
         self._link_megabits = link_megabits
         self._interval_seconds = interval_milliseconds / MILLISECONDS
@@ -56,7 +57,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start the first interval; must be called from the running event loop."""
+        """Start the first interval between log lines; must run in the event loop."""
         if self._interval_seconds > 0.0:
             self._interval_start = asyncio.get_running_loop().time()
             self._previous = (
@@ -66,7 +67,7 @@
             self._schedule()
 
     def stop(self) -> None:
-        """Stop reporting."""
+        """Stop the periodic log lines."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -97,7 +98,7 @@
     """Metrics of the bytes on all links by direction and kind of message."""
 
     def __init__(self, traffic: Traffic = TRAFFIC) -> None:
-        """Export the counts of ``traffic``."""
+        """Export the byte counts of ``traffic``."""
         self._traffic = traffic
 
     def collect(self) -> Iterator[Metric]:
--- a/src/peppershore/process/link_security.py
+++ b/src/peppershore/process/link_security.py
@@ -1,4 +1,7 @@
-"""TLS contexts of a process, reloaded when its files change, and message permissions."""
+"""TLS contexts of a process, reloaded when its certificate files change.
+
+Also decides which messages the certificate of a peer allows it to send.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +54,10 @@
     """
 
     def __init__(self, role: str, files: TlsFiles | None) -> None:
-        """Read the TLS files of a process with the given role."""
+        """Load the certificate files of a process with the given role.
+
+        With ``files`` None the links use no TLS.
+        """
         self.authorize: Authorize = allow_all
         self.client: ssl.SSLContext | None = None
         self.server: ssl.SSLContext | None = None
@@ -73,7 +79,7 @@
         self.server = server.context
 
     def start(self, metrics: ProcessMetrics) -> None:
-        """Check the files every 5 s for changes and export the certificate's time left.
+        """Check the TLS files for changes every 5 s; export the certificate's time left.
 
         Without TLS files nothing is checked or exported.
         """
@@ -87,7 +93,7 @@
         self._schedule(metrics.notice)
 
     def close(self) -> None:
-        """Stop checking the files."""
+        """Stop checking the TLS files for changes."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/src/peppershore/process/log_output.py
+++ b/src/peppershore/process/log_output.py
@@ -46,7 +46,7 @@
         self._refilled_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Consume one token and return True; return False if none is left."""
+        """Return whether a line may be written at ``now`` (seconds); if so, count it."""
         elapsed = max(0.0, now - self._refilled_at)
         self._refilled_at = now
         self._tokens = min(self._burst, self._tokens + elapsed * self._per_second)
@@ -65,7 +65,10 @@
     """Writes lines to a file descriptor without blocking on its reader."""
 
     def __init__(self, descriptor: int, max_waiting_bytes: int = MAX_WAITING_BYTES) -> None:
-        """Write to ``descriptor``, which stays in blocking mode."""
+        """Write to ``descriptor``, which stays in blocking mode.
+
+        At most ``max_waiting_bytes`` of lines are queued.
+        """
         self.dropped = Dropped()
         self._descriptor = descriptor
         self._max_waiting_bytes = max_waiting_bytes
@@ -78,7 +81,7 @@
 
     @property
     def waiting_bytes(self) -> int:
-        """Number of bytes not yet written: of the queue and of the current line."""
+        """Number of bytes not yet written: of the queued lines and of the current line."""
         return self._queued_bytes + len(self._current_line)
 
     def write(self, line: str, is_call: bool) -> None:
--- a/src/peppershore/process/metrics.py
+++ b/src/peppershore/process/metrics.py
@@ -29,7 +29,7 @@
     """An object that exports metrics of its own."""
 
     def collect(self) -> Iterator[Metric]:
-        """Return the current metrics."""
+        """Return the current metrics of this object."""
 
 
 class _Gauge(msgspec.Struct, frozen=True):
@@ -57,7 +57,10 @@
         write_notice(notice)
 
     def gauge(self, name: str, meaning: str, read: Callable[[], float]) -> None:
-        """Add the gauge ``peppershore_<name>``; ``read`` is called at each scrape."""
+        """Add the gauge ``peppershore_<name>`` with the help text ``meaning``.
+
+        ``read`` returns its value and is called at each scrape.
+        """
         self._gauges.append(_Gauge(f"{NAMESPACE}_{name}", meaning, read))
 
     def add_source(self, source: MetricSource) -> None:
--- a/src/peppershore/process/public_value.py
+++ b/src/peppershore/process/public_value.py
@@ -24,7 +24,7 @@
 
 
 def public_struct(value: msgspec.Struct) -> dict[str, object]:
-    """Return the fields of a struct ready for JSON, with sensitive ones hidden."""
+    """Return a struct's fields ready for JSON, with bytes and sensitive ones hidden."""
     names = value.__struct_fields__
     return {name: _public_item(name, getattr(value, name)) for name in names}
 
--- a/src/peppershore/process/randomness.py
+++ b/src/peppershore/process/randomness.py
@@ -13,7 +13,7 @@
     """A stream of pseudo-random numbers determined by its seed."""
 
     def __init__(self, seed: int) -> None:
-        """Start the stream for ``seed``."""
+        """Start the stream of random numbers determined by ``seed``."""
         self._generator = random.Random(seed)
 
     def below(self, limit: float) -> float:
@@ -27,7 +27,8 @@
     def backoff_seconds(self, attempt: int, base: float, ceiling: float) -> float:
         """Return a back-off in seconds with full jitter: uniform from 0 to its bound.
 
-        The bound is ``base * 2**attempt``, at most ``ceiling``; ``attempt`` counts from 0.
+        The bound is ``base * 2**attempt`` seconds, at most ``ceiling`` seconds; ``attempt``
+        counts from 0.
         """
         bound = min(ceiling, base * 2.0 ** min(attempt, MAX_EXPONENT))
         return self.below(bound)
--- a/src/peppershore/process/rendezvous.py
+++ b/src/peppershore/process/rendezvous.py
@@ -14,7 +14,10 @@
 
 
 def weight(node: str, relay: str) -> int:
-    """Return the unsigned 64-bit weight of the pair; a node prefers the highest weight."""
+    """Return a hash of both names as an unsigned 64-bit weight.
+
+    A node prefers the relay with the highest weight.
+    """
     return xxhash.xxh3_64_intdigest(f"{node}\x00{relay}".encode())
 
 
--- a/src/peppershore/process/seeds.py
+++ b/src/peppershore/process/seeds.py
@@ -10,15 +10,15 @@
 
 
 def seed_addresses(seeds: tuple[str, ...], port: int) -> tuple[str, ...]:
-    """Return the distinct hosts of the seeds as addresses with ``port``."""
+    """Return the distinct hosts of the seed addresses, each with ``port`` as its port."""
     hosts = dict.fromkeys(seed.rpartition(":")[0] for seed in seeds)
     return tuple(f"{host}:{port}" for host in hosts)
 
 
 def seed_relays(seeds: tuple[str, ...], port: int) -> tuple[PeerRelay, ...]:
-    """Return the hosts of the seeds as relays with ``port``.
+    """Return one relay for each distinct host of the seed addresses, at ``port``.
 
-    Their zone is empty until the relay itself reports it.
+    Its name is its address; its zone is empty until the relay itself reports it.
     """
     return tuple(
         PeerRelay(name=address, zone="", address=address)
--- a/src/peppershore/process/settings_loader.py
+++ b/src/peppershore/process/settings_loader.py
@@ -42,7 +42,7 @@
     "claims": ClaimsSettings,
     "operator": OperatorSettings,
 }
-"""Settings type of each role that ``serve`` starts, and of the command line."""
+"""Settings type by role: the roles that ``serve`` starts, and "operator" for commands."""
 
 MIN_HEARTBEATS_PER_ELECTION = 3
 MAX_FILE_BYTES = 4 * 1024 * 1024
@@ -81,7 +81,7 @@
 
 
 class AdjustedSettings(msgspec.Struct, Generic[Kind], frozen=True):
-    """Settings to start with, and the adjustments made to the given ones."""
+    """Usable settings, and the adjustments by which they differ from the given ones."""
 
     settings: Kind
     adjustments: tuple[SettingAdjustment, ...]
@@ -173,7 +173,10 @@
     def read_struct(
         self, kind: type[SettingsValue], table: Mapping[str, Any], prefix: str
     ) -> dict[str, Any]:
-        """Return the checked values of one table by field name."""
+        """Return the checked values of one TOML table by field name.
+
+        ``prefix`` precedes the keys of the table in reported problems.
+        """
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
         for key in sorted(table.keys() - fields.keys()):
             if self._adjusts:
@@ -193,7 +196,10 @@
         return values
 
     def _read_or_adjust(self, field: FieldInfo, value: Any, key: str) -> Any:
-        """Return the value of a field, replaced by a usable one if adjusting is on."""
+        """Return the checked value of a field.
+
+        When adjusting, a value that can't be used is replaced by a usable one.
+        """
         if not self._adjusts:
             return self._read_field(field, value, key)
         used = _nearest_number(field, value)
--- a/src/peppershore/process/settings_rules.py
+++ b/src/peppershore/process/settings_rules.py
@@ -34,7 +34,10 @@
 
 
 def name_rule(value: object) -> Fault | None:
-    """Accept the name of a cluster or process."""
+    """Accept the name of a cluster or process.
+
+    It has 1 to 64 letters, digits, "_", "." or "-", the first a letter or digit.
+    """
     if isinstance(value, str) and NAME_PATTERN.fullmatch(value):
         return None
     return Fault("is not a name", NAME_ALLOWED)
@@ -55,14 +58,14 @@
 
 
 def level_rule(value: object) -> Fault | None:
-    """Accept the name of a log level."""
+    """Accept the name of a log level, one of ``LOG_LEVELS``."""
     if value in LOG_LEVELS:
         return None
     return Fault("is no log level", ", ".join(LOG_LEVELS))
 
 
 def log_target_rule(value: object) -> Fault | None:
-    """Accept the name of an output for log lines."""
+    """Accept the name of an output for log lines, one of ``LOG_TARGETS``."""
     if value in LOG_TARGETS:
         return None
     return Fault("is no place for log lines", ", ".join(LOG_TARGETS))
@@ -96,17 +99,17 @@
 
 
 def listen_rule(value: object) -> Fault | None:
-    """Accept an address to listen on; port 0 binds a free port."""
+    """Accept an "IP:port" to listen on; port 0 binds a free port."""
     return address_rule(value, lowest_port=0)
 
 
 def peer_rule(value: object) -> Fault | None:
-    """Accept an address to connect to."""
+    """Accept an "IP:port" to connect to, with a port of at least 1."""
     return address_rule(value, lowest_port=1)
 
 
 def optional(rule: Rule) -> Rule:
-    """Return a rule that also accepts the empty string, which turns the feature off."""
+    """Return ``rule`` extended to accept the empty string, for an unset value."""
 
     def accept(value: object) -> Fault | None:
         return None if value == "" else rule(value)
--- a/src/peppershore/process/settings_watch.py
+++ b/src/peppershore/process/settings_watch.py
@@ -43,7 +43,7 @@
 
 
 class SettingsWatch(Generic[Kind]):
-    """Watches one settings file and passes on changed settings."""
+    """Watches one settings file and passes changed settings to a function of the caller."""
 
     def __init__(
         self, kind: type[Kind], path: Path, current: Kind, adjusts: bool = False
@@ -73,7 +73,10 @@
             self._timer.cancel()
 
     def look(self, cause: str) -> None:
-        """Reload the file and pass the settings on if they differ from the current ones."""
+        """Reload the file; if its settings differ from the current ones, put them into use.
+
+        ``cause`` ("signal" or "file") appears in the log line about the reload.
+        """
         self._last_stamp = self._file_stamp()
         loaded = self._load()
         if isinstance(loaded, Failure):
--- a/src/peppershore/process/shell.py
+++ b/src/peppershore/process/shell.py
@@ -52,8 +52,10 @@
     ) -> None:
         """Set up the shell without starting anything; see ``listen`` and ``start``.
 
-        ``authorize`` returns why a message is refused, or an empty string. After a refused
-        message its link is closed.
+        ``client_tls`` is used for links that this process opens, ``server_tls`` for those
+        it accepts; without them the links use no TLS. ``authorize`` returns why a received
+        message is refused, or an empty string. After a refused message its link is
+        closed.
         """
         self.core = core
         self.stopped = asyncio.Event()
--- a/src/peppershore/process/status_page.py
+++ b/src/peppershore/process/status_page.py
@@ -56,7 +56,7 @@
 
 
 def zone_progress(relays: Iterable[RelayStatus]) -> tuple[ZoneProgress, ...]:
-    """Return the progress of each zone.
+    """Return the version in force and the counts of relays and nodes of each zone.
 
     The version in force in a zone is the lowest of those of its relays.
     """
--- a/src/peppershore/process/status_remarks.py
+++ b/src/peppershore/process/status_remarks.py
@@ -12,7 +12,7 @@
 
 
 def status_remarks(status: StatusAnswered) -> tuple[str, ...]:
-    """Return one line for each thing that delays versions or rotations.
+    """Return one line for each cause that delays versions or rotations of secrets.
 
     Lines also name the parts of the state that the answering replica doesn't know.
     """
--- a/src/peppershore/process/token_bucket.py
+++ b/src/peppershore/process/token_bucket.py
@@ -15,7 +15,11 @@
     """
 
     def __init__(self, rate: float, capacity: float = 0.0) -> None:
-        """Start full; a ``capacity`` of 0 means 0.25 s of the rate, but at least 1."""
+        """Start with a full bucket.
+
+        ``rate`` is in events per second and ``capacity`` in events; a ``capacity`` of 0
+        means as many as the rate admits in 0.25 s, but at least 1.
+        """
         self._rate = rate
         self._capacity = capacity or max(1.0, rate * BURST_SECONDS)
         self._tokens = self._capacity
@@ -23,7 +27,7 @@
         self._deferred = 0.0
 
     def admit(self, now: float) -> bool:
-        """Consume one token and return True; return False if none is left."""
+        """Return whether an event is admitted at ``now`` (seconds); if so, count it."""
         self._refill(now)
         if self._tokens < 1.0:
             return False
