--- a/src/peppershore/version/catalog.py
+++ b/src/peppershore/version/catalog.py
@@ -1,5 +1,8 @@
 """The catalog: the snapshots of all scopes in use, updated with each edit.
 
+A scope stands for all nodes (proxies) that host the same service in the same zone and
+share one snapshot.
+
 A scope has these resources: the hosted service and the services it calls, with
 their routes in the scope's zone; the services that are targets of those routes;
 and the secrets with which those routes verify tokens and the hosted service signs
@@ -39,7 +42,11 @@
 
 
 class _ChangedResources(Value, frozen=True):
-    """The resources whose encoding an edit changed."""
+    """The resources whose encoding an edit changed.
+
+    ``groups`` names services by zone, ``secrets`` are names; ``any_tenant`` is true if any
+    tenant changed.
+    """
 
     groups: set[GroupKey]
     secrets: set[str]
@@ -134,7 +141,7 @@
         return self._last_affected
 
     def use(self, scope: Scope) -> None:
-        """Start to track a scope, so that deltas can start from its present state."""
+        """Start to track a scope, so that updates can start from its present state."""
         self._state(scope)
 
     def forget(self, scope: Scope) -> None:
@@ -144,7 +151,7 @@
             self._holders.remove(scope)
 
     def snapshot(self, scope: Scope) -> Snapshot:
-        """Return the complete state of a node of this scope."""
+        """Return the complete configuration of a node of this scope."""
         state = self._state(scope)
         resources = {name: entry.resource for name, entry in state.entries.items()}
         return Snapshot(scope, self.version, state.digest, resources)
@@ -196,9 +203,9 @@
         return dict.fromkeys(self._tables.groups.services, frozenset({ANY_ZONE}))
 
     def _refresh_tenants(self, paths: frozenset[str], names: frozenset[str]) -> bool:
-        """Encode again the tenants that an edit touched; report whether any changed.
+        """Encode again the tenants ``names``; report whether any changed.
 
-        If the root changed, that is all tenants, because they inherit from it.
+        If ``paths`` has the root, all tenants are encoded, because they inherit from it.
         """
         if ROOT_PATH in paths:
             return self._tables.tenants.refresh_all(self._tree)
--- a/src/peppershore/version/difference.py
+++ b/src/peppershore/version/difference.py
@@ -19,10 +19,10 @@
 
 
 class Difference(Value, frozen=True):
-    """One setting of a node, zone, secret or tenant that differs between two trees.
+    """One setting of a tree node, zone, secret or tenant that differs between two trees.
 
     ``subject`` is a path, "zone:NAME", "secret:NAME" or "tenant:NAME". ``setting``
-    is empty where a node without overrides is added or removed. ``before`` and
+    is empty where a tree node without overrides is added or removed. ``before`` and
     ``after`` are JSON texts, empty where the setting is absent. A secret is shown by
     the numbers of its generations, never by its key material; the keys of a tenant are
     shown by their fingerprints.
--- a/src/peppershore/version/editor.py
+++ b/src/peppershore/version/editor.py
@@ -52,7 +52,11 @@
     def __init__(
         self, tree: Tree, change_id: str, version: Version, release: Version = 0
     ) -> None:
-        """Start with the maps of ``tree``; ``release`` 0 keeps the tree's release."""
+        """Start with the content of ``tree``, which is not changed.
+
+        ``change_id`` and ``version`` are those of the edit. ``release`` is the number of
+        the complete configuration that the edit puts in force; 0 keeps the tree's.
+        """
         self._release = release or tree.release
         self.problems: list[Problem] = []
         self._before = tree
--- a/src/peppershore/version/encoded.py
+++ b/src/peppershore/version/encoded.py
@@ -52,7 +52,7 @@
 
 
 RouteNodes = tuple[TreeNode | None, TreeNode | None]
-"""Nodes of a route: the one for every zone, and the one for a single zone."""
+"""Tree nodes of a route: the one for every zone, and the one for a single zone."""
 
 
 class EncodedRoute(Value, frozen=True):
@@ -90,7 +90,7 @@
 
 
 def overrides_in_zone(tree: Tree, service: str, zone: str) -> bool:
-    """Report whether a service has nodes that apply to this zone only."""
+    """Report whether a service has tree nodes that apply to this zone only."""
     branch = index_of(tree).get(service)
     return branch is not None and zone in branch.zones
 
@@ -100,7 +100,7 @@
 ) -> ServiceGroup | None:
     """Resolve and encode a service and its routes; None if there is no such service.
 
-    A route that was resolved from the same nodes and equal inherited settings before is
+    A route resolved before from the same tree nodes and equal inherited settings is
     reused, so that the cost of a change is proportional to the number of routes that it
     touches.
     """
@@ -132,13 +132,16 @@
 
 
 def encode_secret(name: str, secret: Secret, former: Entry | None) -> Entry:
-    """Encode a secret with all its generations."""
+    """Encode a secret with all its generations; return ``former`` if it is equal."""
     content = SecretResource(name, secret.generations, secret.signing_generation)
     return _entry(content, [former] if former is not None else [])
 
 
 def encode_tenant(tree: Tree, name: str, former: Entry | None) -> Entry:
-    """Encode a tenant: the digests of its keys, and its effective limits and priority."""
+    """Encode a tenant: the digests of its keys, and its effective limits and priority.
+
+    Return ``former`` if it is equal.
+    """
     limits = limits_of(tree, name)
     content = TenantResource(
         name=name,
@@ -151,7 +154,7 @@
 
 
 class RouteName(Value, frozen=True):
-    """A route by its service and its own name."""
+    """Identifies a route by the name of its service and its own name."""
 
     service: str
     route: str
@@ -160,7 +163,7 @@
 def _find_reusable_route(
     nodes: RouteNodes, route: str, former: FormerGroups
 ) -> EncodedRoute | None:
-    """Return the route resolved from the identical nodes; None if there is none."""
+    """Return the route resolved from the identical tree nodes; None if there is none."""
     for group in former:
         known = group.routes.get(route)
         if known and known.nodes[0] is nodes[0] and known.nodes[1] is nodes[1]:
--- a/src/peppershore/version/model.py
+++ b/src/peppershore/version/model.py
@@ -303,7 +303,7 @@
 
 
 class PromoteSecret(Value, frozen=True, tag="promote_secret"):
-    """Make signers use ``generation``.
+    """Make signers use ``generation`` of a secret.
 
     Of the generations before it only the one directly before it is retained.
     """
@@ -456,7 +456,7 @@
 
 
 class Scope(Value, frozen=True, array_like=True, order=True):
-    """Identifies the nodes that share one snapshot: the service they host and the zone.
+    """Identifies the proxies that share one snapshot: the service they host and the zone.
 
     The services that they may call are in the tree (``calls`` of the hosted service).
     """
@@ -466,7 +466,7 @@
 
 
 class RouteResource(Value, frozen=True, array_like=True, tag=1):
-    """A route in a snapshot."""
+    """A route in a snapshot, with its effective settings in the zone of the scope."""
 
     service: str
     route: str
@@ -474,7 +474,7 @@
 
 
 class ServiceResource(Value, frozen=True, array_like=True, tag=2):
-    """A service in a snapshot."""
+    """A service in a snapshot, with its effective settings in the zone of the scope."""
 
     service: str
     settings: ServiceSettings
--- a/src/peppershore/version/resource_tables.py
+++ b/src/peppershore/version/resource_tables.py
@@ -23,7 +23,7 @@
 from peppershore.version.model import ANY_ZONE, Tree, Value
 
 TouchedZones = dict[str, frozenset[str]]
-"""Zones in which nodes of a service changed, by service; "*" means all zones."""
+"""Zones in which tree nodes of a service changed, by service; "*" means all zones."""
 
 _GroupsByZone = dict[str, ServiceGroup | None]
 
@@ -36,7 +36,10 @@
 
 
 class GroupTable:
-    """Groups by service and zone; None for a service that the tree does not have."""
+    """Groups of a service and its routes, encoded, by service and zone.
+
+    The group is None for a service that the tree does not have.
+    """
 
     def __init__(self) -> None:
         self._groups: dict[str, _GroupsByZone] = defaultdict(dict)
@@ -105,7 +108,10 @@
         return entry
 
     def refresh(self, tree: Tree, names: Iterable[str]) -> set[str]:
-        """Encode known secrets again; return those that changed or were removed."""
+        """Encode again those of ``names`` that the table has.
+
+        Return the names of the secrets that changed or were removed.
+        """
         changed = set()
         for name in names:
             former = self._entries.pop(name, None)
@@ -159,7 +165,10 @@
 def _encode_in_zone(
     tree: Tree, service: str, zone: str, groups: _GroupsByZone, former: FormerGroups
 ) -> ServiceGroup | None:
-    """Encode a group, or reuse that of "any zone" if the zone overrides nothing."""
+    """Return the group of a service in a zone.
+
+    If the zone overrides nothing, that is the group of "any zone".
+    """
     if zone == ANY_ZONE or overrides_in_zone(tree, service, zone):
         return encode_group(tree, service, zone, former)
     if ANY_ZONE not in groups:
--- a/src/peppershore/version/rollout.py
+++ b/src/peppershore/version/rollout.py
@@ -1,6 +1,6 @@
 """The roll-out of a new version of a service's software, as settings in the tree.
 
-Only the control group changes these settings of the service's node, so that a roll-out
+Only the control group changes these settings of the service's tree node, so that a roll-out
 is replicated, confirmed and distributed to nodes like any other setting. Edits of
 operators neither show nor change them. The state of a roll-out changes once: from
 running to completed or rolled back.
@@ -49,7 +49,7 @@
 class Rollout(Value, frozen=True):
     """The latest roll-out of a service.
 
-    ``revision`` is the version of the last change of the service's node. ``share`` is
+    ``revision`` is the version of the last change of the service's tree node. ``share`` is
     the part of the calls that goes to the new version, of ``ALL_CALLS``.
     ``began_milliseconds`` is Unix time, ``milliseconds`` the time that the roll-out may
     take.
--- a/src/peppershore/version/scope_contents.py
+++ b/src/peppershore/version/scope_contents.py
@@ -1,4 +1,8 @@
-"""The resources of each scope, and the scopes that hold a service or secret."""
+"""The resources of each scope, and the scopes that hold a service or secret.
+
+A scope stands for all nodes (proxies) that host the same service in the same zone. They
+share one snapshot of the configuration, with the resources that such a node needs.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 
 class EncodedTables:
-    """The tables of encoded resources of the newest tree."""
+    """The tables of encoded resources of the newest tree: services, secrets, tenants."""
 
     def __init__(self) -> None:
         self.groups = GroupTable()
@@ -37,7 +41,7 @@
 
 
 def collect_contents(tree: Tree, scope: Scope, tables: EncodedTables) -> ScopeContents:
-    """Collect the resources of a scope from the shared entries.
+    """Collect the resources of a scope from ``tables``, whose entries all scopes share.
 
     Every scope that has any resource has all tenants, because any node may receive a
     call of any tenant.
@@ -108,7 +112,7 @@
         self._by_secret: dict[str, set[Scope]] = defaultdict(set)
 
     def set(self, scope: Scope, contents: ScopeContents) -> None:
-        """Replace the contents of a scope."""
+        """Add a scope with its contents, or replace the contents of a known scope."""
         former = self._contents.get(scope)
         is_same = (
             former is not None
@@ -130,13 +134,16 @@
         self._unlink(scope, self._contents.pop(scope))
 
     def services_of(self, scope: Scope) -> frozenset[str]:
-        """Return the services that a scope holds."""
+        """Return the services that the nodes of a scope hold."""
         return self._contents[scope].services
 
     def holders_of(
         self, groups: Iterable[GroupKey], secrets: Iterable[str]
     ) -> frozenset[Scope]:
-        """Return the scopes that hold any of these groups or any of these secrets."""
+        """Return the scopes that hold any of these groups or any of these secrets.
+
+        A group is the resources of one service in one zone.
+        """
         found: set[Scope] = set()
         for key in groups:
             found |= self._by_service.get(key, set())
--- a/src/peppershore/version/scope_state.py
+++ b/src/peppershore/version/scope_state.py
@@ -1,4 +1,9 @@
-"""State of one scope in use: its resources and its recent history."""
+"""State of one scope: its resources and the recent digests of its snapshot by version.
+
+A scope stands for all nodes (proxies) that host the same service in the same zone and
+share one snapshot. A node that holds the snapshot of a recent digest gets only the
+difference from it, any other node the full state.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 from peppershore.version.model import Digest, Scope, Update, Version
 
 HISTORY_LIMIT = 512
-"""Maximum number of digests retained per scope; an exact delta can start from each."""
+"""Maximum number of digests retained per scope; a difference can start from each."""
 
 CACHED_UPDATES = 64
 """Maximum number of cached updates of a scope, which holders of the same base share."""
@@ -22,10 +27,10 @@
 
 
 class DigestHistory:
-    """The last digests of a scope, oldest first, each with the newest version that had it.
+    """The last digests of a scope's snapshot, oldest first.
 
-    They are in two arrays of machine words, because thousands of scopes each retain
-    hundreds of digests.
+    Each is stored with the newest version that had it. They are in two arrays of machine
+    words, because thousands of scopes each retain hundreds of digests.
     """
 
     def __init__(self) -> None:
--- a/src/peppershore/version/snapshot_contents.py
+++ b/src/peppershore/version/snapshot_contents.py
@@ -91,7 +91,10 @@
     def changed(
         self, removed: Iterable[str], changed: tuple[Resource, ...]
     ) -> SnapshotContents:
-        """Return the contents after names were removed and resources added or replaced."""
+        """Return new contents without the resources ``removed`` and with those ``changed``.
+
+        Resources in ``changed`` are added, or replace those of the same name.
+        """
         added_contents = decode_contents(changed)
         names = dict.fromkeys((*removed, *(resource.name for resource in changed)))
         removed_contents = [self.by_name[name] for name in names if name in self.by_name]
@@ -118,7 +121,10 @@
         return copy
 
     def is_rebuild_cheaper(self, changes: int) -> bool:
-        """Report whether, with so many changes, a rebuild is cheaper."""
+        """Report whether to rebuild the contents if ``changes`` resources changed.
+
+        Above ``REBUILD_SHARE`` of the resources, a rebuild is cheaper.
+        """
         return changes > REBUILD_SHARE * len(self.by_name)
 
     def _copy(self) -> SnapshotContents:
--- a/src/peppershore/version/splits.py
+++ b/src/peppershore/version/splits.py
@@ -32,7 +32,7 @@
 
 
 def parse_splits(texts: Iterable[str]) -> tuple[WeightedTarget, ...]:
-    """Parse texts that ``are_splits`` accepted."""
+    """Return the weighted targets of texts that ``are_splits`` accepted."""
     targets: list[WeightedTarget] = []
     for text in texts:
         service, _, weight = text.partition("=")
--- a/src/peppershore/version/tree_file.py
+++ b/src/peppershore/version/tree_file.py
@@ -145,7 +145,10 @@
         self._table = table
 
     def read_tree(self, known_secrets: dict[str, Secret]) -> Tree:
-        """Return the tree of the table; it is usable only if ``problems`` is empty."""
+        """Return the tree of the table; it is usable only if ``problems`` is empty.
+
+        ``known_secrets`` replace a missing ``secrets`` table.
+        """
         for name in self._table.keys() - set(_TABLES):
             self._refuse(FILE_SUBJECT, f"unknown key {name!r}", ", ".join(_TABLES))
         nodes = self._read_nodes()
--- a/src/peppershore/version/tree_index.py
+++ b/src/peppershore/version/tree_index.py
@@ -21,9 +21,9 @@
 
 
 class ServiceBranch(Value, frozen=True):
-    """Summary of all nodes of one service, over all zones.
+    """Summary of all tree nodes of one service, over all zones.
 
-    ``routes`` maps a zone (also "*") to the routes that have a node there.
+    ``routes`` maps a zone (also "*") to the routes that have a tree node there.
     ``references`` are the services that ``calls`` name, and the other services that
     ``target`` names. ``diversions`` are the services that ``splits`` name; these may
     form cycles, because a call that is sent to another service instead creates no
@@ -42,7 +42,7 @@
 
 
 def split_path(path: str) -> TreePath:
-    """Parse the path of a node without a check; ``parse_path`` checks it."""
+    """Parse the path of a tree node without a check; ``parse_path`` checks it."""
     return TreePath(*path.strip("/").split("/")[:MAXIMUM_SEGMENTS])
 
 
@@ -85,10 +85,10 @@
 
 
 def referenced_services(service: str, overrides: Overrides) -> frozenset[str]:
-    """Return the services that ``calls`` and ``target`` of one node name.
+    """Return the services named by the settings ``calls`` and ``target`` of one tree node.
 
-    If ``calls`` names the node's own service, that is included; if ``target`` does, it is
-    not.
+    ``service``, to which the tree node belongs, is included if ``calls`` names it, but not
+    if only ``target`` does.
     """
     names: set[str] = set()
     if overrides.calls is not UNSET:
@@ -99,13 +99,13 @@
 
 
 def diverted_services(overrides: Overrides) -> frozenset[str]:
-    """Return the services that the ``splits`` of one node name."""
+    """Return the services named by the setting ``splits`` of one tree node."""
     splits = overrides.splits
     return split_services(splits) if are_splits(splits) else frozenset()
 
 
 def referenced_secrets(overrides: Overrides) -> frozenset[str]:
-    """Return the secrets that one node names."""
+    """Return the secrets named by the settings of one tree node."""
     named = (overrides.verify_secret, overrides.sign_secret)
     return frozenset(name for name in named if name is not UNSET and name != "")
 
@@ -127,7 +127,7 @@
     nodes_before: dict[str, TreeNode],
     nodes_after: dict[str, TreeNode],
 ) -> ServiceBranch | None:
-    """Return a branch after some of its nodes changed, from the changed nodes alone.
+    """Return a service's branch after some tree nodes changed, from these nodes alone.
 
     Return None if the changed nodes no longer use some name or zone: only a scan of all
     nodes of the service shows whether another node uses it.
