--- a/src/peppershore/connection/authorization.py
+++ b/src/peppershore/connection/authorization.py
@@ -46,7 +46,7 @@
     "claims": frozenset({92, 98, 101}) | CONSENSUS_TAGS | CLAIM_REPLY_TAGS,
     "operator": OPERATOR_TAGS,
 }
-"""Tags that each role may send, besides ``SESSION_TAGS``."""
+"""Tags of the messages that each role may send, besides ``SESSION_TAGS``."""
 
 
 def authorizer(own: PeerIdentity) -> Authorize:
--- a/src/peppershore/connection/call_link.py
+++ b/src/peppershore/connection/call_link.py
@@ -58,7 +58,7 @@
 
 
 class CallLink:
-    """One link between two nodes and the streams on it."""
+    """One link between two nodes and the streams on it, one stream per call."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         *,
         packs_heads: bool = False,
     ) -> None:
-        """Wrap an open link.
+        """Wrap an open link; nothing is delivered before ``start``.
 
         ``on_started`` receives the calls that the peer starts, ``on_other`` the messages
         outside any stream. A message for which ``allows`` returns false closes the link.
@@ -214,7 +214,7 @@
     __slots__ = ("_left",)
 
     def __init__(self, octets: int = STREAM_WINDOW_BYTES) -> None:
-        """Start with credit for ``octets`` bytes."""
+        """Start with credit for sending ``octets`` bytes."""
         self._left = octets
 
     @property
@@ -232,7 +232,7 @@
         self._left -= octets
 
     def credited(self, octets: int) -> bool:
-        """Add credit; return true if this opened a closed window."""
+        """Add credit; return true if bytes may be sent now but could not before."""
         was_open = self.open
         self._left += octets
         return self.open and not was_open
@@ -246,14 +246,14 @@
     def __init__(self, window: int = STREAM_WINDOW_BYTES, owed: int = 0) -> None:
         """Start with ``owed`` bytes of credit due.
 
-        Credit is granted once it amounts to a quarter of the window or more.
+        Credit is granted once it amounts to at least a quarter of ``window`` bytes.
         """
         self._window = window
         self._owed = owed
         self._paused = False
 
     def taken(self, octets: int) -> int:
-        """Count bytes that were forwarded; return the credit to send now, or 0."""
+        """Count forwarded body bytes; return the credit in bytes to grant now, or 0."""
         self._owed += octets
         return self._due()
 
@@ -262,7 +262,7 @@
         self._paused = True
 
     def resume(self) -> int:
-        """Return the credit to send now, or 0."""
+        """Resume granting; return the credit in bytes to grant now, or 0."""
         self._paused = False
         return self._due()
 
--- a/src/peppershore/connection/certificates.py
+++ b/src/peppershore/connection/certificates.py
@@ -47,7 +47,7 @@
     key: ec.EllipticCurvePrivateKey
 
     def __repr__(self) -> str:
-        """Keep the key out of logs and tracebacks."""
+        """Return a text without the private key, for logs and tracebacks."""
         return "Authority(<hidden>)"
 
 
--- a/src/peppershore/connection/endpoint_packing.py
+++ b/src/peppershore/connection/endpoint_packing.py
@@ -1,7 +1,8 @@
 """Compression of the endpoint lists sent to nodes: MessagePack, then Zstandard.
 
-The dictionary pays off because the endpoints of one service differ in little more than
-names and addresses, and a node that connects receives a hundred or more at once.
+The Zstandard dictionary, known to both ends, saves many bytes because the endpoints of one
+service differ in little more than names and addresses, and a node that connects receives a
+hundred or more at once.
 """
 
 from __future__ import annotations
--- a/src/peppershore/connection/head_packing.py
+++ b/src/peppershore/connection/head_packing.py
@@ -18,7 +18,8 @@
 
 MEMORY_LEVEL = 2
 COMPRESSION_LEVEL = 6
-"""With these settings a stream takes about 12 KB at its sender, 10 KB at its receiver."""
+"""Deflate level. With these settings a stream takes about 12 KB of memory at its sender and
+10 KB at its receiver."""
 
 MIN_PACKABLE_BYTES = 64
 MAX_PACKABLE_BYTES = 2_048
--- a/src/peppershore/connection/http_client.py
+++ b/src/peppershore/connection/http_client.py
@@ -139,7 +139,7 @@
         if self._sink is not None:
             self._sink.sending_resumed()
 
-    # --- used by the owner
+    # --- methods for the user of the connection
 
     @property
     def usable(self) -> bool:
--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -135,7 +135,7 @@
         if self._exchanges and self._exchanges[0].sink is not None:
             self._exchanges[0].sink.writing_resumed()
 
-    # --- used by exchanges
+    # --- interface for exchanges
 
     def has_output(self, exchange: ServerExchange) -> None:
         """Write the queued bytes of an exchange if its answer is next in order."""
@@ -172,7 +172,7 @@
             self._body_paused = False
             self._apply_pauses()
 
-    # --- used by the listener
+    # --- interface for the owner of the connections
 
     @property
     def busy(self) -> bool:
--- a/src/peppershore/connection/identity.py
+++ b/src/peppershore/connection/identity.py
@@ -1,8 +1,9 @@
 """Identity of a process in its certificate: ``peppershore://CLUSTER/ROLE/NAME``.
 
 The identity is a URI among the certificate's subject alternative names. A node's
-identity also includes its scope, ``peppershore://CLUSTER/node/SERVICE/ZONE/NAME``, so that
-no node can request the configuration and the secrets of another service.
+identity also includes the service that it hosts and its zone,
+``peppershore://CLUSTER/node/SERVICE/ZONE/NAME``, so that no node can request the
+configuration and the secrets of another service.
 """
 
 from __future__ import annotations
--- a/src/peppershore/connection/link.py
+++ b/src/peppershore/connection/link.py
@@ -71,13 +71,17 @@
         self._read_frames(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the owner, once, that the link is closed."""
+        """Report to the receiver set by ``start``, once, that the link is closed."""
         if self._abort_timer is not None:
             self._abort_timer.cancel()
         self._finish(str(exc) if exc else "closed by peer")
 
     def start(self, on_message: MessageSink, on_closed: CloseSink) -> None:
-        """Start delivering messages, first those that were already received."""
+        """Start delivering messages, first those that were already received.
+
+        ``on_message`` gets each message and its size on the wire in bytes, ``on_closed``
+        the reason if the link is closed otherwise than by ``close``.
+        """
         self._on_message = on_message
         self._on_closed = on_closed
         undelivered = self._undelivered
@@ -106,7 +110,7 @@
         return octets
 
     def close(self) -> None:
-        """Send what is queued, then close; the owner gets no more callbacks.
+        """Send what is queued, then close; no callback set by ``start`` is called any more.
 
         If the peer does not read, the link is aborted after ``FLUSH_SECONDS``, so queued
         bytes take memory no longer than that.
@@ -160,7 +164,7 @@
     def __init__(
         self, on_accepted: Callable[[Link], None], tls: ssl.SSLContext | None
     ) -> None:
-        """Pass every accepted link to ``on_accepted``."""
+        """Pass every accepted link to ``on_accepted``; without ``tls`` links use no TLS."""
         self._on_accepted = on_accepted
         self._admission = None if tls is None else TlsAdmission(tls, self._link)
         self._server: asyncio.Server | None = None
--- a/src/peppershore/connection/messages/base.py
+++ b/src/peppershore/connection/messages/base.py
@@ -8,7 +8,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of every message."""
+    """Base of every message that processes exchange on links."""
 
     def __repr__(self) -> str:
         """Show only the lengths of byte strings, not their content."""
--- a/src/peppershore/connection/messages/consensus.py
+++ b/src/peppershore/connection/messages/consensus.py
@@ -12,7 +12,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """Type of a log entry, as the consensus core distinguishes it."""
+    """Type of a log entry: empty, a command for the state machine, or a membership."""
 
     EMPTY = 0
     COMMAND = 1
@@ -157,7 +157,7 @@
 
 
 class ProgressShared(Message, frozen=True, tag=80):
-    """A relay's report, forwarded by a replica to the leader."""
+    """A relay's progress report, forwarded by a replica to the leader."""
 
     report: ProgressReported
     age_milliseconds: int
--- a/src/peppershore/connection/messages/endpoints.py
+++ b/src/peppershore/connection/messages/endpoints.py
@@ -97,7 +97,10 @@
 
 
 class EndpointBucketsWanted(Message, frozen=True, tag=44):
-    """Anti-entropy: request for the endpoints in these buckets."""
+    """Anti-entropy: request for the endpoints of nodes in these buckets.
+
+    Buckets are groups of nodes, as in ``EndpointDigest``.
+    """
 
     buckets: tuple[int, ...]
 
@@ -105,6 +108,8 @@
 class LeaseRenewed(Message, frozen=True, tag=45):
     """A relay's confirmation that endpoints in ``buckets`` with a live session are alive.
 
+    Buckets are groups of nodes, as in ``EndpointDigest``.
+
     It covers ``nodes_alive``; the confirmation of other nodes of these buckets ends.
     """
 
@@ -114,6 +119,11 @@
 
 
 class EndpointsHeld(Message, frozen=True, tag=46):
-    """A node's digest of its endpoints; the relay sends them if its own differs."""
+    """Digest of the endpoints that a node holds, or should hold according to its relay.
+
+    A node reports its own digest; if the relay's differs, the relay sends all endpoints.
+    A relay sends the digest that the node should have; if the node's differs, the node
+    reports its own.
+    """
 
     digest: int
--- a/src/peppershore/connection/messages/node.py
+++ b/src/peppershore/connection/messages/node.py
@@ -41,7 +41,7 @@
 
 
 class UpdateOffered(Message, frozen=True, tag=22):
-    """New configuration for the node's scope, compressed by ``update_packing``.
+    """New configuration for the node's service and zone, compressed by ``update_packing``.
 
     A quorum confirmed the version no earlier than at ``confirmed_at_milliseconds`` of
     the node's own clock; None for never.
--- a/src/peppershore/connection/messages/quotas.py
+++ b/src/peppershore/connection/messages/quotas.py
@@ -66,7 +66,7 @@
 
 
 class QuotaForwarded(Message, frozen=True, tag=172):
-    """A relay's request, forwarded to the leader by the replica that the relay follows.
+    """A relay's request for calls, forwarded to the leader by the replica it follows.
 
     ``relay`` names one incarnation of a relay.
     """
--- a/src/peppershore/connection/messages/relay.py
+++ b/src/peppershore/connection/messages/relay.py
@@ -50,7 +50,7 @@
 
 
 class LaggingNode(msgspec.Struct, frozen=True, array_like=True):
-    """A node that does not yet hold the complete state of its scope, and the reason."""
+    """A node that lacks the complete state of its service and zone, and the reason."""
 
     node: str
     service: str
--- a/src/peppershore/connection/messages/rollouts.py
+++ b/src/peppershore/connection/messages/rollouts.py
@@ -42,18 +42,18 @@
 
 
 class EvidenceTold(Message, frozen=True, tag=28):
-    """Report of a node to its relay."""
+    """Call results of a back end, reported by its node to a relay."""
 
     evidence: BackEndEvidence
 
 
 class EvidenceShared(Message, frozen=True, tag=56):
-    """Report forwarded by a relay to the replica that it follows."""
+    """Call results of a back end, forwarded by a relay to the replica that it follows."""
 
     evidence: BackEndEvidence
 
 
 class EvidencePassed(Message, frozen=True, tag=84):
-    """Report forwarded by a replica to the leader."""
+    """Call results of a back end, forwarded by a replica to the leader."""
 
     evidence: BackEndEvidence
--- a/src/peppershore/connection/packing.py
+++ b/src/peppershore/connection/packing.py
@@ -1,8 +1,8 @@
 """Compression with Zstandard: messages with a dictionary, blocks without one.
 
 The dictionary is known to both ends. Small messages of the same kind resemble each other,
-so it gives most of the saving. Blocks are MessagePack values of the control group: its
-commands and snapshots.
+so it gives most of the saving. A block is one MessagePack value of the control group: a
+command of its replicated log or a snapshot.
 """
 
 from __future__ import annotations
@@ -16,10 +16,13 @@
 COMPRESSION_LEVEL = 9
 
 BLOCK_LEVEL = 1
-"""Compression level of blocks: route names are random, so a higher level saves little."""
+"""Zstandard compression level (1 to 22) of blocks; see the module's text for blocks.
+
+Route names are random, so a higher level saves little.
+"""
 
 MIN_BLOCK_BYTES = 512
-"""Smaller blocks stay uncompressed: compression would save less than its frame costs."""
+"""Smaller blocks stay uncompressed: a Zstandard frame would cost more than is saved."""
 
 BLOCK_MARK = zstandard.FRAME_HEADER
 """First bytes of a compressed block; no MessagePack list or map begins with them."""
@@ -54,11 +57,11 @@
         )
 
     def pack(self, content: bytes) -> bytes:
-        """Return the compressed bytes."""
+        """Return ``content`` compressed with the dictionary."""
         return self._compressor.compress(content)
 
     def unpack(self, packed: bytes) -> Result[bytes, UnusablePacking]:
-        """Return the decompressed content; fail if invalid or above the size limit.
+        """Return the decompressed content; fail if invalid or above ``MAX_UNPACKED_BYTES``.
 
         The content is read in chunks, so that a small input can't expand to more than
         ``MAX_UNPACKED_BYTES`` in memory.
@@ -78,14 +81,14 @@
 
 
 def pack_block(content: bytes) -> bytes:
-    """Compress MessagePack written by this program if it is large enough to gain."""
+    """Return a MessagePack value as a block, compressed from ``MIN_BLOCK_BYTES`` on."""
     if len(content) < MIN_BLOCK_BYTES:
         return content
     return zstandard.ZstdCompressor(level=BLOCK_LEVEL).compress(content)
 
 
 def unpack_block(block: bytes) -> bytes:
-    """Reverse ``pack_block``; the block must come from this program."""
+    """Return the MessagePack value of a block, which ``pack_block`` must have made."""
     if not block.startswith(BLOCK_MARK):
         return block
     return zstandard.ZstdDecompressor().decompress(block)
--- a/src/peppershore/connection/tls.py
+++ b/src/peppershore/connection/tls.py
@@ -32,21 +32,28 @@
 
 
 class Reload(msgspec.Struct, frozen=True):
-    """Result of checking the files; ``failure`` says why changed files can't be used."""
+    """Result of checking whether the certificate and key files changed on disk.
+
+    ``reloaded`` is true if changed files were loaded; ``failure`` is the reason why changed
+    files can't be used, else "".
+    """
 
     reloaded: bool = False
     failure: str = ""
 
 
 class ReloadingContext:
-    """An ``ssl.SSLContext`` that can be reloaded from its files.
+    """An ``ssl.SSLContext`` that can be reloaded from its certificate and key files.
 
     New files are first loaded into a temporary context, so that a key that does not
     match its certificate leaves the context in use unchanged.
     """
 
     def __init__(self, paths: TlsPaths, protocol: ssl._SSLMethod) -> None:
-        """Load the files; raise OSError, ValueError or ssl.SSLError if unusable."""
+        """Load the files of ``paths`` into a context for ``protocol`` (client or server).
+
+        Raise OSError, ValueError or ssl.SSLError if the files are unusable.
+        """
         self._paths = paths
         self._protocol = protocol
         self._stamps = _stamps(paths)
--- a/src/peppershore/connection/tls_admission.py
+++ b/src/peppershore/connection/tls_admission.py
@@ -28,7 +28,10 @@
         make_protocol: MakeProtocol,
         max_handshakes: int = MAX_HANDSHAKES,
     ) -> None:
-        """Allow at most ``max_handshakes`` handshakes at a time."""
+        """Allow at most ``max_handshakes`` handshakes at a time.
+
+        ``make_protocol`` creates the protocol that a connection gets after its handshake.
+        """
         self.refused = 0
         self._tls = tls
         self._make_protocol = make_protocol
--- a/src/peppershore/connection/traffic.py
+++ b/src/peppershore/connection/traffic.py
@@ -66,12 +66,15 @@
         return taken
 
     def note_sent(self, kind: Kind, octets: int) -> None:
-        """Count one message or stream chunk that was passed to the operating system."""
+        """Count one message, or data of a caller's connection, that was sent.
+
+        Data counts as sent once it is passed to the operating system.
+        """
         self.octets_sent += octets
         _note(self.sent, kind, octets)
 
     def note_received(self, kind: Kind, octets: int) -> None:
-        """Count one message or stream chunk that was received."""
+        """Count one received message, or received data of a caller's connection."""
         _note(self.received, kind, octets)
 
     def note_body_sent(self, tag: int, octets: int) -> None:
--- a/src/peppershore/connection/update_packing.py
+++ b/src/peppershore/connection/update_packing.py
@@ -4,10 +4,11 @@
 both ends gives most of the saving. The dictionary is part of the protocol and must never
 change; a different one needs a different message tag.
 
-Omitted is what the receiver knows or can derive: its scope, the digest it holds, and the
-names of resources, which are also in their payloads. If an update does not match the state
-that the receiver holds, the resulting digest differs from the one in the update, and the
-receiver rejects it.
+A packed update omits what the receiver knows or can derive: its scope (the service that it
+hosts and its zone), the digest of the configuration that it holds, and the names of
+resources, which are also in their payloads. If an update does not match the state that the
+receiver holds, the resulting digest differs from the one in the update, and the receiver
+rejects it.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 def unpack_update(
     packed: bytes, scope: Scope, held: Digest
 ) -> Result[Update, UnusablePacking]:
-    """Restore an update for a receiver in ``scope`` whose state has digest ``held``.
+    """Restore an update for a receiver of ``scope`` whose state has digest ``held``.
 
     Fail with the reason if the bytes are not a packed update.
     """
