--- a/src/peppershore/connection/call_link.py
+++ b/src/peppershore/connection/call_link.py
@@ -106,7 +106,7 @@
         return number
 
     def serve(self, stream: int, sink: StreamSink) -> None:
-        """Deliver messages on the peer's stream ``stream`` to ``sink``."""
+        """Deliver to ``sink`` the messages on ``stream``, which the peer opened."""
         self._streams[stream] = sink
 
     def forget(self, stream: int) -> None:
--- a/src/peppershore/connection/http_pool.py
+++ b/src/peppershore/connection/http_pool.py
@@ -21,7 +21,7 @@
     """Connections to one address, at most ``bound`` of them open or being opened."""
 
     def __init__(self, address: str, bound: int) -> None:
-        """Start without connections; ``address`` is "IP:port"."""
+        """Start without connections to ``address`` ("IP:port"); allow at most ``bound``."""
         self.address = address
         self.bound = bound
         self._idle: list[ClientConnection] = []
@@ -67,7 +67,8 @@
     def give_back(self, connection: ClientConnection) -> None:
         """Return a connection to the pool after its exchange.
 
-        Close it instead if it is unusable, above the bound, or the pool is closed.
+        Close it instead if it is unusable, above the bound on connections, or the pool is
+        closed.
         """
         if self._closed or self.connections > self.bound or not connection.usable:
             self._discard(connection)
@@ -76,7 +77,7 @@
         self._idle.append(connection)
 
     def limit(self, bound: int) -> None:
-        """Change the bound, closing excess idle connections at once."""
+        """Set the maximum number of connections; close excess idle ones at once."""
         self.bound = bound
         while self._idle and self.connections > bound:
             self._discard(self._idle.pop(0))
--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -70,7 +70,7 @@
     """
 
     def __init__(self, owner: ServerOwner) -> None:
-        """Deliver requests to ``owner``."""
+        """Deliver requests to ``owner``, which also learns of the opening and closing."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[ServerExchange] = deque()
--- a/src/peppershore/connection/messages/node.py
+++ b/src/peppershore/connection/messages/node.py
@@ -52,7 +52,7 @@
 
 
 class UpdateApplied(Message, frozen=True, tag=23):
-    """Confirmation that the node holds and uses ``version``."""
+    """A node's confirmation to its relay that it holds and uses ``version``."""
 
     version: Version
     digest: Digest
--- a/src/peppershore/connection/silence.py
+++ b/src/peppershore/connection/silence.py
@@ -13,8 +13,8 @@
 
 LINK_TIMEOUT_SECONDS = 2
 """Time-out on unacknowledged data of links between processes of the system. It tolerates
-three packets lost in a row, or a queue of one second on a narrow link; a voter that is
-silent for this long is replaced."""
+three packets lost in a row, or a queue of one second on a narrow link; a voting replica
+that is silent for this long is replaced."""
 
 PROBE_SECONDS = 1
 """Interval of probes on an idle connection; the operating system allows no less."""
--- a/src/peppershore/process/events.py
+++ b/src/peppershore/process/events.py
@@ -1,7 +1,7 @@
 """Events: the inputs of a core's ``step``, named in the past tense.
 
-The asyncio shell, the simulator, the hollow nodes and the model checker all pass the
-same events to the same cores.
+The asyncio shell, the simulator, the hollow nodes (many node cores in one process,
+without a data plane) and the model checker all pass the same events to the same cores.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/logging.py
+++ b/src/peppershore/process/logging.py
@@ -88,7 +88,7 @@
     """Writes log lines to a bounded output and limits the rate of those about calls."""
 
     def __init__(self, output: BoundedOutput) -> None:
-        """Write to ``output``."""
+        """Write log lines to ``output``."""
         super().__init__()
         self._output = output
         self._budget = LineBudget(CALL_LINES_PER_SECOND, CALL_LINES_BURST)
@@ -104,7 +104,7 @@
 
 
 def write_notice(notice: Notice) -> None:
-    """Write one notice as a log line; a ``NoticeSink``."""
+    """Write one notice as a log line; can be used as a ``NoticeSink``."""
     name = event_name(type(notice))
     level = notice_level(notice)
     logger = absl_logging.get_absl_logger()
--- a/src/peppershore/process/metrics.py
+++ b/src/peppershore/process/metrics.py
@@ -52,7 +52,7 @@
         self.gauge("uptime_seconds", "Seconds since the process started.", self._uptime)
 
     def notice(self, notice: Notice) -> None:
-        """Count a notice and write its log line; a ``NoticeSink``."""
+        """Count a notice and write its log line; can be used as a ``NoticeSink``."""
         self._events[event_name(type(notice))] += 1
         write_notice(notice)
 
@@ -64,7 +64,7 @@
         self._gauges.append(_Gauge(f"{NAMESPACE}_{name}", meaning, read))
 
     def add_source(self, source: MetricSource) -> None:
-        """Export the metrics of ``source`` too."""
+        """Export the metrics of ``source`` too, together with those of the process."""
         self._sources.append(source)
 
     def render(self) -> bytes:
--- a/src/peppershore/version/active.py
+++ b/src/peppershore/version/active.py
@@ -33,7 +33,7 @@
 
 
 class RouteIndex:
-    """Routes by host and path prefix; a match does not scan all routes."""
+    """Index of routes by host and path prefix; a match does not scan all routes."""
 
     def __init__(self, routes: Iterable[RouteResource]) -> None:
         """Index ``routes``, which must be sorted by ``match_order``."""
--- a/src/peppershore/version/digest.py
+++ b/src/peppershore/version/digest.py
@@ -33,12 +33,12 @@
 
 
 def combine(scope: Scope, digests: Iterable[Digest]) -> Digest:
-    """Return the digest of a snapshot from the digests of its resources."""
+    """Return the digest of a scope's snapshot from the digests of its resources."""
     return (scope_digest(scope) + sum(digests)) % _MODULUS
 
 
 def snapshot_digest(scope: Scope, resources: Iterable[Resource]) -> Digest:
-    """Return the digest of a snapshot from its resources."""
+    """Return the digest of a scope's snapshot from its resources."""
     return combine(scope, (resource_digest(resource) for resource in resources))
 
 
--- a/src/peppershore/version/encoded.py
+++ b/src/peppershore/version/encoded.py
@@ -65,7 +65,7 @@
 
 
 class ServiceGroup(Value, frozen=True):
-    """A service and its routes in a zone, encoded, and the names that they use.
+    """A service and its routes in a zone, encoded, and the names of what they refer to.
 
     ``inherited`` has the settings that all of its routes inherit.
     """
--- a/src/peppershore/version/snapshot.py
+++ b/src/peppershore/version/snapshot.py
@@ -44,8 +44,8 @@
 class UpdateProblem(Value, frozen=True):
     """Why an update was rejected; the receiver keeps its snapshot.
 
-    "not-newer" is normal when updates arrive reordered. After any other kind the
-    receiver needs full state.
+    The kind "not-newer" is normal when updates arrive reordered. After any other
+    ``kind`` the receiver needs a full update.
     """
 
     kind: UpdateProblemKind
--- a/src/peppershore/version/whole_configuration.py
+++ b/src/peppershore/version/whole_configuration.py
@@ -1,4 +1,4 @@
-"""A complete configuration as operators send it: routes, services, tenants, a number.
+"""A complete configuration as operators send it: routes, services, tenants, its number.
 
 One atomic edit puts it in the tree: a setting that most routes of a service share is
 set on the service and inherited, and a route overrides what differs. The conversion
