--- a/src/peppershore/connection/http_server.py
+++ b/src/peppershore/connection/http_server.py
@@ -70,7 +70,7 @@
     """
 
     def __init__(self, owner: ServerOwner) -> None:
-        """Deliver requests to ``owner``."""
+        """Deliver requests to ``owner``, which also learns of the opening and closing."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[ServerExchange] = deque()
@@ -135,7 +135,7 @@
         if self._exchanges and self._exchanges[0].sink is not None:
             self._exchanges[0].sink.writing_resumed()
 
-    # --- used by exchanges
+    # --- interface for exchanges
 
     def has_output(self, exchange: ServerExchange) -> None:
         """Write the queued bytes of an exchange if its answer is next in order."""
@@ -172,7 +172,7 @@
             self._body_paused = False
             self._apply_pauses()
 
-    # --- used by the listener
+    # --- interface for the owner of the connections
 
     @property
     def busy(self) -> bool:
--- a/src/peppershore/process/metrics.py
+++ b/src/peppershore/process/metrics.py
@@ -29,7 +29,7 @@
     """An object that exports metrics of its own."""
 
     def collect(self) -> Iterator[Metric]:
-        """Return the current metrics."""
+        """Return the current metrics of this object."""
 
 
 class _Gauge(msgspec.Struct, frozen=True):
@@ -52,16 +52,19 @@
         self.gauge("uptime_seconds", "Seconds since the process started.", self._uptime)
 
     def notice(self, notice: Notice) -> None:
-        """Count a notice and write its log line; a ``NoticeSink``."""
+        """Count a notice and write its log line; can be used as a ``NoticeSink``."""
         self._events[event_name(type(notice))] += 1
         write_notice(notice)
 
     def gauge(self, name: str, meaning: str, read: Callable[[], float]) -> None:
-        """Add the gauge ``peppershore_<name>``; ``read`` is called at each scrape."""
+        """Add the gauge ``peppershore_<name>`` with the help text ``meaning``.
+
+        ``read`` returns its value and is called at each scrape.
+        """
         self._gauges.append(_Gauge(f"{NAMESPACE}_{name}", meaning, read))
 
     def add_source(self, source: MetricSource) -> None:
-        """Export the metrics of ``source`` too."""
+        """Export the metrics of ``source`` too, together with those of the process."""
         self._sources.append(source)
 
     def render(self) -> bytes:
