--- a/src/peppershore/process/consensus/core.py
+++ b/src/peppershore/process/consensus/core.py
@@ -75,7 +75,10 @@
     def __init__(
         self, settings: ConsensusSettings, stored: StoredState, randomness: Randomness
     ) -> None:
-        """Restore the stored state; the replica is passive until ``start``."""
+        """Restore ``stored``, the state read from disk; do nothing before ``start``.
+
+        ``randomness`` supplies the random delays of elections.
+        """
         self.settings = settings
         self.identity = stored.identity
         self.group_id = stored.group_id
@@ -121,7 +124,7 @@
         self.flush(now)
 
     def join_group(self, group_id: int) -> None:
-        """Record permanently which group this replica belongs to."""
+        """Record permanently that this replica belongs to the group with this id."""
         assert self.group_id == 0
         self.group_id = group_id
         self.durability.add(SaveGroup(group_id))
@@ -197,7 +200,10 @@
         return self._append_own(EntryKind.MEMBERSHIP, encode_membership(membership))
 
     def read(self, request: int, now: float) -> None:
-        """Request a read index; the output is ReadConfirmed or ReadFailed."""
+        """Request a read index for the read numbered ``request``.
+
+        The output is ``ReadConfirmed`` or ``ReadFailed`` with the same number.
+        """
         if self.leadership is None:
             self.emit(ReadFailed(request))
         else:
@@ -221,7 +227,7 @@
         self.durable_log.compact(index, parts, compaction_point(index, kept, in_transfer))
 
     def persisted(self, token: int, now: float) -> None:
-        """Handle the completion of the write ``token``: its records are durable."""
+        """Handle that the write numbered ``token`` is done: its records are durable."""
         self.disk_refused = False
         self.durability.persisted(token)
         self.flush(now)
@@ -333,7 +339,10 @@
             self.election.begin_vote(now)
 
     def enter_term(self, term: int, voted_for: str) -> None:
-        """Set the current term and this replica's vote in it; queue both for the disk."""
+        """Set the current term and the candidate voted for in it; queue both for the disk.
+
+        ``voted_for`` is "" without a vote.
+        """
         self.term = term
         self.voted_for = voted_for
         self.durability.add(SaveHardState(HardState(term, voted_for)))
@@ -372,7 +381,7 @@
         self._postpone_election(now)
 
     def commit_to(self, index: int) -> None:
-        """Advance the commit index to ``index`` and output the committed entries."""
+        """Advance the commit index to ``index``; output the newly committed entries."""
         if index <= self.commit_index:
             return
         first = self.commit_index + 1
@@ -392,7 +401,7 @@
         self.durable_log.truncate_from(index)
 
     def install(self, snapshot: StateSnapshot) -> None:
-        """Replace the log and the state by a snapshot that is ahead of both."""
+        """Replace the log and the state machine's state by a snapshot ahead of both."""
         self.durable_log.install(snapshot)
         self.commit_index = snapshot.index
         self.emit(StateInstalled(snapshot))
--- a/src/peppershore/process/consensus/durability.py
+++ b/src/peppershore/process/consensus/durability.py
@@ -24,14 +24,16 @@
 
 
 class DurabilityQueue:
-    """Batches records into numbered writes and runs dependent actions in order.
+    """Batches the replica's records into numbered disk writes; runs dependent actions.
+
+    Actions run in the order in which they were added.
 
     A failed write is retained and issued again later, so the rest of the core
     treats a disk that refuses writes like a very slow one.
     """
 
     def __init__(self) -> None:
-        """Create an empty queue."""
+        """Start without records to write and without actions that wait for a write."""
         self._collected: list[Record] = []
         self._issued: deque[_Issued] = deque()
         self._waiting_actions: deque[_DelayedAction] = deque()
@@ -50,7 +52,7 @@
         self._waiting_actions.append(_DelayedAction(token, action))
 
     def issue(self) -> Persist | None:
-        """Return a write of the records added since the last one; None without any."""
+        """Return a write of the records added since the last write; None without any."""
         if not self._collected:
             return None
         return self._issue(tuple(self._collected))
@@ -65,7 +67,7 @@
         return self._issue(tuple(records))
 
     def persisted(self, token: int) -> None:
-        """Mark the writes up to ``token`` durable; run the actions that waited for them."""
+        """Mark the writes up to number ``token`` durable; run the actions that waited."""
         while self._issued and self._issued[0].token <= token:
             self._issued.popleft()
         while self._waiting_actions and self._waiting_actions[0].token <= token:
--- a/src/peppershore/process/consensus/durable_log.py
+++ b/src/peppershore/process/consensus/durable_log.py
@@ -21,8 +21,9 @@
 )
 
 MAX_RETAINED_FACTOR = 10
-"""Limit on the entries retained for a snapshot in transfer, as a multiple of ``kept``.
+"""Limit on the log entries retained while a peer receives a snapshot.
 
+It is a multiple of the number of entries that are always retained before a snapshot.
 Without a limit, a slow receiver would hold back log compaction.
 """
 
@@ -31,8 +32,8 @@
     """Return the log index after which entries must be retained.
 
     ``kept`` entries before the snapshot are retained for peers that lag slightly,
-    and more while a peer receives a snapshot: ``in_transfer`` is the index of the
-    oldest snapshot being sent, None without one.
+    and up to ``MAX_RETAINED_FACTOR`` times as many while a peer receives a snapshot.
+    ``in_transfer`` is the log index of the oldest snapshot being sent, None without one.
     """
     point = snapshot_index - kept
     if in_transfer is None:
@@ -44,7 +45,7 @@
     """This replica's copy of the log, in memory and queued for the disk."""
 
     def __init__(self, stored: StoredState) -> None:
-        """Restore log, memberships and snapshot from the stored state."""
+        """Restore log, memberships and snapshot from the state read from disk."""
         self.durability = DurabilityQueue()
         self.snapshot = stored.snapshot
         self.entries = _stored_entries(stored)
--- a/src/peppershore/process/consensus/election.py
+++ b/src/peppershore/process/consensus/election.py
@@ -16,7 +16,10 @@
     """One phase of a campaign of this replica: the pre-vote or the vote."""
 
     def __init__(self, core: Consensus, pre_vote: bool, transfer: bool) -> None:
-        """Prepare a phase; ``begin_pre_vote`` or ``begin_vote`` starts it."""
+        """Prepare the pre-vote or the vote; ``begin_pre_vote`` or ``begin_vote`` starts it.
+
+        ``transfer`` marks a campaign that the leader requested to transfer leadership.
+        """
         self.pre_vote = pre_vote
         self._core = core
         self._transfer = transfer
--- a/src/peppershore/process/consensus/following.py
+++ b/src/peppershore/process/consensus/following.py
@@ -19,10 +19,13 @@
 
 
 class IncomingSnapshot:
-    """A snapshot that is being received in chunks."""
+    """A snapshot that the leader is sending to this replica in chunks."""
 
     def __init__(self, index: int, term: int, membership: Membership) -> None:
-        """Start without any received data."""
+        """Start to receive a snapshot of the state after the log entry at ``index``.
+
+        ``term`` is the term of that entry. No bytes of the snapshot are received yet.
+        """
         self.index = index
         self.term = term
         self.membership = membership
@@ -33,7 +36,7 @@
     """Handles entries and snapshot chunks from the leader of the newest term."""
 
     def __init__(self, core: Consensus) -> None:
-        """Bind to the core whose log is updated."""
+        """Handle the leader's messages for ``core``, without a snapshot in transfer."""
         self._core = core
         self._incoming: IncomingSnapshot | None = None
 
--- a/src/peppershore/process/consensus/greeting.py
+++ b/src/peppershore/process/consensus/greeting.py
@@ -20,7 +20,7 @@
     """Sends hellos to other replicas, validates theirs, and founds the group."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Bind to the replica on whose behalf hellos are sent."""
+        """Send hellos for ``replica``."""
         self._replica = replica
         self._founding = Founding(replica.settings.replicas, replica.name)
 
--- a/src/peppershore/process/consensus/joining.py
+++ b/src/peppershore/process/consensus/joining.py
@@ -1,5 +1,8 @@
 """Discovery of a group through seed addresses, and its automatic membership changes.
 
+A seed address, or seed, is the address of a replica where a joining one looks for the
+group.
+
 The seed addresses in a replica's settings may be outdated, down or in use by other
 replicas. A joining replica sends its hello to them. A member answers a non-member with
 the list of members; the joining replica then sends its hello to those too and so
@@ -25,7 +28,7 @@
     from peppershore.process.consensus.replica import ReplicaCore
 
 SEED_SEARCH_DELAY_SECONDS = 1.0
-"""Time without a leader after which a replica of a group contacts the seeds again."""
+"""Time without a leader after which a member of a group contacts the seeds again."""
 
 GREETING_INTERVAL_SECONDS = 0.5
 """Interval between hellos on all links while a replica has no leader."""
@@ -44,7 +47,7 @@
     """Finds the group and, on the leader, changes its membership automatically."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Start with the seeds of the settings."""
+        """Start with the seed addresses in the settings of ``replica``."""
         self._replica = replica
         self._seeds: tuple[str, ...] = replica.settings.seeds
         self._described_members: dict[str, str] = {}
@@ -59,7 +62,7 @@
         return self._replica.settings.wanted_voters > 0
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the seeds by those of reloaded settings."""
+        """Replace the seed addresses by those of reloaded settings."""
         self._seeds = seeds
 
     def leadership_gained(self) -> None:
@@ -74,8 +77,9 @@
         """Return peers besides the members to keep links to, as addresses by name.
 
         These are the seeds and the members that another replica described. The result
-        is empty while a leader is known, and for a replica of a group during the first
-        ``SEED_SEARCH_DELAY_SECONDS`` without one.
+        is empty while a leader is known, and for a replica that belongs to a group
+        during the first ``SEED_SEARCH_DELAY_SECONDS`` without a leader. It is always
+        empty for a group whose membership operators change.
         """
         replica = self._replica
         if not self.manages_membership:
@@ -102,7 +106,7 @@
             replica.send(link, GroupDescribed(membership.members))
 
     def handle_group_described(self, message: GroupDescribed) -> None:
-        """Open links to these members while no leader is known, to find it among them."""
+        """Store these members of a group; open links to them if no leader is known yet."""
         members = Membership(message.members).members
         self._described_members = {member.name: member.address for member in members}
         self._replica.update_peer_links()
--- a/src/peppershore/process/consensus/leadership.py
+++ b/src/peppershore/process/consensus/leadership.py
@@ -29,9 +29,9 @@
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A read that waits until a quorum has answered the messages of ``round``.
+    """A read that waits until a quorum has answered the leader's messages of ``round``.
 
-    Besides, the entry at ``index`` must be committed.
+    Besides, the log entry at ``index`` must be committed.
     """
 
     request: int
@@ -65,9 +65,9 @@
         return self._announced and not self.transfer_target
 
     def note_commit(self, commit_index: int) -> bool:
-        """Record the commit index; return whether it newly covers the first entry.
+        """Record the commit index; return whether the term's first entry is now committed.
 
-        From that commit on the leader accepts proposals.
+        It returns True once only: from then on the leader accepts proposals.
         """
         if self._announced or commit_index < self.first_index:
             return False
@@ -77,7 +77,7 @@
     # --- replication ---------------------------------------------------------
 
     def broadcast(self, now: float) -> None:
-        """Begin a new round: send entries or a heartbeat to every peer."""
+        """Begin a new round of messages: send entries or a heartbeat to every peer."""
         self._round += 1
         self._round_started[self._round] = now
         self._round_requested = False
@@ -192,7 +192,11 @@
         self._quorum_check_restarted_at = now
 
     def read(self, request: int, now: float) -> None:
-        """Confirm a read by the lease, or else by a round that begins after it."""
+        """Confirm the read numbered ``request`` by the lease or by a later round.
+
+        Without a lease, the read waits for a majority's replies to a round of messages
+        that begins after this call.
+        """
         core = self._core
         if core.commit_index >= self.first_index and self.lease_valid(now):
             core.emit(ReadConfirmed(request, core.commit_index))
--- a/src/peppershore/process/consensus/membership_changes.py
+++ b/src/peppershore/process/consensus/membership_changes.py
@@ -40,10 +40,10 @@
 
 
 class MembershipChanges:
-    """Carries out the requested changes on the leader, the oldest first."""
+    """Carries out the requested membership changes on the leader, the oldest first."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Start without requests."""
+        """Start without requested changes of the membership of ``replica``'s group."""
         self._replica = replica
         self._requests: list[_Request] = []
 
@@ -56,7 +56,7 @@
         }
 
     def request(self, link: LinkId, change: MembershipChange) -> None:
-        """Accept an operator's change, or answer at once why it is rejected.
+        """Accept an operator's membership change, or answer at once why it is rejected.
 
         The answer to an accepted change follows once the change is committed. A change
         past its deadline (``CHANGE_TIMEOUT_SECONDS``) is answered when it is the oldest.
--- a/src/peppershore/process/consensus/notices.py
+++ b/src/peppershore/process/consensus/notices.py
@@ -45,7 +45,10 @@
 
 
 class FoundingAwaited(Notice, frozen=True):
-    """A blank replica waits for first members that it does not reach, or to be added.
+    """A blank replica waits to found a group or to be added to one.
+
+    ``missing`` first members are not connected; those in ``already_in_group`` show that
+    the group exists already.
 
     An operator adds it to the existing group; in a group that manages its own
     membership, the leader does.
@@ -96,7 +99,7 @@
 
 
 class MembershipChanged(Notice, frozen=True):
-    """A membership was committed."""
+    """A new membership of the group was committed."""
 
     replica: str
     voters: tuple[str, ...]
--- a/src/peppershore/process/consensus/outputs.py
+++ b/src/peppershore/process/consensus/outputs.py
@@ -10,7 +10,7 @@
 
 
 class Output(msgspec.Struct, frozen=True):
-    """Base class of the outputs, which are carried out in order."""
+    """Base class of what the consensus core asks its replica to do, in order."""
 
 
 class SendToPeer(Output, frozen=True):
@@ -21,7 +21,9 @@
 
 
 class Persist(Output, frozen=True):
-    """Make records durable; the result is reported by ``persisted`` or ``disk_failed``.
+    """Write records to disk; ``Consensus.persisted`` or ``disk_failed`` gets the result.
+
+    ``token`` is the number of the write.
 
     After a failed write only a write with ``retry`` is accepted, which contains all
     records that are not durable.
@@ -33,7 +35,7 @@
 
 
 class EntriesCommitted(Output, frozen=True):
-    """Entries that became committed, in log order; each is output exactly once."""
+    """Log entries that became committed, in log order; each is output exactly once."""
 
     entries: tuple[LogEntry, ...]
 
--- a/src/peppershore/process/consensus/peer_progress.py
+++ b/src/peppershore/process/consensus/peer_progress.py
@@ -30,7 +30,10 @@
         self._silent_heartbeats = 0
 
     def restart(self) -> None:
-        """Probe again after the last match, as messages on the old link may be lost."""
+        """Probe again where the peer's log matches, starting after the last known match.
+
+        Messages on the peer's old link may be lost.
+        """
         self.next_index = self.match_index + 1
         self.sent_commit_index = 0
         self._probing = True
@@ -38,7 +41,7 @@
         self.snapshot = None
 
     def record_round(self, round_number: int) -> None:
-        """Record a reply to a message of that round."""
+        """Record the peer's reply to a message of that round."""
         self.answered_round = max(self.answered_round, round_number)
 
     def record_match(self, index: int) -> None:
@@ -58,7 +61,8 @@
     def may_send_entries(self, max_unanswered: int) -> bool:
         """Return whether another message with entries may be sent now.
 
-        While probing one message may be unanswered, else ``max_unanswered``.
+        One message may be unanswered while the end of the peer's matching log is
+        unknown, else ``max_unanswered`` of them.
         """
         return self._unanswered < (1 if self._probing else max_unanswered)
 
--- a/src/peppershore/process/consensus/peers.py
+++ b/src/peppershore/process/consensus/peers.py
@@ -32,7 +32,10 @@
 
 
 class PeerLinks:
-    """Links to the peers: one kept open to each target peer, and those peers opened."""
+    """Links to other replicas: one opened to each target peer, and those they opened.
+
+    Links to the target peers are opened again when they close.
+    """
 
     def __init__(self, numbers: LinkNumbers) -> None:
         """Start without target peers; ``numbers`` supplies the ids of new links."""
@@ -71,7 +74,10 @@
         return link in self._names
 
     def closed(self, link: LinkId) -> str | None:
-        """Remove a closed link; return the name of its peer, None if that is a client."""
+        """Remove a closed link; return the name of the replica at its other end.
+
+        Return None for a client, and for an accepted link without a hello so far.
+        """
         known = self._greeted.pop(link, None)
         name = self._names.pop(link, None)
         if name is not None:
@@ -96,7 +102,10 @@
             self._outgoing[name].greeted = True
 
     def expected_name(self, link: LinkId) -> str | None:
-        """Return the name of the peer that a link was opened to; None if accepted."""
+        """Return the name of the peer that a link was opened to.
+
+        Return None for a link that the remote end opened.
+        """
         return self._names.get(link)
 
     def identity_on(self, link: LinkId) -> PeerIdentity | None:
@@ -116,7 +125,7 @@
         return tuple(newest.values())
 
     def send(self, name: str, message: Message) -> list[Command]:
-        """Send on the link opened to the peer, or on one it opened; else drop."""
+        """Return the command to send on a link to the peer; empty without such a link."""
         link = self.link_to(name)
         return [] if link is None else [SendMessage(link, message)]
 
--- a/src/peppershore/process/consensus/reads.py
+++ b/src/peppershore/process/consensus/reads.py
@@ -20,10 +20,10 @@
 
 
 class ReadTable:
-    """Request numbers and progress of pending reads."""
+    """Pending linearizable reads of one replica by request number."""
 
     def __init__(self) -> None:
-        """Create an empty table."""
+        """Start without pending reads."""
         self._last_request = 0
         self._remote: dict[int, RemoteRead] = {}
         self._forwarded: set[int] = set()
@@ -41,7 +41,7 @@
         return number
 
     def pop_remote(self, request: int) -> RemoteRead | None:
-        """Remove and return the forwarded read; None if it is a local client's."""
+        """Remove and return a read that another replica forwarded; None if it is local."""
         return self._remote.pop(request, None)
 
     def forward(self, request: int) -> None:
@@ -66,7 +66,10 @@
         self._confirmed[request] = index
 
     def pop_ready(self, applied_index: int) -> list[int]:
-        """Remove and return the reads that may be answered at ``applied_index``."""
+        """Remove and return the numbers of the reads that may be answered now.
+
+        ``applied_index`` is the index of the newest entry that the state machine applied.
+        """
         ready = [each for each, index in self._confirmed.items() if index <= applied_index]
         for request in ready:
             del self._confirmed[request]
--- a/src/peppershore/process/consensus/records.py
+++ b/src/peppershore/process/consensus/records.py
@@ -105,7 +105,7 @@
 
 
 class SaveSnapshot(msgspec.Struct, frozen=True):
-    """Replace the snapshot and drop the entries before ``first_kept_index``.
+    """Replace the stored snapshot and drop the entries before ``first_kept_index``.
 
     The entry at ``first_kept_index`` is retained for its term. Parts that are stored
     already are not written again; parts that the snapshot does not name are deleted.
@@ -116,7 +116,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True):
-    """Replace the snapshot and drop all entries; the log continues after it."""
+    """Replace the stored snapshot and drop all entries; the log continues after it."""
 
     snapshot: StateSnapshot
 
--- a/src/peppershore/process/consensus/replica.py
+++ b/src/peppershore/process/consensus/replica.py
@@ -1,6 +1,6 @@
 """The core of one replica of a group: consensus, peers, disk and state machine.
 
-The cores of the roles (control, claims) derive from ``ReplicaCore``: they supply a
+The cores of control and claims replicas derive from ``ReplicaCore``: they supply a
 state machine and handle their own clients by overriding ``ReplicaHooks``.
 """
 
@@ -76,7 +76,10 @@
     def __init__(
         self, settings: ReplicaSettings, stored: StoredState, machine: StateMachine
     ) -> None:
-        """Restore a stored state; the replica is passive until ``Started``."""
+        """Restore ``stored``, the state read from disk; do nothing before ``Started``.
+
+        ``machine`` is the state machine that committed entries are applied to.
+        """
         self.settings = settings
         self.name = settings.consensus.replica
         self.now = 0.0
@@ -103,7 +106,7 @@
         self._commands = []
         return commands
 
-    # --- for the role's core -------------------------------------------------
+    # --- for the cores of control and claims replicas ------------------------
 
     @property
     def leads(self) -> bool:
--- a/src/peppershore/process/consensus/replica_hooks.py
+++ b/src/peppershore/process/consensus/replica_hooks.py
@@ -1,4 +1,4 @@
-"""Hooks that the core of a role overrides to handle events of its replica."""
+"""Hooks that the cores of control and claims replicas override to handle events."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     """Hooks that ``ReplicaCore`` calls; the default of each does nothing."""
 
     def on_event(self, event: events.Event) -> None:
-        """Handle an event that is specific to the role."""
+        """Handle an event that only this kind of replica (control or claims) receives."""
 
     def on_timer(self, timer: str) -> None:
-        """Handle a timer that the role set."""
+        """Handle a timer that the core of a control or claims replica set."""
 
     def on_tick(self) -> None:
         """Run periodic work, once per heartbeat interval."""
--- a/src/peppershore/process/consensus/replica_process.py
+++ b/src/peppershore/process/consensus/replica_process.py
@@ -39,7 +39,7 @@
 
 
 class ReplicaPlace(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of a replica's process: group, name, addresses, folder, certificates."""
+    """Settings of a replica's process: role, name, cluster, addresses, folder, TLS."""
 
     role: str
     replica: str
@@ -51,7 +51,7 @@
 
     @classmethod
     def of(cls, role: str, settings: ControlSettings | ClaimsSettings) -> ReplicaPlace:
-        """Return the part of a replica's settings that is common to all roles."""
+        """Return the settings common to the roles of replicas ("control", "claims")."""
         return cls(
             role=role,
             replica=settings.replica,
@@ -64,12 +64,18 @@
 
 
 class ReplicaProcess(Generic[ReplicaKind]):
-    """Owns the parts of a replica's process that are common to all roles."""
+    """Owns what the processes of control and claims replicas have in common.
+
+    This is the store, the replica's core and shell, the TLS contexts and the metrics.
+    """
 
     def __init__(
         self, place: ReplicaPlace, make_core: Callable[[StoredState], ReplicaKind]
     ) -> None:
-        """Open the store and create the core; raise SystemExit if the store is unusable."""
+        """Open the store and create the core by ``make_core`` from its stored state.
+
+        Raises SystemExit if the store is unusable.
+        """
         self.metrics = ProcessMetrics(LogIdentity(place.role, place.replica))
         self._place = place
         self._opened = self._open_store()
--- a/src/peppershore/process/consensus/replica_reads.py
+++ b/src/peppershore/process/consensus/replica_reads.py
@@ -16,7 +16,7 @@
     """Reads of this replica's clients, and those that other replicas forward to it."""
 
     def __init__(self, replica: ReplicaCore) -> None:
-        """Start without pending reads."""
+        """Start without pending reads of ``replica``."""
         self._replica = replica
         self._table = ReadTable()
 
--- a/src/peppershore/process/consensus/snapshotting.py
+++ b/src/peppershore/process/consensus/snapshotting.py
@@ -1,8 +1,10 @@
-"""Creation of a replica's snapshots: at once, or piece by piece between other work.
+"""Creation of a replica's snapshots: at once, or in parts between other work.
 
-A piecewise snapshot writes its parts in separate commits, so that no turn of the event
-loop takes long. It is valid only once the record that names all its parts is durable.
-After a crash before that, the older snapshot and its log entries are still in place.
+A piece is a section of the state as the state machine encodes it; stored under a number,
+it is a part of the snapshot. A piecewise snapshot writes its parts in separate commits,
+so that no turn of the event loop takes long. It is valid only once the record that names
+all its parts is durable. After a crash before that, the older snapshot and its log
+entries are still in place.
 """
 
 from __future__ import annotations
@@ -23,14 +25,14 @@
 
 SNAPSHOT_TIMER = "consensus-snapshot"
 PIECE_INTERVAL_SECONDS = 0.01
-"""Interval between two parts, in which other events are handled."""
+"""Interval between writing two parts of a snapshot; other events are handled in it."""
 
 
 class Snapshotting:
     """Starts a snapshot once enough entries were applied, and completes it."""
 
     def __init__(self, replica: ReplicaCore, machine: StateMachine) -> None:
-        """Bind to the replica and its state machine, without a snapshot in progress."""
+        """Make snapshots of ``machine`` for ``replica``; none is in progress yet."""
         self._replica = replica
         self._machine = machine
         self._index = 0
@@ -39,7 +41,10 @@
         self.made = 0
 
     def begin_if_due(self) -> None:
-        """Start a snapshot if ``snapshot_entries`` were applied since the last one."""
+        """Start a snapshot if enough entries were applied since the last one.
+
+        ``ReplicaSettings.snapshot_entries`` is how many are enough.
+        """
         replica = self._replica
         if self._pieces is not None:
             return
@@ -79,7 +84,10 @@
         self._parts = []
 
     def _next_unstored(self, pieces: Iterator[Piece]) -> SnapshotPart | None:
-        """Skip pieces that are stored already; return the next new one as a part."""
+        """Return the next piece that is not stored yet, as a part; None after the last.
+
+        Pieces before it that are stored already are added to the snapshot.
+        """
         for piece in pieces:
             if isinstance(piece, SnapshotPart):
                 self._parts.append(piece)
--- a/src/peppershore/process/consensus/state_machine.py
+++ b/src/peppershore/process/consensus/state_machine.py
@@ -27,9 +27,11 @@
 
 
 class NewPiece(msgspec.Struct, frozen=True):
-    """A piece of a state that is not stored yet.
+    """A section of an encoded state that is not stored as a part of a snapshot yet.
 
-    ``stored_as`` is called with the part under which the piece is stored.
+    ``stored_as`` is called with the numbered part that ``data`` is about to be stored
+    as. The state machine may return that part for later snapshots while the section
+    is unchanged.
     """
 
     data: bytes
@@ -37,12 +39,12 @@
 
 
 Piece = SnapshotPart | NewPiece
-"""A piece of a state: a part stored for an older snapshot, or a new piece."""
+"""A section of an encoded state: a part stored for an older snapshot, or a new one."""
 
 
 @runtime_checkable
 class PiecewiseStateMachine(StateMachine, Protocol):
-    """A state machine that encodes its snapshot piece by piece between other work.
+    """A state machine that encodes its snapshot in sections (pieces) between other work.
 
     ``restore`` is called with the concatenated bytes of all pieces.
     """
--- a/src/peppershore/process/consensus/upkeep.py
+++ b/src/peppershore/process/consensus/upkeep.py
@@ -47,12 +47,15 @@
 
     @property
     def is_responsive(self) -> bool:
-        """Whether its last message is less than ``SILENT_SECONDS`` old."""
+        """Whether this replica's last message is less than ``SILENT_SECONDS`` old."""
         return self.heard_seconds < SILENT_SECONDS
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """The leader's view of the group, on which the rules decide.
+    """The leader's view of the group.
+
+    From it, the rules of this module decide which replica to add, promote, demote or
+    remove.
 
     ``present`` holds the other connected replicas by name. ``led_seconds`` is the time
     since this replica became leader; no replica counts as silent for longer than that.
@@ -79,7 +82,7 @@
 
 
 def _replace_lost_store(view: GroupView) -> Membership | None:
-    """Make a member a learner that came back under its name with a new store.
+    """Make a learner of a member that came back under its name with a new store.
 
     The votes and entries of the lost store are gone, so it may not vote yet.
     """
