--- a/src/peppershore/process/control/change_ids.py
+++ b/src/peppershore/process/control/change_ids.py
@@ -1,10 +1,11 @@
 """Change ids: recognise a resent edit even after its outcome has been dropped.
 
 The sender puts the newest version it had seen into the id: ``v1234-UNIQUE``. An outcome
-under that id can only be in the log after version 1234. Outcomes up to a horizon version
-are dropped from the table. An id with a version below the horizon may have been answered
-before, so it is refused; an id with the version of the horizon or a later one is either
-still in the table or new. An id without a version gives no such information. Once the first
+under that id can only be in the log after version 1234. The table of outcomes by change id
+is bounded: outcomes up to a certain version, the horizon, have been dropped from it. An id
+with a version below the horizon may have been answered before, so it is refused; an id with
+the version of the horizon or a later one is either still in the table or new. An id without
+a version gives no such information. Once the first
 outcome has been dropped, such an edit is accepted only with an expected revision that would
 make a second run of the same edit fail.
 """
@@ -46,10 +47,11 @@
 
 
 def may_have_run_before(edit: Edit, horizon_version: Version) -> bool:
-    """Report whether an unknown id may belong to an outcome already dropped.
+    """Report whether an edit may have been applied before and its outcome dropped.
 
-    ``edit`` has an id that is not in the table of outcomes. An edit of a complete
-    configuration can't run twice, because the numbers of releases only rise.
+    ``edit`` has an id that is not in the table of outcomes; outcomes up to
+    ``horizon_version`` were dropped from it. An edit of a complete configuration can't
+    run twice, because the numbers of releases only rise.
     """
     if horizon_version == 0 or edit.release:
         return False
@@ -62,8 +64,8 @@
 def _rerun_would_conflict(edit: Edit) -> bool:
     """Report whether the expected revisions of an edit make a second run fail.
 
-    The first run gave every touched subject a new revision, so a revision that was expected
-    then never comes back.
+    The first run gave a new revision to everything in the tree that the edit changed, so a
+    revision that was expected then never comes back.
     """
     touched = {_subject_of(operation) for operation in edit.operations}
     return any(each.revision > 0 and each.subject in touched for each in edit.expected)
--- a/src/peppershore/process/control/core.py
+++ b/src/peppershore/process/control/core.py
@@ -87,7 +87,7 @@
 
 WATCH_TIMER = "control-watch"
 WATCH_BATCH_SECONDS = 0.005
-"""Changes of progress within this time are sent to watching operators together."""
+"""Changes of the nodes' progress within this time are sent to operators in one status."""
 
 MAX_WAITING_EDITS = 10_000
 BUSY_RETRY_MILLISECONDS = 500
@@ -124,7 +124,7 @@
     """Control replica: replicates edits and serves relays and operators."""
 
     def __init__(self, settings: ControlSettings, stored: StoredState) -> None:
-        """Load a stored state; the replica does nothing before ``Started``."""
+        """Restore ``stored``, the state read from disk; do nothing before ``Started``."""
         self.state = ControlState(
             settings.cluster, settings.change_id_horizon, HISTORY_CAPACITY
         )
@@ -149,7 +149,7 @@
     # --- events --------------------------------------------------------------
 
     def on_event(self, event: events.Event) -> None:
-        """Handle clock observations, release and roll-out requests, and new seeds."""
+        """Handle clock readings, release and roll-out requests, and new seed addresses."""
         if isinstance(event, ClockObserved):
             self._clock.observe(event, self.now)
         elif isinstance(event, ReleaseSubmitted):
@@ -168,10 +168,10 @@
             self._notify_watchers()
 
     def on_tick(self) -> None:
-        """Handle time-outs, share progress and continue roll-outs and rotations.
+        """Handle time-outs, share the nodes' progress, continue roll-outs and rotations.
 
-        Silent relays expire here. The leader promotes the keys of rotations whose barrier
-        is passed and reports those that are overdue.
+        Silent relays expire here. In rotations of secrets, the leader promotes the keys
+        that all nodes hold, and reports the rotations that are overdue.
         """
         self._releases.tick()
         self._rollout_orders.tick()
@@ -291,17 +291,17 @@
             self._intake.submit(link, edit, stamp, self.next_index, self._propose)
 
     def submit_to_leader(self, edit: Edit) -> None:
-        """Propose an edit of the control group itself, through the leader if needed."""
+        """Have the leader propose an edit that this replica composed itself."""
         if self.leads:
             self.submit_internally(edit)
         else:
             self.send_to_peer(self.consensus.leader, SubmitEdit(edit))
 
     def submit_internally(self, edit: Edit) -> None:
-        """Propose an edit of the control group itself.
+        """Propose, as the leader, an edit that a control replica composed itself.
 
-        No answer is sent: a component that waits for the edit is notified when it is
-        applied.
+        No answer is sent: a component of this replica that waits for the edit is notified
+        when it is applied.
         """
         self._submit(INTERNAL_LINK, edit)
 
@@ -456,7 +456,7 @@
         return self._intake.waiting_edits > 0
 
     def client_links(self) -> tuple[LinkId, ...]:
-        """Return the links of following relays and of watching operators."""
+        """Return the links of following relays and of operators that watch the status."""
         return tuple(dict.fromkeys((*self._followers.links(), *self._watchers)))
 
     # --- progress and status -------------------------------------------------
@@ -487,7 +487,7 @@
         self._share_with_watchers()
 
     def _share_progress(self) -> None:
-        """Send the progress messages that are due.
+        """Send the messages on the nodes' progress that are due to other replicas.
 
         A follower sends its relays' reports to the leader, and asks it for changes while
         operators watch here. A leader sends its table of reports to the other replicas.
@@ -508,7 +508,7 @@
                 self.send_to_peer(member.name, table)
 
     def _share_with_watchers(self) -> None:
-        """Send changes at once to replicas at which operators watch."""
+        """As leader, send a changed table of reports to replicas where operators watch."""
         found = None if not self.leads else self._sharing.table_for_watchers(self.now)
         if found is not None:
             names, table = found
--- a/src/peppershore/process/control/edit_intake.py
+++ b/src/peppershore/process/control/edit_intake.py
@@ -1,7 +1,8 @@
 """How the leader accepts edits.
 
-It answers an edit whose outcome is known, refuses one whose change id may have been used
-before the horizon of retained outcomes, and validates and proposes all others.
+It answers an edit whose outcome is known, and refuses one whose change id may belong to an
+outcome that is no longer retained. It validates and proposes all others. The horizon is the
+version up to which outcomes have been dropped; see ``change_ids``.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 Propose = Callable[[ControlCommand], int | None]
 
 INTERNAL_LINK: LinkId = 0
-"""Link number that stands for the control group itself as the sender of an edit."""
+"""Link number of edits that a control replica composed itself, e.g. steps of roll-outs."""
 
 
 class EditIntake:
@@ -46,7 +47,7 @@
     """
 
     def __init__(self, state: ControlState) -> None:
-        """Start without edits; ``submit`` may be used after ``begin``."""
+        """Accept edits of the tree in ``state``; call ``begin`` before ``submit``."""
         self._state = state
         self._tree: Tree = state.tree
         self._waiting: dict[str, list[LinkId]] = {}
@@ -64,7 +65,7 @@
 
     @property
     def waiting_edits(self) -> int:
-        """Number of edits without an outcome."""
+        """Number of edits in progress, which have no outcome yet."""
         return len(self._waiting)
 
     def known_outcome(self, edit: Edit) -> EditOutcome | None:
@@ -93,10 +94,11 @@
         next_index: Version,
         propose: Propose,
     ) -> None:
-        """Propose an edit, or the record of its refusal.
+        """Propose an edit that ``link`` sent, or the record of its refusal.
 
-        An edit under the same change id that is already in progress is not proposed again.
-        The outcome follows when the log entry is applied.
+        ``propose`` appends a command to the log, at ``next_index``. An edit under the same
+        change id that is already in progress is not proposed again. The outcome follows
+        when the log entry is applied.
         """
         waiting = self._waiting.get(edit.change_id)
         if waiting is not None:
--- a/src/peppershore/process/control/followers.py
+++ b/src/peppershore/process/control/followers.py
@@ -24,7 +24,7 @@
     """Sends every following relay each accepted edit once, in log order."""
 
     def __init__(self, state: ControlState) -> None:
-        """Start without followers."""
+        """Start without relays; those added later follow the tree in ``state``."""
         self._state = state
         self._sent: dict[LinkId, Version] = {}
 
@@ -70,7 +70,10 @@
         return commands
 
     def state_replaced(self) -> list[Command]:
-        """Return the complete tree for each relay behind a newly installed snapshot."""
+        """Return the messages that send the complete tree to relays that lack edits.
+
+        To be called after the state was replaced by that of a snapshot.
+        """
         version = self._state.tree.version
         behind = [link for link, sent in self._sent.items() if sent < version]
         for link in behind:
@@ -78,7 +81,7 @@
         return [SendMessage(link, TreeState(self._state.tree)) for link in behind]
 
     def links(self) -> tuple[LinkId, ...]:
-        """Return the links of all followers."""
+        """Return the links of all relays that follow this replica."""
         return tuple(self._sent)
 
 
--- a/src/peppershore/process/control/history.py
+++ b/src/peppershore/process/control/history.py
@@ -15,7 +15,10 @@
 
 
 class TreeReversal(msgspec.Struct, frozen=True, array_like=True):
-    """Former values of what an edit changed in the tree; None: it did not exist."""
+    """Former values of all that an edit changed in the tree, by path or name.
+
+    None stands for something that did not exist. ``version`` is that of the tree before.
+    """
 
     version: Version
     nodes: dict[str, TreeNode | None]
@@ -34,7 +37,7 @@
 
 
 class History:
-    """The newest accepted edits, oldest first."""
+    """The newest accepted edits, and how to undo each of them in the tree."""
 
     def __init__(self, capacity: int) -> None:
         """Retain up to ``capacity`` edits."""
@@ -44,7 +47,7 @@
 
     @property
     def base_version(self) -> Version:
-        """All edits after this version are retained."""
+        """Version of the oldest tree that can be restored; all later edits are retained."""
         return self._base_version
 
     def add(self, edit: Edit, before: Tree, applied: AppliedEdit) -> None:
@@ -90,7 +93,7 @@
         return tuple(self._retained)
 
     def restore(self, base_version: Version, retained: tuple[KeptEdit, ...]) -> None:
-        """Replace the history by one from a snapshot."""
+        """Replace the history by that of a snapshot: the edits after ``base_version``."""
         self._base_version = base_version
         self._retained = deque(retained, maxlen=self._retained.maxlen)
 
--- a/src/peppershore/process/control/notices.py
+++ b/src/peppershore/process/control/notices.py
@@ -1,4 +1,4 @@
-"""What a control replica reports to logs and metrics.
+"""Events that a control replica reports to logs and metrics.
 
 Only the leader reports edits, steps of roll-outs and tenants' limits. Requests about
 releases and roll-outs are reported by the replica that answers them. A new leader may
@@ -38,7 +38,7 @@
 def edit_refused(
     outcome: EditInvalid | EditConflict | EditExpired, replica: str
 ) -> EditRefused:
-    """Return the notice of a refusal."""
+    """Return the notice by which ``replica`` reports that it refused an edit."""
     reason, detail = _refusal(outcome)
     return EditRefused(outcome.change_id, reason, detail, replica)
 
@@ -95,6 +95,8 @@
 class RolloutDecided(Notice, frozen=True):
     """The leader takes the next step of a roll-out, or ends it.
 
+    ``decision`` is "move", "complete" or "rollback".
+
     ``share`` is the share of calls before the step, in parts of 10,000. Since the order,
     ``calls`` of ``all_calls`` ran at the ``back_ends`` of the new version. ``routes`` lists
     the statistics of both versions by route.
@@ -113,7 +115,7 @@
 
 
 class TenantLimitBegan(Notice, frozen=True):
-    """A tenant's limit has begun to refuse calls, by the nodes' reports to the leader."""
+    """A tenant's call limit has begun to refuse calls, as nodes reported to the leader."""
 
     tenant: str
     rate_per_second: float
@@ -121,7 +123,7 @@
 
 
 class TenantLimitEnded(Notice, frozen=True):
-    """A tenant's limit has refused nothing for 5 s.
+    """A tenant's call limit has refused no call for 5 s.
 
     ``milliseconds`` is how long it refused calls before those 5 s. ``granted`` and
     ``refused`` count the calls of that time, as far as nodes have reported them.
--- a/src/peppershore/process/control/outcomes.py
+++ b/src/peppershore/process/control/outcomes.py
@@ -1,4 +1,4 @@
-"""The table of change ids: the first outcome of each, up to a horizon."""
+"""The table of edits' outcomes: the first outcome under each retained change id."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class RecordedOutcome(msgspec.Struct, frozen=True, array_like=True):
-    """An outcome and the index of the log entry that recorded it."""
+    """An edit's outcome and the index of the log entry that recorded it."""
 
     index: int
     outcome: EditOutcome
 
 
 class OutcomeTable:
-    """Outcomes by change id, oldest first; identical on all replicas.
+    """Outcomes of edits by change id, oldest first; identical on all replicas.
 
     ``horizon_version`` is the log index of the newest outcome that was dropped, or 0.
     """
@@ -47,6 +47,6 @@
     def restore(
         self, horizon_version: Version, recorded: tuple[RecordedOutcome, ...]
     ) -> None:
-        """Replace the table by one from a snapshot."""
+        """Replace the outcomes by those of a snapshot."""
         self.horizon_version = horizon_version
         self._recorded = {each.outcome.change_id: each for each in recorded}
--- a/src/peppershore/process/control/progress.py
+++ b/src/peppershore/process/control/progress.py
@@ -1,10 +1,12 @@
 """Progress of the nodes as reported by the relays, collected on each replica.
 
-``in_force`` never claims more than is known. A relay that has just started, or resumed
-after a suspension, doesn't know which nodes it served before. Until it is settled, its
-reports can lower the version that it is counted with but not raise it. ``in_force`` doesn't
-rise at all while a relay that other relays hear has not reported to this replica, or while
-a relay that is not settled is still behind the version that it is counted with.
+``in_force``, the version that all nodes hold, never claims more than is known. A relay that
+has just started, or resumed after a suspension, doesn't know which nodes it served before.
+It is settled once each of them has reconnected to some relay or counts as gone. Until then,
+its reports can lower the version that it is counted with but not raise it. ``in_force``
+doesn't rise at all while a relay from which other relays receive messages has not reported
+to this replica, or while a relay that is not settled is still behind the version that it is
+counted with.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 """A relay without a report for this long is shown as silent and blocks rotations."""
 
 RELAY_EXPIRY_SECONDS = 30.0
-"""A relay without a report for this long is no longer counted, unless another relay hears
-it."""
+"""A relay without a report for this long is no longer counted, unless another relay
+receives messages from it."""
 
 MAX_FORMER_INCARNATIONS = 8
 """Number of former incarnations remembered for each relay; reports from them are discarded
@@ -32,8 +34,8 @@
 class RelayProgress(msgspec.Struct, frozen=True):
     """The newest report of one relay.
 
-    ``at`` is the monotonic time of the report, ``in_force`` the version that the relay is
-    counted with.
+    ``at`` is the monotonic time of the report in seconds. ``in_force`` is the version that
+    this relay contributes to that of the whole table, which is the lowest of them.
     """
 
     report: ProgressReported
@@ -42,7 +44,7 @@
 
 
 class ProgressTable:
-    """The newest report of each relay, and the version that all of them have in force."""
+    """The newest report of each relay, and the version that all of their nodes hold."""
 
     def __init__(self) -> None:
         """Start without reports: nothing is known to be in force."""
@@ -56,9 +58,10 @@
         return self._in_force
 
     def add_report(self, report: ProgressReported, reported_at: float, now: float) -> bool:
-        """Store a report unless a newer one is known.
+        """Store a relay's report unless a newer one is known.
 
-        Return whether the relay's progress or the version in force changed.
+        ``reported_at`` and ``now`` are monotonic seconds. Return whether the relay's
+        progress or the version in force changed.
         """
         known = self._relays.get(report.relay)
         if known is not None and not self._is_newer(report, reported_at, known):
@@ -72,9 +75,10 @@
         return self._update_in_force(now) or changed
 
     def refresh(self, now: float) -> bool:
-        """Remove relays that have been silent for too long.
+        """Remove relays without a report for ``RELAY_EXPIRY_SECONDS``.
 
-        Return whether a relay was removed or the version in force changed.
+        A relay from which others receive messages is retained. Return whether a relay was
+        removed or the version in force changed.
         """
         known_to_others = self._known_to_others(now)
         old = [
@@ -98,7 +102,10 @@
         return [each.report.relay for each in self.relays() if _is_silent(each, now)]
 
     def awaited(self, now: float) -> tuple[str, ...]:
-        """Return the relays that others hear but that are unknown here, as sorted names."""
+        """Return the relays that only other relays report, as sorted names.
+
+        Other relays receive messages from them, but they have not reported here.
+        """
         return tuple(sorted(self._known_to_others(now) - self._relays.keys()))
 
     def statuses(self, now: float) -> tuple[RelayStatus, ...]:
@@ -128,7 +135,7 @@
         )
 
     def _update_in_force(self, now: float) -> bool:
-        """Recompute the version in force; return whether it changed."""
+        """Recompute the version that all nodes hold; return whether it changed."""
         former = self._in_force
         relays = self._relays.values()
         lowest = min((each.in_force for each in relays), default=0)
@@ -149,7 +156,7 @@
 
 
 def _is_catching_up(progress: RelayProgress) -> bool:
-    """Report whether a relay that is not yet settled lacks edits that it had before."""
+    """Report whether a relay is not settled and behind the version it is counted with."""
     report = progress.report
     return not report.settled and report.version < progress.in_force
 
--- a/src/peppershore/process/control/progress_sharing.py
+++ b/src/peppershore/process/control/progress_sharing.py
@@ -1,4 +1,6 @@
-"""How replicas share the reports of relays, without a message for each pair of replicas.
+"""How replicas share the relays' reports on the progress of their nodes.
+
+No message for each pair of replicas is needed.
 
 A replica sends the reports of its own relays to the leader; the leader sends its complete
 table to the others from time to time. Reports that change often are sent at a bounded rate.
@@ -21,7 +23,7 @@
 from peppershore.process.token_bucket import TokenBucket
 
 SHARES_PER_SECOND = 4.0
-"""Bound on the rate at which changed reports of one relay are sent to the leader."""
+"""Bound on the changed reports of one relay that are sent to the leader per second."""
 
 SHARE_BURST = 6.0
 """Number of changed reports sent without delay: one edit causes two, and an operator
@@ -32,21 +34,21 @@
 relay counts as silent."""
 
 CHANGED_TABLE_SECONDS = 2.0
-"""Interval at which the leader sends a changed table to the other replicas."""
+"""Interval at which the leader sends a changed table of reports to the other replicas."""
 
 UNCHANGED_TABLE_SECONDS = 4.0
-"""Interval at which the leader sends an unchanged table."""
+"""Interval at which the leader sends an unchanged table of reports."""
 
 TABLE_REQUEST_SECONDS = 2.0
-"""Interval at which a replica at which operators watch asks the leader to be sent every
-change of the table at once."""
+"""Interval at which a replica with watching operators renews its request to the leader. It
+requests that the leader send it each change of the table of reports immediately."""
 
 TABLE_REQUEST_VALID_SECONDS = 3 * TABLE_REQUEST_SECONDS
-"""For this long after such a request, a replica is sent every change at once."""
+"""For this long after such a request, a replica is sent every change immediately."""
 
 MAX_SHOWN_NODES = 3
-"""Nodes of each kind that the table lists for a relay; the replica that the relay reports
-to has more."""
+"""Lagging and silent nodes, of each at most this many, that the table of reports lists for
+a relay. The replica that the relay reports to has more of them."""
 
 MILLISECONDS_PER_SECOND = 1_000
 
@@ -62,17 +64,17 @@
         self.bucket = TokenBucket(SHARES_PER_SECOND, SHARE_BURST)
 
     def is_due(self, now: float) -> bool:
-        """Report whether the newest report should be sent to the leader now."""
+        """Report whether the relay's newest report should be sent to the leader now."""
         if self.sent is None or now - self.sent_at >= UNCHANGED_REPORT_SECONDS:
             return True
         return not same_progress(self.sent, self.report) and self.bucket.admit(now)
 
 
 class ProgressSharing:
-    """Decides which reports one replica passes on; it sends nothing itself."""
+    """Decides which relays' reports a replica forwards to others; sends nothing itself."""
 
     def __init__(self, table: ProgressTable) -> None:
-        """Start without reports."""
+        """Start without reports of relays; ``table`` holds the newest of all replicas."""
         self._table = table
         self._relay_reports: dict[str, _RelayReport] = {}
         self._reported_leader = ""
@@ -92,9 +94,9 @@
         known.at = now
 
     def has_recent_report(self, relay: str, now: float) -> bool:
-        """Report whether the relay itself reported to this replica a short time ago.
+        """Report whether the relay itself reported to this replica recently.
 
-        The bound is ``UNCHANGED_REPORT_SECONDS``.
+        That is less than ``UNCHANGED_REPORT_SECONDS`` ago.
         """
         known = self._relay_reports.get(relay)
         return known is not None and now - known.at < UNCHANGED_REPORT_SECONDS
@@ -115,7 +117,7 @@
         ]
 
     def table_for_followers(self, now: float) -> ProgressTableShared | None:
-        """Return the leader's table if it is due for the other replicas, else None."""
+        """Return the leader's table of reports if it is due for the others, else None."""
         waited = now - self._table_sent_at
         if waited < CHANGED_TABLE_SECONDS:
             return None
@@ -130,9 +132,9 @@
         return self._shared_table(now)
 
     def table_request_due(self, now: float) -> bool:
-        """Report whether to ask the leader for changes now; if so, count it as asked.
+        """Report whether to request immediate changes of the table from the leader now.
 
-        Called on a replica at which operators watch.
+        If so, count the request as sent. Called on a replica at which operators watch.
         """
         if now - self._requested_at < TABLE_REQUEST_SECONDS:
             return False
@@ -140,7 +142,7 @@
         return True
 
     def note_table_request(self, replica: str, now: float) -> None:
-        """Note that operators watch at ``replica``, which asked for changes at once."""
+        """Record, on the leader, that ``replica`` requested immediate changes."""
         self._watching_until[replica] = now + TABLE_REQUEST_VALID_SECONDS
         self._sent_to_watchers = ()
 
@@ -149,7 +151,8 @@
     ) -> tuple[list[str], ProgressTableShared] | None:
         """Return the replicas at which operators watch and the changed table for them.
 
-        Return None if no replica asked for changes or the table is the one sent last.
+        Return None if no replica requested immediate changes or the table of reports has
+        not changed since it was last sent to them.
         """
         if not self._watching_until:
             return None
--- a/src/peppershore/process/control/quota_desk.py
+++ b/src/peppershore/process/control/quota_desk.py
@@ -40,11 +40,12 @@
     """Handles quota requests of relays that follow this replica or another one.
 
     Only a leader grants calls, and only while its lease proves that no other replica can
-    lead yet. It holds its buckets for one leadership and starts the next with empty ones.
+    lead yet. It counts the calls still to be granted in a token bucket for each limit; each
+    leadership starts with empty buckets.
     """
 
     def __init__(self, replica: ControlCore, quotas: QuotaSettings | None) -> None:
-        """Start as a follower; without ``quotas`` nothing is asked for or granted."""
+        """Start as a follower; without ``quotas`` the leader grants no calls."""
         self._replica = replica
         self._quotas = quotas
         self._decider: Decider | None = None
@@ -121,7 +122,7 @@
         replica.send(link, answer)
 
     def tick(self) -> None:
-        """Report limits that have begun or ceased to refuse calls."""
+        """As leader, report tenants' limits that have begun or ceased to refuse calls."""
         if self._decider is None:
             return
         for change in self._decider.limit_changes(self._replica.now):
@@ -130,7 +131,7 @@
     # --- leadership
 
     def leadership_gained(self) -> None:
-        """Start with empty buckets.
+        """Start to grant calls, with empty token buckets.
 
         The former leader may have granted all that its buckets held.
         """
@@ -146,7 +147,7 @@
         self._decider = None
 
     def tree_changed(self) -> None:
-        """Apply the limits of the newest committed tree at once."""
+        """As leader, apply the tenants' limits of the newest committed tree at once."""
         tree = self._replica.state.tree
         if self._decider is None or tree.version == self._limits_version:
             return
--- a/src/peppershore/process/control/recovery.py
+++ b/src/peppershore/process/control/recovery.py
@@ -33,12 +33,13 @@
 from peppershore.version.model import Version
 
 SKIPPED_VERSIONS = 1_000_000
-"""More versions than are accepted during the age of any store that one would recover from:
-71 days at 14,000 a day."""
+"""How far the recovered tree's version is above the newest log index in the store. It is
+more than a group accepts during the age of any store that one would recover from: 71 days
+at 14,000 a day."""
 
 
 class NothingToRecover(msgspec.Struct, frozen=True):
-    """The store can't become a control group."""
+    """The store can't become a new control group; ``reason`` says why."""
 
     reason: str
 
--- a/src/peppershore/process/control/releases.py
+++ b/src/peppershore/process/control/releases.py
@@ -36,8 +36,8 @@
     from peppershore.process.control.core import ControlCore
 
 ANSWER_SECONDS = 0.85
-"""A request without an outcome by then is answered as undecided, because callers go to
-another replica after a second without a response."""
+"""A request without an outcome after this time is answered as undecided, because callers go
+to another replica after a second without a response."""
 
 BASE_WAIT_SECONDS = 0.4
 """A configuration whose base release is not in place yet waits this long for it: several
@@ -58,13 +58,13 @@
 
 
 class ReleaseConflict(msgspec.Struct, frozen=True):
-    """A release other than the base is in place; nothing changed."""
+    """The newest release is ``current``, not the configuration's base; nothing changed."""
 
     current: Version
 
 
 class ReleaseInvalid(msgspec.Struct, frozen=True):
-    """The configuration breaks the rules; nothing changed."""
+    """The configuration is invalid for these ``problems``; nothing changed."""
 
     problems: tuple[Problem, ...]
 
@@ -121,10 +121,10 @@
 
 
 class Releases:
-    """The release requests in progress at one replica."""
+    """The requests to submit or read a complete configuration in progress at a replica."""
 
     def __init__(self, replica: ControlCore) -> None:
-        """Start without requests."""
+        """Start without requests; ``replica`` carries out reads and edits."""
         self._replica = replica
         self._pending: dict[int, _PendingRequest] = {}
         self._reads: dict[int, int] = {}
@@ -163,7 +163,8 @@
     def applied(self, outcomes: list[EditOutcome]) -> None:
         """Answer the requests whose outcome has been applied here.
 
-        A configuration that waits for its base is read again if the base is in place now.
+        A configuration that waits for its base release is decided again, after a confirmed
+        read, if that release is the newest now.
         """
         known = {outcome.change_id for outcome in outcomes}
         for request, pending in list(self._pending.items()):
@@ -178,7 +179,7 @@
             self._answer_known(request, pending)
 
     def tick(self) -> None:
-        """Answer requests that time out as undecided; retry reads and proposals."""
+        """Answer requests without an outcome in time as undecided; retry the others."""
         now = self._replica.now
         reading = set(self._reads.values())
         for request, pending in list(self._pending.items()):
@@ -209,7 +210,7 @@
             self._answer(request, pending, ReleaseRead(self._cached_configuration(tree)))
 
     def _retry_with_new_base(self, request: int, pending: _PendingRequest) -> None:
-        """Read again if the newly applied state has the configuration's base in place."""
+        """Start a read to decide again if the configuration's base is the newest now."""
         assert pending.configuration is not None
         if self._replica.state.tree.release == pending.configuration.base:
             self._start_read(request)
@@ -219,8 +220,9 @@
     ) -> None:
         """Propose the edit of a configuration, or refuse it if its base doesn't fit.
 
-        The state is one that a quorum confirmed after the request came. Nothing happens
-        while a newer base may still come, for up to ``BASE_WAIT_SECONDS``.
+        To be called on a state that a quorum confirmed after the request came. While the
+        base is newer than the newest release here, nothing is done for up to
+        ``BASE_WAIT_SECONDS``, because it may still arrive.
         """
         current = self._replica.state.tree.release
         waited = self._replica.now - pending.received_at
@@ -233,9 +235,10 @@
         self._propose(pending)
 
     def _propose(self, pending: _PendingRequest) -> None:
-        """Have the leader propose the edit; it is accepted once even if repeated.
+        """Send the edit of the pending configuration to the leader, which proposes it.
 
-        Nothing is sent while a release other than the base is in place here.
+        An edit that is sent again is accepted once only. Nothing is sent while the newest
+        release at this replica is not the one that the configuration names as its base.
         """
         assert pending.configuration is not None
         replica = self._replica
@@ -245,7 +248,7 @@
         replica.submit_to_leader(edit_of(replica.state.tree, pending.configuration))
 
     def _answer_known(self, request: int, pending: _PendingRequest) -> bool:
-        """Answer from the table of outcomes; return False if it has none."""
+        """Answer a request whose edit has a recorded outcome; return False without one."""
         if not pending.change_id:
             return False
         outcome = self._replica.state.outcomes.find(pending.change_id)
--- a/src/peppershore/process/control/rollout_orders.py
+++ b/src/peppershore/process/control/rollout_orders.py
@@ -45,7 +45,7 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """An order to bring in ``target_version`` of a service in ``duration_seconds``."""
+    """An order to move a service's calls to ``target_version`` in ``duration_seconds``."""
 
     service: str
     target_version: str
@@ -53,7 +53,7 @@
 
     @property
     def milliseconds(self) -> int:
-        """Duration that the roll-out may take."""
+        """Duration that the roll-out may take, in milliseconds."""
         return round(self.duration_seconds * 1_000)
 
 
@@ -89,7 +89,7 @@
 
 
 class RolloutRefused(msgspec.Struct, frozen=True):
-    """The order can't be carried out; nothing changed."""
+    """The order can't be carried out for this ``problem``; nothing changed."""
 
     problem: Problem
 
@@ -146,7 +146,7 @@
     """The roll-out orders and queries in progress at one replica."""
 
     def __init__(self, replica: ControlCore) -> None:
-        """Start without requests."""
+        """Start without requests; ``replica`` carries out reads and edits."""
         self._replica = replica
         self._pending: dict[int, _PendingRequest] = {}
         self._reads: dict[int, int] = {}
@@ -188,7 +188,7 @@
                 self._start_read(request)
 
     def tick(self) -> None:
-        """Answer requests that time out as undecided; retry reads and proposals."""
+        """Answer requests without an outcome in time as undecided; retry the others."""
         now = self._replica.now
         reading = set(self._reads.values())
         for request, pending in list(self._pending.items()):
@@ -205,7 +205,10 @@
         self._reads[self._replica.read()] = request
 
     def _handle_confirmed_read(self, request: int, pending: _PendingRequest) -> None:
-        """Decide on a state that a quorum confirmed after the request came."""
+        """Answer a request, or propose its edit, on the state that this replica holds now.
+
+        A quorum confirmed that state after the request came.
+        """
         match pending.event:
             case RolloutOrdered():
                 self._decide(request, pending, pending.event.order)
@@ -243,7 +246,7 @@
     def _start_milliseconds(self, known: Rollout | None) -> int:
         """Return the start time of a new roll-out in milliseconds since the Unix epoch.
 
-        It is always later than the start of the previous roll-out.
+        It is always later than the start of ``known``, the service's previous roll-out.
         """
         now = self._replica.unix_milliseconds
         return now if known is None else max(now, known.began_milliseconds + 1)
@@ -261,7 +264,10 @@
             self._answer(request, RolloutRefused(problem))
 
     def _propose(self, pending: _PendingRequest, edit: Edit) -> None:
-        """Have the leader propose the edit; it is accepted once even if repeated."""
+        """Send the edit to the leader, which proposes it.
+
+        An edit that is sent again is accepted once only.
+        """
         pending.edit = edit
         pending.sent_at = self._replica.now
         self._replica.submit_to_leader(edit)
--- a/src/peppershore/process/control/rollout_rules.py
+++ b/src/peppershore/process/control/rollout_rules.py
@@ -1,5 +1,7 @@
 """The leader's decisions about a roll-out in progress: the first rule with a decision wins.
 
+A roll-out moves the calls of a service step by step to the back ends of a new version.
+
 The rules are pure functions: the same view gives the same decision on every leader.
 """
 
@@ -14,21 +16,21 @@
 
 WATCH_SHARE = 0.55
 """Share of the roll-out's duration in which the new version gets few calls and is observed.
-The remaining move takes 4 s: 1 s at half of the calls, 1 s until all nodes know the last
-step, 2 s until the last calls of the old version end."""
+The move to all calls after it takes 4 s: 1 s at half of the calls, 1 s until all nodes know
+the last step, 2 s until the last calls of the old version end."""
 
 MAX_WATCH_SECONDS = 60.0
 """Bound on the observation in a long roll-out: callers wait for the new version."""
 
 LAST_WATCH_SHARE = 0.7
-"""Share of the roll-out's duration up to which a version that has not passed is observed.
-After it the version is rolled back if it has had too few calls or if its doubt reaches
-``ROLLBACK_DOUBT``; otherwise it moves on."""
+"""Share of the roll-out's duration up to which a version that has not passed the comparison
+with the old one is observed. After it the version is rolled back if it has had fewer than
+``MIN_CALLS`` or if its doubt reaches ``ROLLBACK_DOUBT``; otherwise it moves on."""
 
 ROLLBACK_DOUBT = 3.0
-"""Doubt at which a version without a decision in time is rolled back. It is the logarithm
-of a likelihood ratio: a bad version is 20 times likelier. A difference in speed between
-machines causes less doubt than this."""
+"""Doubt at which a version without a decision in time is rolled back. Doubt is the
+logarithm of a likelihood ratio: at this one, a bad version is 20 times likelier than a good
+one. A difference in speed between machines causes less doubt than this."""
 
 MIN_CALLS = 30
 """Calls at the new version without which it is rolled back at ``LAST_WATCH_SHARE``. A
@@ -46,7 +48,7 @@
 
 
 class RolloutView(msgspec.Struct, frozen=True):
-    """All that a decision depends on; times in seconds.
+    """All that a decision about a roll-out depends on; times in seconds.
 
     ``elapsed`` counts from the order, ``since_step`` from the start of the present share,
     and ``known_for`` from the confirmation of that share by all nodes (negative: not
@@ -68,26 +70,32 @@
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Nothing is to be done now; ``reason`` says what the roll-out waits for."""
+    """Decision to do nothing now; ``reason`` says what the roll-out waits for."""
 
     reason: str
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Send this share of the calls, in parts of ``ALL_CALLS``, to the new version."""
+    """Decision to send ``share`` of the calls to the new version.
+
+    ``share`` is counted in parts of ``ALL_CALLS``.
+    """
 
     share: int
     reason: str
 
 
 class Complete(msgspec.Struct, frozen=True):
-    """No call goes to the old version any more: its back ends may be stopped."""
+    """Decision to end the roll-out: no call goes to the old version any more.
+
+    The back ends of the old version may be stopped.
+    """
 
     reason: str
 
 
 class RollBack(msgspec.Struct, frozen=True):
-    """Send no more calls to the new version."""
+    """Decision to end the roll-out and send no more calls to the new version."""
 
     reason: str
 
--- a/src/peppershore/process/control/rollouts.py
+++ b/src/peppershore/process/control/rollouts.py
@@ -1,8 +1,10 @@
-"""Roll-outs in progress: collects the evidence of back ends and lets the leader decide.
+"""Roll-outs in progress: collects back ends' call results and lets the leader decide.
 
-Every replica notes when it saw each step, so that a new leader knows how much time of a
-roll-out has passed. The steps themselves are in the tree. Evidence is held in memory only:
-a new leader receives it again within a second, because nodes send all of it each time.
+A roll-out moves the calls of a service to a new version in steps, each with a larger share
+of the calls. Every replica records when it saw each step, so that a new leader knows how
+much time of a roll-out has passed. The steps themselves are in the tree. The evidence, that
+is the call results of each back end since the roll-out's start, is held in memory only: a
+new leader receives it again within a second, because nodes send all of it each time.
 """
 
 from __future__ import annotations
@@ -51,10 +53,10 @@
 """A new leader decides nothing for this long: nodes send their evidence twice a second."""
 
 APPLY_SHARE = 0.5
-"""A step counts as known after this part of the time within which nodes apply a change:
-they do so after 0.1 to 0.3 s where 2 s are allowed. A call that a node sends later to a
-back end that has exited is refused by that machine and retried elsewhere, since it was not
-executed."""
+"""A step counts as known to all nodes after this part of the time allowed to them to apply
+a change: they do so after 0.1 to 0.3 s where 2 s are allowed. A call that a node sends
+later to a back end that has exited is refused by that machine and retried elsewhere, since
+it was not executed."""
 
 MAX_BACK_ENDS = 20_000
 MILLISECONDS_PER_SECOND = 1_000
@@ -71,9 +73,10 @@
 
 
 class _Step(msgspec.Struct):
-    """Times at which this replica saw a share in place, and known at all nodes.
+    """One step of a roll-out, i.e. a share of the calls, and when this replica saw it.
 
-    ``known_at`` is negative until all nodes know the share.
+    ``seen_at`` and ``known_at`` are monotonic seconds. At ``known_at`` all nodes held the
+    step; it is negative until then.
     """
 
     rollout: Rollout
@@ -87,7 +90,7 @@
     def __init__(
         self, replica: ControlCore, exposure_share: float, apply_milliseconds: float
     ) -> None:
-        """Start without roll-outs and evidence.
+        """Start without roll-outs and without call results of back ends.
 
         ``exposure_share`` is the part of a service's calls that a bad version may get.
         Nodes apply a change within ``apply_milliseconds``.
@@ -105,7 +108,11 @@
     # --- evidence ---------------------------------------------------------------
 
     def add_evidence(self, evidence: BackEndEvidence) -> None:
-        """Store the evidence of a back end; a follower also sends it to the leader."""
+        """Store a back end's call results since the start of its service's roll-out.
+
+        A follower also sends them to the leader. Results older than the stored ones are
+        ignored, and so are those of a new back end beyond ``MAX_BACK_ENDS``.
+        """
         known = self._evidence.get(evidence.node)
         if known is not None and _report_order(evidence) <= _report_order(known):
             return
@@ -118,7 +125,7 @@
                 self._replica.send_to_peer(leader, EvidencePassed(evidence))
 
     def comparison(self, rollout: Rollout) -> Comparison:
-        """Return the comparison of both versions by all evidence held here."""
+        """Return the comparison of both versions by all call results held here."""
         found = (
             each
             for each in self._evidence.values()
@@ -130,11 +137,14 @@
     # --- decisions --------------------------------------------------------------
 
     def leadership_gained(self) -> None:
-        """Start to decide, after nodes have had time to send their evidence."""
+        """Start to decide on roll-outs once nodes have had time to send call results."""
         self._leads_since = self._replica.now
 
     def tick(self) -> None:
-        """Note new steps; decide on every roll-out if this replica leads."""
+        """Record when each roll-out entered its present step; as leader, decide on each.
+
+        A new leader decides nothing for the first ``SETTLING_SECONDS``.
+        """
         self._note_steps()
         now = self._replica.now
         if not self._replica.leads or now - self._leads_since < SETTLING_SECONDS:
--- a/src/peppershore/process/control/rotation.py
+++ b/src/peppershore/process/control/rotation.py
@@ -1,8 +1,9 @@
 """The barrier of a secret's rotation: all verifiers hold a key before any signer uses it.
 
-``PutSecret`` adds a generation that nodes verify with but don't sign with. Once every node
-holds that version, the leader itself proposes ``PromoteSecret``. A wait beyond the bound is
-reported; nothing is promoted merely because time has passed.
+``PutSecret`` adds a generation of the key that nodes verify with but don't sign with. Once
+every node holds the version of that edit, the leader itself proposes ``PromoteSecret``,
+which makes nodes sign with it. A wait of more than ``OVERDUE_SECONDS`` is reported; nothing
+is promoted merely because time has passed.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class RotationOverdue(Notice, frozen=True):
-    """A rotation has waited longer than its bound; the old key stays in use."""
+    """A key rotation has waited too long for all nodes; the old key stays in use."""
 
     level: ClassVar[str] = "warning"
     secret: str
@@ -50,7 +51,7 @@
     """Decides which key rotations may proceed, and describes what the others wait for."""
 
     def __init__(self, progress: ProgressTable, started_at: float) -> None:
-        """Start without rotations.
+        """Start without rotations; ``progress`` shows which versions the nodes hold.
 
         Reports count as complete once every relay has had time to send one since
         ``started_at`` (monotonic seconds).
@@ -68,7 +69,7 @@
         self._started_at = now
 
     def due(self, tree: Tree, now: float) -> list[Edit]:
-        """Return the edits that promote a new key that all nodes hold."""
+        """Return the edits that let nodes sign with new keys that all nodes hold."""
         self._note_waiting(tree, now)
         return [
             _promotion(name, tree.secrets[name])
@@ -77,7 +78,7 @@
         ]
 
     def overdue(self, tree: Tree, now: float) -> list[RotationOverdue]:
-        """Return the rotations that have just passed their bound, once each."""
+        """Return the rotations that have waited ``OVERDUE_SECONDS``, each of them once."""
         self._note_waiting(tree, now)
         found: list[RotationOverdue] = []
         for name, waiting in sorted(self._waiting.items()):
@@ -165,7 +166,7 @@
 
 
 def _promotion(name: str, secret: Secret) -> Edit:
-    """Return the edit that promotes the next generation.
+    """Return the edit that lets nodes sign with the secret's next generation.
 
     Only one generation is promoted at a time: verifiers retain the one that signers used
     before.
--- a/src/peppershore/process/control/state.py
+++ b/src/peppershore/process/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of the control group: tree, outcomes and history."""
+"""The replicated state of the control group: tree, outcomes of edits, recent edits."""
 
 from __future__ import annotations
 
@@ -59,7 +59,10 @@
     """Applies log commands; the same log gives the same state on every replica."""
 
     def __init__(self, cluster: str, outcome_capacity: int, history_capacity: int) -> None:
-        """Start with the empty tree."""
+        """Start with the empty tree of ``cluster``, without outcomes and edits.
+
+        The capacities are the numbers of edits' outcomes and of edits that are retained.
+        """
         self.tree = empty_tree(cluster)
         self.outcomes = OutcomeTable(outcome_capacity)
         self.history = History(history_capacity)
--- a/src/peppershore/process/control/version_comparison.py
+++ b/src/peppershore/process/control/version_comparison.py
@@ -31,40 +31,41 @@
 
 ACCEPTABLE_FAILURE_SHARE = 0.03
 BAD_FAILURE_SHARE = 0.13
-"""Shares of failed calls above that of the old version: up to the first the new version is
-acceptable, from the second on it is bad. A version that fails 20 in 100 is found after some
-34 calls."""
+"""How far the new version's share of failed calls may be above the old version's. Up to
+``ACCEPTABLE_FAILURE_SHARE`` the new version is acceptable, from ``BAD_FAILURE_SHARE`` on it
+is bad. A version that fails 20 in 100 is found after some 34 calls."""
 
 SLOW_BUCKET_OFFSET = 2
-"""A call counts as slow from 1.6 times the old version's median on: machines differ by 0.6
-to 1.4 in speed, and a version counts as bad if it is at least twice as slow."""
+"""A call counts as slow if its service time is more than this many buckets above that of
+the old version's median, i.e. from 1.6 times the median on. Machines differ by 0.6 to 1.4
+in speed, and a version counts as bad if it is at least twice as slow."""
 
 ACCEPTABLE_SLOW_SHARE = 0.34
 BAD_SLOW_SHARE = 0.50
-"""Shares of slow calls over machines of different speed: acceptable, and bad. The share is
-0.28 for the old version itself (times spread by 0.8 of their mean), 0.39 for a version 1.3
-times as slow, and 0.56 for one twice as slow."""
+"""Shares of slow calls, over machines of different speed, of an acceptable and of a bad
+version. The share is 0.28 for the old version itself (times spread by 0.8 of their mean),
+0.39 for a version 1.3 times as slow, and 0.56 for one twice as slow."""
 
 MIN_OLD_CALLS = 20
-"""Timed calls of the old version that a reference needs."""
+"""Timed calls of the old version on a route without which service times aren't compared."""
 
 MIN_ROUTE_CALLS = 5
 """A route with fewer calls doesn't keep the version from passing."""
 
 MIN_BACK_END_CALLS = 3
-"""Calls that a back end needs to be judged. A bad version fails at more than half of its
-back ends; if fewer fail, their machines are at fault."""
+"""Calls on a route with which a back end counts as failing or not. A bad version fails at
+more than half of its back ends; if fewer fail, their machines are at fault."""
 
 MIN_BACK_ENDS_TO_TRIM = 3
-"""Among this many back ends or more the worst one is left out, because its machine may be
-at fault."""
+"""Among this many back ends of a version or more, the one with most failed calls is left
+out of the comparison, because its machine may be at fault."""
 
 
 class VersionCounts(msgspec.Struct):
     """Results of the calls of one route at the back ends of one version.
 
-    ``times`` counts calls by bucket of service time. ``back_ends`` had enough calls to be
-    judged, and ``failing_back_ends`` of them failed at least one.
+    ``times`` counts calls by bucket of service time. ``back_ends`` is the number of back
+    ends with at least ``MIN_BACK_END_CALLS``; ``failing_back_ends`` of them failed a call.
     """
 
     calls: int = 0
@@ -74,7 +75,10 @@
     failing_back_ends: int = 0
 
     def add(self, calls: int, failed: int, times: Iterable[tuple[int, int]]) -> None:
-        """Add the counts of one back end."""
+        """Add the calls of one back end, of which ``failed`` failed.
+
+        ``times`` are pairs of a service-time bucket and its number of calls.
+        """
         self.calls += calls
         self.failed += failed
         if calls >= MIN_BACK_END_CALLS:
@@ -85,7 +89,7 @@
 
 
 class RouteComparison(msgspec.Struct, frozen=True):
-    """Both versions on one route ("" for all routes together).
+    """Comparison of both versions on one route ("" for all routes together).
 
     ``reason`` says why the new version is rejected; it is empty if it is not. ``doubt`` is
     the logarithm of the likelihood ratio of a bad new version to a good one.
@@ -110,9 +114,9 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """Both versions of a service.
+    """Comparison of both versions of a service.
 
-    ``back_ends`` is the number of the new version's back ends that have sent evidence;
+    ``back_ends`` is the number of the new version's back ends with reported call results;
     ``calls`` ran there, of ``all_calls`` at both versions.
     """
 
@@ -172,7 +176,10 @@
 
 
 def _trimmed(back_ends: list[BackEndEvidence]) -> list[BackEndEvidence]:
-    """Leave out the back end with most failures if enough others remain to judge by."""
+    """Return the back ends of a version without the one with most failed calls.
+
+    Fewer than ``MIN_BACK_ENDS_TO_TRIM`` back ends are all returned.
+    """
     if len(back_ends) < MIN_BACK_ENDS_TO_TRIM:
         return back_ends
     worst = max(back_ends, key=lambda each: sum(route.failed for route in each.routes))
@@ -190,7 +197,7 @@
 
 
 def _total_counts(by_route: dict[str, VersionCounts]) -> VersionCounts:
-    """Add up calls and failures over all routes.
+    """Return the sums of calls and failures over all routes.
 
     Service times are left out, because those of different routes are not comparable.
     """
@@ -234,7 +241,11 @@
 
 
 def _slowness_doubt(new: VersionCounts, old: VersionCounts) -> float:
-    """Return minus infinity if there is nothing to compare with."""
+    """Return the log likelihood ratio of a slow new version to a good one.
+
+    Return minus infinity without timed calls of the new version, or with too few of the
+    old one.
+    """
     timed = new.times.total()
     if not timed or old.times.total() < MIN_OLD_CALLS:
         return -math.inf
@@ -248,7 +259,7 @@
 
 
 def _median(counts: VersionCounts) -> int:
-    """Return the bucket within which half of the calls ended."""
+    """Return the bucket of service time that holds the median call, 0 without calls."""
     half = counts.times.total() / 2.0
     seen = 0
     for bucket, count in sorted(counts.times.items()):
