--- a/src/peppershore/process/control/releases.py
+++ b/src/peppershore/process/control/releases.py
@@ -58,7 +58,7 @@
 
 
 class ReleaseConflict(msgspec.Struct, frozen=True):
-    """The newest release is ``current``, not the configuration's base; nothing changed."""
+    """The configuration doesn't follow the newest release, ``current``; nothing changed."""
 
     current: Version
 
@@ -218,7 +218,7 @@
     def _decide(
         self, request: int, pending: _PendingRequest, configuration: WholeConfiguration
     ) -> None:
-        """Propose the edit of a configuration, or refuse it if its base doesn't fit.
+        """Propose the edit of a configuration that follows the newest release, else refuse.
 
         To be called on a state that a quorum confirmed after the request came. While the
         base is newer than the newest release here, nothing is done for up to
--- a/src/peppershore/process/hub/configuration_api.py
+++ b/src/peppershore/process/hub/configuration_api.py
@@ -51,7 +51,10 @@
 
 
 class RefusedBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """JSON body for a rejected request; ``current`` is the release in place."""
+    """JSON body for a rejected request; ``current`` is the release that is in place.
+
+    It is set only if the configuration conflicts with that release.
+    """
 
     error: str
     current: Version = 0
@@ -62,19 +65,19 @@
     """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None]) -> None:
-        """Pass events to the core with ``dispatch``."""
+        """Pass events to the control core with ``dispatch``."""
         self._dispatch = dispatch
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[ReleaseOutcome | ReleaseRead]] = {}
 
     def answered(self, command: ReleaseAnswered) -> None:
-        """Complete the waiting request with an answer of the core."""
+        """Complete the waiting HTTP request with the answer of the control core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Return the response to one HTTP request."""
+        """Return the response to an operator's HTTP request."""
         if request.path != CONFIGURATION_PATH:
             return _refusal(NOT_FOUND, RefusedBody("not found"))
         if request.method == "GET":
--- a/src/peppershore/process/hub/plan.py
+++ b/src/peppershore/process/hub/plan.py
@@ -17,13 +17,15 @@
 )
 
 HEARTBEAT_SHARE = 0.25
-"""Longest time between heartbeats to a node, as a share of ``apply_milliseconds``.
+"""Longest time between heartbeats of a relay to a node.
+
+It is a share of ``apply_milliseconds``, the time within which nodes apply changes.
 
 A node searches for another relay after three fifths of that time without a confirmation,
 so it must have received two by then.
 """
 MIN_HEARTBEAT_MILLISECONDS = 20
-"""Minimum that the settings of a relay allow."""
+"""Minimum time between heartbeats to a node that the settings of a relay allow."""
 
 
 class HubPlan(msgspec.Struct, frozen=True):
@@ -34,11 +36,11 @@
 
 
 def plan_hub(settings: HubSettings) -> HubPlan:
-    """Return the settings of both parts.
+    """Return the settings of the hub's control replica and of its relay.
 
-    On the first start of a cluster, the seeds are the founding members of the group; they
-    are the same on all hubs. A replica that is not among them or starts later waits to be
-    admitted to the group.
+    ``seeds`` are addresses of hubs. On the first start of a cluster, the replicas of these
+    hubs are the founding members of the group; they are the same on all hubs. A replica
+    that is not among them or starts later waits to be admitted to the group.
     """
     address = f"{settings.host}:{settings.replica_port}"
     seeds = seed_addresses(settings.seeds, settings.replica_port)
@@ -80,7 +82,10 @@
 
 
 def _heartbeat_milliseconds(settings: HubSettings) -> int:
-    """Return the time between heartbeats, limited by the time for changes to apply."""
+    """Return the milliseconds between a relay's heartbeats to a node.
+
+    They are limited by the time within which changes must apply.
+    """
     longest = int(HEARTBEAT_SHARE * settings.apply_milliseconds)
     return min(settings.freshness_milliseconds, max(MIN_HEARTBEAT_MILLISECONDS, longest))
 
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -106,20 +106,20 @@
     """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None], core: ControlCore) -> None:
-        """Pass events to the core with ``dispatch``."""
+        """Pass events to ``core`` with ``dispatch``; read roll-outs' progress from it."""
         self._dispatch = dispatch
         self._core = core
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[RolloutOutcome]] = {}
 
     def answered(self, command: RolloutAnswered) -> None:
-        """Complete the waiting request with an answer of the core."""
+        """Complete the waiting HTTP request with the answer of the control core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Return the response to one HTTP request."""
+        """Return the response to an operator's HTTP request."""
         number = next(self._numbers)
         match request.path.strip("/").split("/"):
             case [root] if root == ROOT:
--- a/src/peppershore/process/hub/shell.py
+++ b/src/peppershore/process/hub/shell.py
@@ -40,10 +40,13 @@
 
 
 class Hub:
-    """Both cores of one process, their shells and the HTTP interface for operators."""
+    """A control replica, a relay and the HTTP interface for operators, in one process."""
 
     def __init__(self, settings: HubSettings) -> None:
-        """Open the store; raise SystemExit if it cannot be used."""
+        """Open the replica's store; create replica, relay and HTTP interface.
+
+        Raises SystemExit if the store cannot be used.
+        """
         self._settings = settings
         self._plan = plan_hub(settings)
         self._process = _control_process(self._plan)
@@ -101,12 +104,15 @@
         self._keeper.keep(command.records)
 
     def reload(self, settings: HubSettings) -> None:
-        """Apply changed settings, of which only the seeds are used."""
+        """Apply changed settings, of which only ``seeds`` is used."""
         plan = plan_hub(settings)
         self._process.shell.dispatch(SeedsChanged(plan.control.seeds))
 
     def _watch_members(self) -> None:
-        """Check the group members periodically; send a changed list to the relay."""
+        """Check the group members periodically; report changes to this hub's relay.
+
+        The relay receives the list of all relays, one in each member's hub.
+        """
         members = self._process.core.consensus.membership.members
         relays = tuple(
             PeerRelay(
--- a/src/peppershore/process/node/back_end_api.py
+++ b/src/peppershore/process/node/back_end_api.py
@@ -39,7 +39,7 @@
 MILLISECONDS = 1_000
 
 MAX_FUTURE_START_MILLISECONDS = 24 * 3_600 * MILLISECONDS
-"""How far in the future the reported start of an incarnation may lie.
+"""How far in the future the reported start of an incarnation of the back end may lie.
 
 If the node accepted a later start, it would reject every genuine report after it. The
 clocks of machines may differ by less than this.
--- a/src/peppershore/process/node/back_end_reports.py
+++ b/src/peppershore/process/node/back_end_reports.py
@@ -40,7 +40,7 @@
 
 
 class BackEndReport(msgspec.Struct, frozen=True):
-    """One heartbeat.
+    """One heartbeat of the local back end.
 
     ``sequence`` rises with each report of an incarnation. ``warming_milliseconds`` is how
     much longer the back end expects to be slow while it warms up. ``version`` is that of
@@ -59,12 +59,15 @@
 
     @property
     def life(self) -> Life:
-        """Incarnation that sent the report."""
+        """Incarnation of the back end that sent the report."""
         return Life(self.instance, self.born)
 
 
 class BackEndView(msgspec.Struct, frozen=True):
-    """Current state of the back end; ``slots`` is 0 before the first report."""
+    """Current state of the local back end.
+
+    ``slots`` is how many calls it can execute at once, 0 before the first report.
+    """
 
     instance: str = ""
     state: str = STATE_GONE
@@ -75,7 +78,7 @@
 
     @property
     def life(self) -> Life:
-        """Current incarnation; its name is empty before the first report."""
+        """Current incarnation; its ``instance`` is empty before the first report."""
         return Life(self.instance, self.born)
 
 
@@ -86,7 +89,10 @@
     """Tracks the incarnations of one node's local back end and its current state."""
 
     def __init__(self, service: str, silent_seconds: float) -> None:
-        """Track a back end of ``service``, gone after ``silent_seconds`` of silence."""
+        """Track a back end of ``service``; it counts as gone if it stops reporting.
+
+        That is the case after ``silent_seconds`` without a heartbeat.
+        """
         self.view = NO_BACK_END
         self._service = service
         self._silent_seconds = silent_seconds
@@ -96,9 +102,9 @@
         self._ended: dict[Life, None] = {}
 
     def apply(self, report: BackEndReport, now: float) -> bool:
-        """Apply a heartbeat.
+        """Apply a heartbeat of the back end.
 
-        Return whether the incarnation, its state or its slots changed.
+        Return whether the current incarnation, its state or its slots changed.
         """
         if not self._is_acceptable(report):
             return False
@@ -127,7 +133,7 @@
 
         It continues to serve for a while, so calls already sent to it stay there. A report
         without a start time refers to the current incarnation if that has this name.
-        Return whether the view changed.
+        Return whether the current state of the back end changed.
         """
         life = Life(instance, born)
         if not born and instance == self.view.instance:
@@ -140,15 +146,18 @@
     def mark_unreachable(self, life: str) -> bool:
         """Mark the back end as gone until its next heartbeat.
 
-        To be called when nothing, or another incarnation, answers at its address. Return
-        whether the view changed; it does not if ``life`` is not the current incarnation.
+        To be called when nothing, or another incarnation, answers at its address. ``life``
+        is the name of the incarnation that was expected there. Return whether the state of
+        the back end changed; it does not if ``life`` is not the current incarnation.
         """
         if life != self.view.life.name or self.view.state == STATE_GONE:
             return False
         return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def overtaken(self, born: int) -> bool:
-        """Note that other nodes know of an incarnation that started at ``born``.
+        """Record that other nodes know of an incarnation of this back end.
+
+        It started at ``born``, in Unix milliseconds.
 
         If the current incarnation is an earlier one, mark it as gone and return True:
         the first report that a restarted node receives may be a late one of an earlier
@@ -161,9 +170,9 @@
         return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def tick(self, now: float) -> bool:
-        """Mark a back end without recent reports as gone.
+        """Mark the back end as gone if it sent no heartbeat recently.
 
-        Return whether the view changed.
+        Return whether its state changed.
         """
         if self.view.state == STATE_GONE:
             return False
@@ -172,7 +181,7 @@
         return self._replace_view(msgspec.structs.replace(self.view, state=STATE_GONE))
 
     def _is_acceptable(self, report: BackEndReport) -> bool:
-        """Return whether a report is for this service and not outdated."""
+        """Return whether a heartbeat is for this service and not outdated."""
         life = report.life
         if report.service != self._service or life in self._ended:
             return False
--- a/src/peppershore/process/node/commands.py
+++ b/src/peppershore/process/node/commands.py
@@ -12,31 +12,34 @@
 
 
 class ConfigurationSwapped(Command, frozen=True):
-    """Use this configuration for new calls."""
+    """Use this configuration for new calls of the data plane."""
 
     active: ActiveConfiguration
 
 
 class EndpointsSwapped(Command, frozen=True):
-    """Replace all known endpoints of the services that the node may call."""
+    """Replace the data plane's endpoints of the services that the node may call."""
 
     endpoints: tuple[Endpoint, ...]
 
 
 class QuarantineChanged(Command, frozen=True):
-    """Apply these records of requests suspected of crashing back ends."""
+    """Apply records of requests suspected of crashing back ends to the data plane."""
 
     records: tuple[CrashRecord, ...]
 
 
 class QuotaAnswered(Command, frozen=True):
-    """Pass on the answer of the relay in use to a request for quota grants."""
+    """Pass the relay's answer to a request for quota grants to the data plane."""
 
     granted: QuotaGranted
 
 
 class PersistSnapshot(PersistRecords, frozen=True):
-    """Write a snapshot to disk and sync it; its version becomes the new floor."""
+    """Write a snapshot to disk and sync it; its version becomes the new floor.
+
+    The floor is the lowest version that the node may still accept.
+    """
 
     snapshot: Snapshot
 
@@ -46,6 +49,6 @@
 
 
 class BackEndViewed(Command, frozen=True):
-    """Use this new state of the local back end."""
+    """Use the new state of the local back end in the data plane."""
 
     view: BackEndView
--- a/src/peppershore/process/node/configuration.py
+++ b/src/peppershore/process/node/configuration.py
@@ -1,6 +1,7 @@
 """The configuration of a node: one snapshot, and the floor.
 
-The floor is the lowest version that the node may still accept.
+The floor is the lowest version that the node may still accept. The node's scope, i.e. its
+service and zone, determines which resources a snapshot contains.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class ConfigurationHolder:
-    """The snapshot in use, the floor, and the highest version in effect.
+    """The snapshot in use, the floor, and the highest version in effect at a node.
 
     The version in effect can be above the snapshot's, because changes outside the
     node's scope need no new snapshot.
@@ -37,7 +38,10 @@
         return self.snapshot.version == 0
 
     def prepare(self, update: Update) -> Result[Snapshot, str]:
-        """Return the next snapshot without using it, or the reason to refuse the update."""
+        """Return the snapshot that an update leads to, or the reason to refuse the update.
+
+        The returned snapshot is not in use yet.
+        """
         if not self.holds_nothing and update.version <= self.effective_version:
             return Failure(NOT_NEWER)
         if update.version < self.floor:
--- a/src/peppershore/process/node/core.py
+++ b/src/peppershore/process/node/core.py
@@ -96,10 +96,13 @@
 SUSPENSION_THRESHOLD_SECONDS = 3.0
 """A process without any event for this long must have been suspended."""
 UNUSABLE_REPORT_LOG_SECONDS = 10.0
-"""Minimum time between log lines on unusable reports; the first is logged at once."""
+"""Minimum time between log lines on invalid reports of the local back end.
+
+The first one is logged at once.
+"""
 
 MAX_REASON_CHARACTERS = 200
-"""Maximum number of characters of the reason in such a log line."""
+"""Maximum length, in characters, of the reason in a log line on an invalid report."""
 
 MILLISECONDS = 1_000
 ROUNDING_MILLISECONDS = 1
@@ -107,16 +110,17 @@
 
 
 class NodeMemory:
-    """State of a node that survives restarts.
+    """State with which a node starts, part of which survives restarts.
 
-    ``incarnation`` is above that of every earlier start; ``floor`` and ``snapshot``
-    come from the disk, if the node has one.
+    ``incarnation`` is above that of every earlier start. ``floor``, the lowest version
+    that the node may still accept, and ``snapshot`` come from the disk, if the node has
+    one.
     """
 
     def __init__(
         self, incarnation: int, floor: Version = 0, snapshot: Snapshot | None = None
     ) -> None:
-        """Store the values."""
+        """Hold the values; a node without stored state has no floor and no snapshot."""
         self.incarnation = incarnation
         self.floor = floor
         self.snapshot = snapshot
@@ -128,7 +132,10 @@
     def __init__(
         self, settings: NodeSettings, memory: NodeMemory, owner_address: str = ""
     ) -> None:
-        """Start from the stored state; ``owner_address`` is the internal listener."""
+        """Start from ``memory``, without a link to a relay.
+
+        ``owner_address`` is the address at which this node accepts calls of other nodes.
+        """
         scope = Scope(settings.service, settings.zone)
         self._settings = settings
         self._has_disk = bool(settings.data_folder)
@@ -208,7 +215,7 @@
                 self._handle_other_event(event)
 
     def _handle_other_event(self, event: events.Event) -> None:
-        """Handle reports of the local back end, its evidence, and changed seeds."""
+        """Handle reports and statistics of the local back end, and changed settings."""
         match event:
             case BackEndReported():
                 self._view_changed(self._reports.apply(event.report, self._now))
@@ -226,9 +233,9 @@
                 raise AssertionError(f"a node core does not handle {type(event).__name__}")
 
     def _send_evidence(self, event: EvidenceGathered) -> None:
-        """Send evidence to the relay in use.
+        """Send call statistics of the local back end since a roll-out's start to the relay.
 
-        Evidence is cumulative, so a lost message is covered by the next one.
+        They are cumulative, so a lost message is covered by the next one.
         """
         active = self.sessions.active
         if active is None:
@@ -246,7 +253,7 @@
         self._out.append(SendMessage(active.link, EvidenceTold(evidence)))
 
     def _request_quota(self, ask: QuotaAsked) -> None:
-        """Send a quota request to the relay in use.
+        """Send a request for quota grants to the relay in use.
 
         Without a relay it is dropped; the data plane repeats it a moment later.
         """
@@ -254,7 +261,7 @@
             self._out.append(SendMessage(self.sessions.active.link, ask))
 
     def _log_unusable_report(self, event: BackEndReportRefused) -> None:
-        """Log an unusable report at a limited rate: its sender may send many of them."""
+        """Log an invalid back-end report at a limited rate: its sender may send many."""
         self._unusable_reports += 1
         if self._now >= self._unusable_logged_at + UNUSABLE_REPORT_LOG_SECONDS:
             reason = event.reason[:MAX_REASON_CHARACTERS]
@@ -352,7 +359,10 @@
     def _handle_answer(
         self, session: RelaySession, message: UpdateOffered | Current | Freshness
     ) -> None:
-        """Record an answer and its confirmation; it may make a candidate the active one."""
+        """Record a relay's answer and when a quorum confirmed the version of that relay.
+
+        The answer may make a candidate the active relay.
+        """
         session.record_confirmation(message.confirmed_at_milliseconds)
         session.answered = True
         was_active = session is self.sessions.active
@@ -373,7 +383,7 @@
 
     @property
     def _clock_milliseconds(self) -> int:
-        """Time of this node's clock in milliseconds, rounded down."""
+        """Time of this node's monotonic clock in milliseconds, rounded down."""
         return math.floor(self._now * MILLISECONDS)
 
     def _still_current(self, message: Current | Freshness) -> None:
@@ -386,7 +396,10 @@
             self._confirm(message.confirmed_at_milliseconds)
 
     def _confirm(self, at_milliseconds: int | None) -> None:
-        """Note that the snapshot was the latest at this time of this node's clock."""
+        """Record that the snapshot in use was the latest at this time.
+
+        The time is in milliseconds of this node's clock; None if it is unknown.
+        """
         if at_milliseconds is not None and not self.holder.holds_nothing:
             self._confirmed_at = max(self._confirmed_at, at_milliseconds / MILLISECONDS)
 
@@ -416,7 +429,7 @@
         """Return whether an offered version is confirmed recently enough.
 
         A node with a floor accepts any offer here, since the floor excludes old versions.
-        A node without one requires a confirmation no earlier than its hello.
+        A node without one requires that a quorum confirmed it no earlier than its hello.
         """
         if self.holder.floor > 0:
             return True
@@ -505,7 +518,7 @@
     def _endpoints_changed(self, session: RelaySession, message: EndpointsChanged) -> None:
         """Apply endpoints from the relay in use, or from any relay while none is in use.
 
-        The latter arrive before a first update.
+        Endpoints arrive without a relay in use before the node's first update.
         """
         for endpoint in message.endpoints:
             if endpoint.node == self._settings.node:
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -70,7 +70,11 @@
 
 
 class ListenAddresses(msgspec.Struct, frozen=True):
-    """Addresses of a node's listeners, "IP:port"; ``internal`` is empty without one."""
+    """Addresses of a node's listeners, "IP:port".
+
+    ``callers`` is the listener for callers, ``internal`` that for calls from other nodes;
+    it is empty without one.
+    """
 
     callers: str
     internal: str
@@ -112,11 +116,17 @@
         self.on_back_end_ended: Callable[[str, tuple[Suspect, ...]], None] = (
             lambda life, under: None
         )
-        """Called with a crashed incarnation of the local back end and its requests."""
+        """Called with the name of a crashed incarnation of the local back end.
+
+        The second argument holds the requests that ran there.
+        """
         self.on_evidence: Callable[[int, tuple[RouteEvidence, ...]], None] = (
             lambda began, routes: None
         )
-        """Called with call statistics of the local back end since a roll-out's start."""
+        """Called with the call statistics of the local back end during a roll-out.
+
+        The first argument is the start of the roll-out in Unix milliseconds.
+        """
         self._settings = settings
         self._notice_sink = notice_sink
         self._loop = asyncio.get_running_loop()
@@ -179,7 +189,10 @@
             self._call_listener.recall_loans()
 
     def on_back_end_unreachable(self, callback: Callable[[str], None]) -> None:
-        """Call ``callback`` with an incarnation of the back end that cannot be reached."""
+        """Call ``callback`` with the name of an incarnation that cannot be reached.
+
+        It is one of the local back end.
+        """
         if self._own is not None:
             self._own.on_unreachable = callback
 
--- a/src/peppershore/process/node/endpoints.py
+++ b/src/peppershore/process/node/endpoints.py
@@ -1,6 +1,8 @@
 """The endpoints that a node knows.
 
-Newer states replace older ones, by the order that an endpoint's owner assigns to them.
+An endpoint describes one back end: its address and state. Its owner, the node co-located
+with the back end, orders the states by incarnation and sequence number. A later state
+replaces earlier ones.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/node/inputs.py
+++ b/src/peppershore/process/node/inputs.py
@@ -21,7 +21,7 @@
 
 
 class BackEndReported(Event, frozen=True):
-    """The back end sent a heartbeat."""
+    """The local back end sent a heartbeat."""
 
     report: BackEndReport
 
@@ -40,38 +40,50 @@
 
 
 class BackEndNotThere(Event, frozen=True):
-    """Nothing answers at the back end's address, or another incarnation does."""
+    """Nothing answers at the local back end's address, or another incarnation does.
+
+    ``life`` is the name of the incarnation that was expected there.
+    """
 
     life: str
 
 
 class BackEndEnded(Event, frozen=True):
-    """An incarnation exited without notice while these requests ran there."""
+    """An incarnation of the local back end crashed while these requests ran there.
+
+    ``life`` is its name.
+    """
 
     life: str
     under: tuple[Suspect, ...]
 
 
 class SuspectEndedWell(Event, frozen=True):
-    """The back end answered a request during which other incarnations had crashed."""
+    """The local back end answered a request that is suspected of crashing back ends.
+
+    Other incarnations crashed while they ran it. ``key`` identifies it.
+    """
 
     key: bytes
 
 
 class EvidenceGathered(Event, frozen=True):
-    """Call statistics of the back end since the roll-out that began at this time."""
+    """Call statistics of the local back end since the start of a roll-out.
+
+    ``began_milliseconds`` is that start, in Unix milliseconds.
+    """
 
     began_milliseconds: int
     routes: tuple[RouteEvidence, ...]
 
 
 class QuotaWanted(Event, frozen=True):
-    """Calls of tenants wait for quota grants."""
+    """Calls of tenants wait for quota grants; ``ask`` is the request to the relay."""
 
     ask: QuotaAsked
 
 
 class NodeSeedsChanged(Event, frozen=True):
-    """The settings changed; these are the new relays to connect to at first."""
+    """The settings changed; these are the relays that they name now."""
 
     relays: tuple[PeerRelay, ...]
--- a/src/peppershore/process/node/own_endpoint.py
+++ b/src/peppershore/process/node/own_endpoint.py
@@ -18,7 +18,11 @@
     def __init__(
         self, settings: NodeSettings, incarnation: int, owner_address: str
     ) -> None:
-        """Start in state warming; ``owner_address`` is that of the internal listener."""
+        """Start in state "warming".
+
+        ``incarnation`` is above that of every earlier start of the node.
+        ``owner_address`` is the address at which the node accepts calls of other nodes.
+        """
         self.incarnation = incarnation
         self._settings = settings
         self._owner_address = owner_address
@@ -33,7 +37,7 @@
 
     @property
     def current(self) -> Endpoint:
-        """Endpoint to announce."""
+        """Endpoint of the local back end to announce to the relay."""
         settings = self._settings
         return Endpoint(
             node=settings.node,
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -24,7 +24,7 @@
         """Record requests suspected after a crash, or a suspected one that was answered.
 
         ``relay`` is the link to the relay in use, None if there is none. Return the
-        commands that pass new records on.
+        commands that pass new records to the data plane and the relay.
         """
         if isinstance(event, BackEndEnded):
             under = event.under
--- a/src/peppershore/process/node/refusals.py
+++ b/src/peppershore/process/node/refusals.py
@@ -3,9 +3,11 @@
 from __future__ import annotations
 
 NOT_NEWER = "not-newer"
-"""Never sent: the node replies with the version that it has instead."""
+"""The update is not newer than the node's version. This reason is never sent: the node
+replies with the version that it has instead."""
 BELOW_FLOOR = "below-floor"
 UNCONFIRMED = "unconfirmed"
-"""The node has no configuration and requires a version confirmed after its hello."""
+"""Reason of a node without a configuration and a floor (lowest version that it may accept):
+it refuses an update whose version no quorum confirmed after the node's hello."""
 BUSY = "busy"
-"""The node is storing another version, received from another relay."""
+"""Reason of a node that is storing another version, received from another relay."""
--- a/src/peppershore/process/node/relay_choice.py
+++ b/src/peppershore/process/node/relay_choice.py
@@ -20,7 +20,7 @@
     """Order and recent failures of the relays for one node."""
 
     def __init__(self, settings: NodeSettings) -> None:
-        """Rank the relays named in the settings."""
+        """Rank the relays named in ``settings``, for the node of these settings."""
         self._settings = settings
         self._ceiling_seconds = settings.reconnect_milliseconds / 1_000
         self._seeds = settings.relays
@@ -103,7 +103,7 @@
         )
 
     def _rank(self) -> tuple[PeerRelay, ...]:
-        """Return the listed relays by rank, then the seeds that are not among them."""
+        """Return the listed relays by rank, then those of the settings not among them."""
         settings = self._settings
         known = {relay.address for relay in self._listed}
         seeds = [seed for seed in self._seeds if seed.address not in known]
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -37,7 +37,7 @@
 WATCH_TIMER = "relay.watch"
 
 WATCH_SECONDS = 0.25
-"""Interval between checks of the relays."""
+"""Interval between checks whether the relays in use are silent or stale."""
 WATCH_WITHOUT_RELAY_SECONDS = 0.1
 """Interval between checks while there is no relay, or only a stale one."""
 OPENING_SECONDS = 1.0
@@ -112,7 +112,11 @@
         numbers: LinkNumbers,
         make_hello: Callable[[], NodeHello],
     ) -> None:
-        """Initialize without any link; ``start`` opens the first one."""
+        """Initialize without any link; ``start`` opens the first one.
+
+        ``numbers`` supplies the ids of links, and ``make_hello`` the message that each
+        link begins with.
+        """
         self.active: RelaySession | None = None
         self.candidate: RelaySession | None = None
         self._zone = settings.zone
@@ -340,7 +344,7 @@
         return min(WATCH_SECONDS, fresh_for + ROUNDING_SECONDS)
 
     def _is_silent(self, session: RelaySession, now: float) -> bool:
-        """Return whether the relay has sent nothing for too long."""
+        """Return whether the session's relay has sent nothing for too long."""
         bound = self._silence_seconds
         if not session.answered:
             bound = min(bound, self._answer_timeout_seconds(session, now))
@@ -354,7 +358,7 @@
         return factor * self._short_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
-        """Return whether the relay is cut off or was last confirmed too long ago."""
+        """Return whether the relay is cut off or a quorum confirmed it too long ago."""
         return session.is_cut_off or now - session.confirmed_at > self._stale_seconds
 
     @property
--- a/src/peppershore/process/node/shell.py
+++ b/src/peppershore/process/node/shell.py
@@ -56,17 +56,20 @@
 from peppershore.process.signals import stop_on_signals
 
 LAST_ANNOUNCEMENT_SECONDS = 0.1
-"""Time to send the last announcement before the links are closed."""
+"""Time to send the last state of the local back end before the links are closed."""
 
 EXIT_SECONDS = 0.5
 """Time reserved for the process to exit after its drain."""
 
 CLAIMS_STORED_SECONDS = 2.0
-"""Time limit for the last results and releases to reach the claims group's disks."""
+"""Time limit of a planned stop until the claims group has stored the node's last messages.
+
+These are the results of calls with an idempotency key, and claims that are given back.
+"""
 
 
 class StoredStateUnusable(Notice, frozen=True):
-    """The stored file cannot be used; the node accepts only confirmed versions."""
+    """The node's state file cannot be used; the node accepts only confirmed versions."""
 
     level: ClassVar[str] = "warning"
     path: str
@@ -85,7 +88,7 @@
         notice_sink: NoticeSink,
         security: LinkSecurity,
     ) -> None:
-        """Connect the core to its data plane and its storage."""
+        """Connect ``core`` to ``data_plane`` and to the node's state file."""
         super().__init__(
             core, notice_sink, security.client, security.server, security.authorize
         )
@@ -128,7 +131,7 @@
         self._run(self._save(command))
 
     async def _save(self, command: PersistSnapshot) -> None:
-        """Write and sync on a separate thread: a slow disk must not delay calls."""
+        """Write the state file on a separate thread: a slow disk must not delay calls."""
         record = NodeRecord(
             self._settings.cluster,
             self._node_core.incarnation,
@@ -184,7 +187,10 @@
 
 
 def _with_seeds(settings: NodeSettings) -> NodeSettings:
-    """Return the settings with the relays replaced by the seeds, if there are any."""
+    """Return the settings with ``relays`` replaced by the relays of the hubs in ``seeds``.
+
+    ``seeds`` are addresses of hubs; settings without any are returned unchanged.
+    """
     if not settings.seeds:
         return settings
     relays = seed_relays(settings.seeds, settings.relay_port)
@@ -198,7 +204,7 @@
 ) -> None:
     """Run a node until its planned stop; call ``on_ready`` with the port for callers.
 
-    ``watch`` reports changed settings, of which only the seeds are applied.
+    ``watch`` reports changed settings, of which only ``seeds`` is applied.
     """
     settings = _with_seeds(settings)
     metrics = ProcessMetrics(LogIdentity("node", settings.node))
--- a/src/peppershore/process/node/storage.py
+++ b/src/peppershore/process/node/storage.py
@@ -13,7 +13,10 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """Contents of the state file."""
+    """Contents of a node's state file.
+
+    ``floor`` is the lowest version that the node may still accept.
+    """
 
     cluster: str
     incarnation: int
@@ -25,7 +28,7 @@
     """Reads and replaces the state file of one node."""
 
     def __init__(self, data_folder: str) -> None:
-        """Use a folder, which is created if missing."""
+        """Use the file ``FILE_NAME`` in a folder, which is created if missing."""
         path = Path(data_folder) / FILE_NAME
         without = "the node then accepts only confirmed versions"
         super().__init__(path, NodeRecord, "node", without)
