--- a/src/peppershore/process/consensus/leadership.py
+++ b/src/peppershore/process/consensus/leadership.py
@@ -86,7 +86,7 @@
         self._process_acknowledgements()
 
     def replicate(self, now: float) -> None:
-        """Send new entries to the peers whose window allows it.
+        """Send new log entries to each peer that has few enough unanswered messages.
 
         If a read waits for a new round, begin the round as well.
         """
--- a/src/peppershore/process/consensus/replica_process.py
+++ b/src/peppershore/process/consensus/replica_process.py
@@ -96,7 +96,10 @@
         on_ready: Callable[[int], None] | None,
         pages: Mapping[str, PageSource] | None = None,
     ) -> None:
-        """Run until the planned stop; call ``on_ready`` with the port listened on."""
+        """Run until the planned stop; call ``on_ready`` with the port for links.
+
+        ``pages`` are additional pages of the admin listener, by path.
+        """
         self._security.start(self.metrics)
         stop_on_signals(self.shell)
         host, _, port = self._place.listen.rpartition(":")
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -58,10 +58,10 @@
 STALE_SHARE = 0.6
 """Age from which a confirmation is stale, as a share of ``apply_milliseconds``.
 
-A smaller share brings changes into use sooner but causes more futile dials. In simulations
-(8 seeds) with both relays of a zone without a quorum and a limit of 2 s, a node uses a
-change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). The counts of futile dials
-with 12 nodes when a leader is lost are 8 (16 with 0.45, 3 with 0.8).
+A smaller share brings changes into use sooner but causes more links that are opened in
+vain. In simulations (8 random seeds) with both relays of a zone without a quorum and a
+limit of 2 s, a node uses a change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8).
+With 12 nodes, 8 links are opened in vain when a leader is lost (16 with 0.45, 3 with 0.8).
 """
 SEARCH_SPREAD_SECONDS = 0.1
 """Nodes of a stale relay spread the start of their search over this time."""
