--- a/src/peppershore/process/consensus/joining.py
+++ b/src/peppershore/process/consensus/joining.py
@@ -38,7 +38,7 @@
 
 
 class SeedsChanged(Event, frozen=True):
-    """The reloaded settings name other seeds."""
+    """The reloaded settings name other seed addresses."""
 
     seeds: tuple[str, ...]
 
--- a/src/peppershore/process/consensus/notices.py
+++ b/src/peppershore/process/consensus/notices.py
@@ -48,10 +48,8 @@
     """A blank replica waits to found a group or to be added to one.
 
     ``missing`` first members are not connected; those in ``already_in_group`` show that
-    the group exists already.
-
-    An operator adds it to the existing group; in a group that manages its own
-    membership, the leader does.
+    the group exists already. An operator adds the blank replica to the existing group; in
+    a group that manages its own membership, the leader does.
     """
 
     level: ClassVar[str] = "warning"
--- a/src/peppershore/process/control/rollouts.py
+++ b/src/peppershore/process/control/rollouts.py
@@ -50,7 +50,7 @@
 it: the share of calls is divided by that part, which brings a decision earlier."""
 
 SETTLING_SECONDS = 1.0
-"""A new leader decides nothing for this long: nodes send their evidence twice a second."""
+"""A new leader decides nothing for this long: nodes send call results twice a second."""
 
 APPLY_SHARE = 0.5
 """A step counts as known to all nodes after this part of the time allowed to them to apply
--- a/src/peppershore/process/control/version_comparison.py
+++ b/src/peppershore/process/control/version_comparison.py
@@ -139,7 +139,7 @@
 
     @property
     def is_passed(self) -> bool:
-        """Whether the new version passes by the evidence so far.
+        """Whether the new version passes by the call results so far.
 
         Its doubt is at most ``PASS_LOG_RATIO``, and no route with enough calls points to a
         bad version.
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -65,7 +65,7 @@
 class RouteFigures(msgspec.Struct, frozen=True):
     """Statistics of both versions on a route ("" for all routes together).
 
-    ``reason`` states the evidence against the new version.
+    ``reason`` says why the new version is rejected; it is empty if it is not.
     """
 
     route: str
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -226,9 +226,10 @@
         return ListenAddresses(callers, internal)
 
     def begin_drain(self) -> None:
-        """Begin a drain: recall slot loans and hand new connections to a successor.
+        """Begin a drain: recall slot loans and let a successor accept new connections.
 
-        Calls in flight continue.
+        The successor is a younger process that listens on the same address, if there is
+        one. Calls in flight continue.
         """
         if self.draining:
             return
@@ -299,7 +300,7 @@
         """Number of other nodes' calls accepted for the local back end since the start."""
         return self._call_listener.streams_served
 
-    # --- ServerOwner
+    # --- interface ServerOwner, called by callers' connections
 
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
         """Create the call for a received request; its body is passed to the result."""
--- a/src/peppershore/process/node/inputs.py
+++ b/src/peppershore/process/node/inputs.py
@@ -11,7 +11,7 @@
 
 
 class BackendStateChanged(Event, frozen=True):
-    """The data plane saw its back end change state ("warming", "ready", "gone")."""
+    """The data plane saw the local back end change state ("warming", "ready", "gone")."""
 
     state: str
 
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -212,7 +212,7 @@
         session.last_received_at = now
 
     def resolve_candidate(self, session: RelaySession, now: float) -> list[Command]:
-        """Make a candidate that has answered the active relay, or reject it."""
+        """Put a candidate that has answered in the active relay's place, or reject it."""
         if session is not self.candidate:
             return []
         old = self.active
