--- a/src/peppershore/request/admission.py
+++ b/src/peppershore/request/admission.py
@@ -60,14 +60,17 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """A call that may start now; it holds a slot of this back end until ``finished``."""
+    """A call that may start now.
+
+    It holds a slot of ``endpoint`` until it is passed to ``Admission.finished``.
+    """
 
     ticket: Ticket
     endpoint: Endpoint
 
 
 class Waiting(msgspec.Struct, frozen=True):
-    """A call that was queued; a later call of ``ready`` returns its dispatch.
+    """A call that was queued; ``Admission.ready`` returns its dispatch later.
 
     ``evicted`` is the queued call that made room for it, and must now be refused.
     """
@@ -162,7 +165,10 @@
         return self._work.known(route)
 
     def reported_work(self, route: str) -> float:
-        """Return a route's mean duration in seconds by reports of owners; 0 if unknown."""
+        """Return a route's mean duration in seconds as back ends' local nodes reported it.
+
+        Return 0 if it is unknown.
+        """
         return self._reported_work.known(route)
 
     def state(self, node: str) -> EndpointState | None:
@@ -198,7 +204,7 @@
                 del self._states[node]
 
     def set_limit(self, node: str, limit: int) -> None:
-        """Set how many calls one back end may hold; 0 stops new ones."""
+        """Set how many calls may be in flight at one back end; 0 stops new ones."""
         state = self._states.get(node)
         if state is not None:
             state.limit = limit
@@ -223,7 +229,7 @@
     def finished(
         self, dispatch: Dispatch, latency: float, result: AttemptResult | None, now: float
     ) -> float | None:
-        """Free the slot of an attempt and learn from its result.
+        """Free the slot of an attempt that took ``latency`` seconds; learn from its result.
 
         A ``result`` of None says nothing about the back end. Return the duration of the
         ejection, in seconds, if this failure caused one, else None.
@@ -291,7 +297,10 @@
         return state
 
     def _ramp_seconds(self, endpoint: Endpoint) -> float:
-        """Return the ramp's duration; a reported warm-up time overrides the setting."""
+        """Return for how many seconds the load of a new back end is ramped up.
+
+        This is the warm-up time that it reported, else the one in the settings.
+        """
         milliseconds = endpoint.warming_milliseconds
         if milliseconds == WARMING_NOT_TOLD:
             return self._slow_start_seconds
@@ -302,7 +311,10 @@
         return self.settings.slow_start_milliseconds / 1_000
 
     def _must_wait(self, ticket: Ticket) -> bool:
-        """Report whether a new call would overtake a waiting one or exceed bulk's share."""
+        """Report whether a new call must not start yet.
+
+        It would overtake a waiting call, or exceed the share of slots of bulk calls.
+        """
         if ticket.call_class == "bulk" and not self._bulk_allowed():
             return True
         if not len(self._queue):
@@ -340,7 +352,10 @@
         )
 
     def _links_are_full(self, ticket: Ticket, now: float) -> bool:
-        """Report whether no link has room for this answer, by recent reports of owners."""
+        """Report whether no back end's link has room for this answer.
+
+        This is decided by recent reports of the back ends' local nodes.
+        """
         groups = self._lanes[ticket.lane]
         return not any(
             state.has_link_room(now, ticket.due)
@@ -415,7 +430,10 @@
         return self._refusal(NO_SLOT_IN_TIME, self._expected_wait(ticket, now))
 
     def note_load(self, node: str, load: OwnerLoad, route: str, now: float) -> None:
-        """Record a back end's load and its mean work for a route, as its owner reported."""
+        """Record the load that a back end's local node reported.
+
+        It includes the mean duration of a call of ``route`` there, if that is known.
+        """
         state = self._states.get(node)
         if state is None:
             return
--- a/src/peppershore/request/audience.py
+++ b/src/peppershore/request/audience.py
@@ -1,8 +1,8 @@
 """Access control of routes: callers present a signed token unless the route is public.
 
-Tokens are JWTs signed with HS256 by a generation of the route's verify secret; their
-``aud`` claim names the audience. A route without a verify secret serves either the public
-or nobody, so that a missing setting never opens an internal route.
+Tokens are JWTs, signed with HS256 and one generation (key) of the route's verify secret;
+their ``aud`` claim names the audience. A route without a verify secret serves either the
+public or nobody, so that a missing setting never opens an internal route.
 """
 
 from __future__ import annotations
--- a/src/peppershore/request/back_ends/link_room.py
+++ b/src/peppershore/request/back_ends/link_room.py
@@ -34,7 +34,7 @@
 the link needs to send them."""
 
 PIECE_SECONDS = 0.01
-"""A large transfer is handed over in pieces that take the link this long."""
+"""A large transfer is handed to the link in chunks that take this long to send."""
 
 MIN_PIECE_BYTES = 1_024
 MARGIN_SECONDS = 0.02
@@ -78,7 +78,7 @@
     """One direction of one link; ``rate`` is its usable rate in bytes per second."""
 
     def __init__(self, link_megabits: float) -> None:
-        """Start without transfers on a link of that rate, above 0."""
+        """Start without transfers on a link of ``link_megabits`` Mbit/s, above 0."""
         self.rate = link_megabits * BYTES_PER_MEGABIT * USABLE_SHARE
         self._transfers: dict[int, Transfer] = {}
         self._numbers = itertools.count(1)
@@ -109,7 +109,8 @@
     def offer(self, route: str, due: float, work: float, now: float) -> Transfer | float:
         """Accept one more transfer, or return by how many seconds it would be late.
 
-        ``work`` is the number of seconds until its first bytes are expected.
+        ``due`` is the monotonic time by which it should be complete, ``work`` is the number
+        of seconds until its first bytes are expected.
         """
         size = self.size_of(route)
         late = self._completion_time(size, now + work, now) + MARGIN_SECONDS - due
@@ -153,7 +154,7 @@
         self._held -= octets
 
     def over(self, transfer: Transfer, is_whole: bool) -> None:
-        """Remove a transfer that is complete or was given up, which frees its room."""
+        """Remove a transfer, complete (``is_whole``) or given up, and free its room."""
         if self._transfers.pop(transfer.number, None) is None:
             return
         self._held -= transfer.held
@@ -210,7 +211,7 @@
         self._tokens -= octets
 
     def may_send(self, now: float) -> bool:
-        """Report whether one more piece may be sent."""
+        """Report whether one more chunk may be sent."""
         elapsed = max(0.0, now - self._at)
         self._at = now
         tokens = self._tokens + elapsed * self.rate
@@ -219,5 +220,5 @@
 
     @property
     def pause(self) -> float:
-        """Seconds until one more piece may be sent; at least the duration of a piece."""
+        """Seconds until one more chunk may be sent; at least the duration of a chunk."""
         return max(PIECE_SECONDS, -self._tokens / self.rate)
--- a/src/peppershore/request/back_ends/local_report.py
+++ b/src/peppershore/request/back_ends/local_report.py
@@ -18,7 +18,8 @@
 """Work that the node doesn't know of counts for this long after it was reported."""
 
 LONG_QUEUE_FACTOR = 2
-"""Unknown work of this many times the slots means that as much waits there as runs."""
+"""If work that the node doesn't know of amounts to this many times the slots, as much waits
+at the back end as runs."""
 
 NEVER_MILLISECONDS = -1
 MILLISECONDS = 1_000
@@ -46,7 +47,10 @@
         self._work = WorkTimes()
 
     def heard(self, reported: ReportedLoad, known: int, now: float) -> None:
-        """Record the load in an answer, read while the node knew of ``known`` calls there.
+        """Record the load that the back end reported in an answer.
+
+        ``known`` is the number of calls there that the node knew of when it read the
+        answer.
 
         Answers that end at about the same time may be read in another order than they were
         written, so work counts as unknown only if two reports in a row include it.
@@ -101,7 +105,7 @@
             self._work.observe(route, seconds * USUAL_PERCENT / pace)
 
     def mean_pace_percent(self, since: float) -> int:
-        """Return the mean pace in percent since that time; 0 if none was ever reported."""
+        """Return the mean pace in percent since a monotonic time; 0 if never reported."""
         return round(self._mean_pace(since)) if self._paces else PACE_NOT_REPORTED
 
     def usual_work(self, route: str) -> float:
--- a/src/peppershore/request/back_ends/reported_load.py
+++ b/src/peppershore/request/back_ends/reported_load.py
@@ -16,11 +16,12 @@
 
 MAX_FIELD_BYTES = 64
 MAX_CALLS = 100_000
-"""No single back end has more calls or slots than this."""
+"""A larger number of calls or slots is implausible for a single back end."""
 
 MIN_PERCENT = 10
 MAX_PERCENT = 10_000
-"""No machine is ten times as fast as usual, or a hundred times as slow."""
+"""Bounds of a plausible pace: no machine is ten times as fast as usual, or a hundred times
+as slow."""
 
 VALUES_WITHOUT_PACE = 3
 VALUES_WITH_PACE = 4
@@ -53,7 +54,7 @@
 
 
 def _count(part: bytes) -> int | None:
-    """Return the integer if it is plausible, else None; a sign is not allowed."""
+    """Return the number of calls or slots, or None if it is implausible or has a sign."""
     if not part.isdigit():
         return None
     count = int(part)
--- a/src/peppershore/request/body_prefetch.py
+++ b/src/peppershore/request/body_prefetch.py
@@ -31,7 +31,7 @@
     __slots__ = ("coming",)
 
     def __init__(self) -> None:
-        """Start with no fetches."""
+        """Start without fetches in progress."""
         self.coming = 0
 
     def begin(self, held: int, waiting: int, slots: int) -> bool:
--- a/src/peppershore/request/body_transfers.py
+++ b/src/peppershore/request/body_transfers.py
@@ -40,7 +40,8 @@
 def takes_long(length: int | None, link_megabits: float) -> bool:
     """Report whether a body of ``length`` bytes (None: unknown) takes long to send.
 
-    A ``link_megabits`` of 0 means that the link is wide enough for any body.
+    ``link_megabits`` is the rate of the sender's link in Mbit/s; 0 means that the link is
+    wide enough for any body.
     """
     if link_megabits <= 0.0 or length == 0:
         return False
@@ -55,7 +56,10 @@
     __slots__ = ("_most", "running", "window_bytes")
 
     def __init__(self, link_megabits: float = 0.0) -> None:
-        """Start with no transfers; 0 means that the link is wide enough for any number."""
+        """Start without transfers on a link of ``link_megabits`` (Mbit/s).
+
+        0 means that the link is wide enough for any number of transfers.
+        """
         per_second = link_megabits * BYTES_PER_MEGABIT
         self.running = 0
         self.window_bytes = STREAM_WINDOW_BYTES
--- a/src/peppershore/request/caller_rate.py
+++ b/src/peppershore/request/caller_rate.py
@@ -9,19 +9,26 @@
 
 
 class CallerRates:
-    """A token bucket per (route, caller); the least recently seen one is evicted first."""
+    """Rate limits of callers, with a token bucket for each route and caller."""
 
     def __init__(self, max_callers: int = MAX_CALLERS) -> None:
-        """Start without callers."""
+        """Start without callers.
+
+        Above ``max_callers`` buckets, the least recently used one is evicted.
+        """
         self._max_callers = max_callers
         self._buckets: OrderedDict[tuple[str, str], tuple[float, float]] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of callers that have a bucket."""
+        """Return the number of buckets, one for each route and caller."""
         return len(self._buckets)
 
     def wait_seconds(self, route: str, caller: str, rate: int, now: float) -> float:
-        """Count one call; return 0 if it is allowed, else the seconds until it would be."""
+        """Count one call of ``caller`` on ``route``, limited to ``rate`` calls per second.
+
+        Return 0 if the call is allowed, else the seconds until it would be. A ``rate`` of 0
+        means no limit.
+        """
         if rate <= 0:
             return 0.0
         name = (route, caller)
--- a/src/peppershore/request/claim.py
+++ b/src/peppershore/request/claim.py
@@ -1,4 +1,8 @@
-"""Interface for calls that run at most once even if their caller sends them again."""
+"""Interface of claims, by which a call runs at most once even if it is sent again.
+
+Before a call runs, an attempt claims the idempotency key of the call. Only the attempt that
+gets the claim may run it.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +26,8 @@
 DIGEST_DIGITS = 16
 CLAIM_KEY_PARTS = 3
 CLAIM_RETRY_AFTER_MILLISECONDS = 1_000
-"""Retry advice if no claim could be recorded; an election in the group takes no longer than
-this."""
+"""Retry advice if no claim could be recorded; an election in the claims group takes no
+longer than this."""
 
 MAX_KEPT_BODY_BYTES = 64 * 1024
 """A longer answer is not stored; if the call is sent again, its outcome is reported as
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -39,7 +39,8 @@
 """Share of its remaining time for which a call made by a back end may wait for a slot."""
 
 NO_CONFIGURATION_RETRY_AFTER_MILLISECONDS = 600
-"""A node that has just started holds a configuration about a second later."""
+"""Retry advice of a node that has no configuration yet. It gets one about a second after
+its start."""
 
 
 class CallPlan(msgspec.Struct, frozen=True):
--- a/src/peppershore/request/client_retries.py
+++ b/src/peppershore/request/client_retries.py
@@ -18,7 +18,8 @@
 """Number of calls of a route after which its callers' usual time-out is estimated again."""
 
 USUAL_QUANTILE = 0.85
-"""High enough to exceed the remaining time of most retries, of which there may be more than
+"""Quantile of the remaining times of recent calls that counts as the usual time-out. It is
+high enough to exceed the remaining time of most retries, of which there may be more than
 first sends, and low enough to exclude the few callers with unusually long time-outs."""
 
 FIRST_SEND_SHARE = 0.98
@@ -31,13 +32,13 @@
     __slots__ = ("_samples", "_seen", "_usual")
 
     def __init__(self) -> None:
-        """Start without samples."""
+        """Start without observed calls."""
         self._samples: deque[float] = deque(maxlen=SAMPLES)
         self._seen = 0
         self._usual = 0.0
 
     def is_client_retry(self, remaining: float) -> bool:
-        """Record the time that a call has left and report whether it is a retry."""
+        """Record the seconds that a call has left and report whether it is a retry."""
         self._samples.append(remaining)
         if self._seen % RELEARN_EVERY == 0:
             self._usual = self._estimate()
@@ -53,11 +54,14 @@
     """The usual time-out of each route's callers, by the names of service and route."""
 
     def __init__(self) -> None:
-        """Start without routes."""
+        """Start without observed calls of any route."""
         self._routes: dict[tuple[str, str], UsualDeadline] = {}
 
     def is_client_retry(self, service: str, route: str, remaining: float | None) -> bool:
-        """Record one call and report whether it is a retry; False if it has no deadline."""
+        """Record one call and report whether it is a retry.
+
+        ``remaining`` is its time left in seconds. Without it, return False.
+        """
         if remaining is None:
             return False
         usual = self._routes.setdefault((service, route), UsualDeadline())
@@ -89,7 +93,7 @@
     __slots__ = ("_answers", "_next", "_seen_at")
 
     def __init__(self) -> None:
-        """Start without answers, so without a rate."""
+        """Start before the first answered call."""
         self._answers = 0.0
         self._seen_at = 0.0
         self._next = 0.0
--- a/src/peppershore/request/confirmation.py
+++ b/src/peppershore/request/confirmation.py
@@ -23,7 +23,8 @@
     (STATUS_UNAUTHORIZED, STATUS_FORBIDDEN, STATUS_NOT_FOUND, STATUS_BODY_TOO_LARGE)
 )
 RETRY_AFTER_MILLISECONDS = 500
-"""A node without confirmations finds a relay that has them within about this time."""
+"""Retry advice of a refusal that would be final if the configuration were confirmed. A node
+without confirmations finds a relay that has them within about this time."""
 NOT_CONFIRMED = NotRun(
     STATUS_UNAVAILABLE, "configuration-not-confirmed", RETRY_AFTER_MILLISECONDS
 )
--- a/src/peppershore/request/deadline.py
+++ b/src/peppershore/request/deadline.py
@@ -16,7 +16,11 @@
 
 
 def call_deadline(now: float, timeout_milliseconds: int, remaining: float | None) -> float:
-    """Return the monotonic time by which a call must be over."""
+    """Return the monotonic time by which a call must be over.
+
+    This is after the route's time-out, or after the ``remaining`` seconds that the caller
+    allows if these are fewer.
+    """
     timeout = timeout_milliseconds / 1_000
     if remaining is not None:
         timeout = min(timeout, remaining)
@@ -24,6 +28,6 @@
 
 
 def remaining_milliseconds(now: float, deadline: float) -> int:
-    """Return the time left for the next hop, at least 0."""
+    """Return the milliseconds left for the next hop, at least 0."""
     remaining = deadline - now - HOP_MARGIN_SECONDS
     return max(0, int(remaining * 1_000))
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -164,7 +164,10 @@
         return max(0.0, self._link_wait - age) if age < LOAD_MAX_AGE_SECONDS else 0.0
 
     def has_link_room(self, now: float, due: float) -> bool:
-        """Report whether one more large answer would arrive by ``due`` by what is known."""
+        """Report whether, as far as is known, one more large answer would be in time.
+
+        ``due`` is the monotonic time by which it should arrive.
+        """
         return now + self.link_wait(now) <= due
 
     @property
@@ -174,7 +177,7 @@
 
     @property
     def others(self) -> int:
-        """Number of calls of other nodes, by the last report of its local node."""
+        """Number of calls of other nodes there, by the last report of its local node."""
         return self._others
 
     def load_age_milliseconds(self, now: float) -> int:
@@ -203,7 +206,11 @@
         return expected * failing / self.ramp(now)
 
     def _expected_multiple(self, calls: int, now: float, fade: float) -> float:
-        """Return the time until an answer, wait included, in multiples of the usual one."""
+        """Return the time until an answer, wait included, in multiples of the usual one.
+
+        ``calls`` is the number of calls already there; ``fade`` is the share of the learned
+        speed that still counts, from 0 to 1.
+        """
         pace = self.speed.expected(now, fade)
         slots = self._reported_slots or max(1, self.limit)
         utilization_cost = UTILIZATION_COST * min(1.0, calls / slots) ** 2
@@ -275,5 +282,9 @@
 
 
 def _weight(elapsed: float, decay: float) -> float:
-    """Return the weight of a new observation: at least 5 %, more after a long gap."""
+    """Return the weight of a new observation in a moving mean: at least 0.05.
+
+    It grows with the seconds elapsed since the last observation. ``decay`` is the time
+    constant in seconds.
+    """
     return max(0.05, 1.0 - math.exp(-elapsed / decay))
--- a/src/peppershore/request/fingerprint.py
+++ b/src/peppershore/request/fingerprint.py
@@ -46,7 +46,7 @@
         self._taken = 0
 
     def add(self, data: bytes) -> None:
-        """Add the next piece of the body."""
+        """Add the next chunk of the body."""
         counted = data[: BODY_BYTES - self._taken]
         if not counted:
             return
--- a/src/peppershore/request/next_attempt.py
+++ b/src/peppershore/request/next_attempt.py
@@ -103,9 +103,10 @@
 
 
 def counted(progress: CallProgress, failed: Failed) -> CallProgress:
-    """Return the progress after an attempt, with its offer and crash counted.
+    """Return the progress after a failed attempt.
 
-    An attempt that no back end can have seen changes nothing.
+    It counts the back end, which may have seen the call, and its crash if it crashed. An
+    attempt that no back end can have seen changes nothing.
     """
     if isinstance(failed, NotRun) and not failed.offered:
         return progress
--- a/src/peppershore/request/picker.py
+++ b/src/peppershore/request/picker.py
@@ -49,7 +49,7 @@
 """Back ends of the local zone and of other zones."""
 
 NEAR, FAR = 0, 1
-"""Their indices in ``ByZone``."""
+"""Indices in ``ByZone`` of the local zone and of the other zones."""
 
 Choice = Callable[[Sequence[EndpointState], RandomSource, float], EndpointState]
 """Chooses among one or more candidates, by what was observed until now (seconds)."""
@@ -95,7 +95,10 @@
 def _with_room(
     states: Iterable[EndpointState], preference: Preference, now: float
 ) -> tuple[ByZone, ByZone, ByZone]:
-    """Return the back ends with room: willing, shedding, and failed for this call before.
+    """Return the back ends that can hold one more call, in three groups.
+
+    The first have shown no reason to avoid them, the second refused for load, or were full
+    or slow, a moment ago, and the third failed this call before.
 
     This is a single pass that reads fields directly, because it runs once a call over all
     back ends of a service.
@@ -128,7 +131,11 @@
     now: float,
     choose: Choice,
 ) -> EndpointState | None:
-    """Choose in the local zone, unless another is cheaper by more than the crossing."""
+    """Choose in the local zone, unless it has no candidate or another zone is better.
+
+    Another zone is better if its back end costs less by more than the crossing cost, or if
+    ``prefers_far`` is set. Without ``spill_over``, no other zone is used.
+    """
     near, far = candidates
     if preference.prefers_far and preference.spill_over and far:
         return choose(far, random, now)
@@ -147,7 +154,7 @@
 def better_of_two(
     candidates: Sequence[EndpointState], random: RandomSource, now: float
 ) -> EndpointState:
-    """Return the cheaper of two randomly chosen candidates."""
+    """Return the one of two random candidates with the lower ``EndpointState.cost``."""
     one, other = _two_of(candidates, random)
     if one is other:
         return one
@@ -159,7 +166,8 @@
 ) -> EndpointState:
     """Return the one of two random candidates whose link is free sooner.
 
-    If both links are free at the same time, it is the cheaper one.
+    If both links are free at the same time, return the one with the lower
+    ``EndpointState.cost``: the one expected to answer sooner, or with less work in flight.
     """
     one, other = _two_of(candidates, random)
     first = (one.link_wait(now), one.cost(now))
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -54,14 +54,22 @@
 
 
 class Suspect(msgspec.Struct, frozen=True):
-    """A request that ran when a back end crashed: the digest of its head, and its own."""
+    """A request that ran when a back end crashed.
+
+    ``identity`` is the digest of its head, ``key`` that of its head and body.
+    """
 
     identity: bytes
     key: bytes
 
 
 class _Entry(msgspec.Struct, frozen=True):
-    """What is known of one request; ``changed_at`` is monotonic seconds."""
+    """What is known of one request.
+
+    ``identity`` is the digest of its head. ``generation`` counts how often it was cleared.
+    ``lives`` are the incarnations of back ends that crashed while running it since then.
+    ``changed_at`` is the time of the last change in monotonic seconds.
+    """
 
     identity: bytes
     generation: int
@@ -82,10 +90,10 @@
 
 
 class Quarantine:
-    """The suspect and held requests known to one process, by their keys."""
+    """The suspect and held requests known to one process, by their digests (keys)."""
 
     def __init__(self) -> None:
-        """Start without entries."""
+        """Start without known requests."""
         self._entries: dict[bytes, _Entry] = {}
         self._suspects: dict[bytes, set[bytes]] = {}
         """Keys with two crashes or more, by the digest of the head."""
@@ -103,7 +111,10 @@
         return identity in self._suspects
 
     def standing(self, key: bytes, now: float) -> Standing:
-        """Return whether a request may run: freely, with no other suspect, or not."""
+        """Return whether a request may run.
+
+        "clear": it may; "suspect": only while no other suspect runs; "held": it may not.
+        """
         entry = self._entries.get(key)
         if entry is None or len(entry.lives) < SUSPECT_CRASHES:
             return "clear"
@@ -124,7 +135,10 @@
     # --- updates
 
     def record_crash(self, suspect: Suspect, life: str, now: float) -> CrashRecord:
-        """Record that an incarnation of a back end crashed while running a request."""
+        """Record that the back end's incarnation ``life`` crashed while running a request.
+
+        Return the request's new record.
+        """
         entry = self._entries.get(suspect.key)
         lives = frozenset({life}) if entry is None else entry.lives | {life}
         generation = 0 if entry is None else entry.generation
@@ -243,7 +257,10 @@
 
 
 def _bounded(lives: frozenset[str]) -> frozenset[str]:
-    """Truncate to the same incarnations in all processes, whatever the reports' order."""
+    """Return at most ``MAX_INCARNATIONS`` of these incarnations.
+
+    They are the same ones in all processes, whatever the order of reports.
+    """
     return (
         lives
         if len(lives) <= MAX_INCARNATIONS
--- a/src/peppershore/request/recent_keys.py
+++ b/src/peppershore/request/recent_keys.py
@@ -1,14 +1,15 @@
-"""The requests that succeeded recently, in bounded memory."""
+"""The requests that succeeded recently, by their digests (keys), in bounded memory."""
 
 from __future__ import annotations
 
 MAX_KEYS_PER_SET = 1_024
-"""Number of keys in each of two sets. At 122 calls a second, the rate of a node at the
-planned size, they cover the last 8 to 17 s in about 0.2 MB."""
+"""Maximum number of keys in each of two sets, the newer and the older. At 122 calls a
+second, the rate of a node at the planned size, they cover the last 8 to 17 s in about 0.2
+MB."""
 
 
 class RecentKeys:
-    """Remembers the most recent keys; the older half is evicted all at once."""
+    """Remembers the keys added most recently; the older half is evicted all at once."""
 
     def __init__(self) -> None:
         """Start without keys."""
--- a/src/peppershore/request/shared_retries.py
+++ b/src/peppershore/request/shared_retries.py
@@ -30,7 +30,7 @@
     """One node's part of the bound, for one service."""
 
     def __init__(self, bound: RetryBound) -> None:
-        """Start without calls and retries."""
+        """Start without calls and retries; ``bound`` is for all nodes together."""
         self._bound = bound
         self._calls: deque[float] = deque()
         self._retries: deque[float] = deque()
@@ -41,7 +41,10 @@
         self._forget(now)
 
     def spend(self, nodes: int, now: float) -> bool:
-        """Spend one retry and return True, or False if this node's part is used up."""
+        """Spend one retry and return True, or False if this node's part is used up.
+
+        ``nodes`` is the number of nodes that share the bound.
+        """
         self._forget(now)
         if len(self._retries) + 1 > self.allowed(nodes):
             return False
@@ -49,7 +52,7 @@
         return True
 
     def allowed(self, nodes: int) -> float:
-        """Return the number of retries that this node may make within a window."""
+        """Return the number of retries that one of ``nodes`` nodes may make in a window."""
         slack = self._bound.slack / max(1, nodes)
         return USED_SHARE * (self._bound.ratio * len(self._calls) + slack)
 
--- a/src/peppershore/request/slot_loans.py
+++ b/src/peppershore/request/slot_loans.py
@@ -30,7 +30,11 @@
 
 
 class _Loan(msgspec.Struct):
-    """A loan under its latest grant, ``number``; ``slots`` is how many may be in use."""
+    """A loan to one borrower.
+
+    ``slots`` is how many the borrower may be using, ``number`` identifies its latest grant,
+    and ``lease_ends`` is in monotonic seconds.
+    """
 
     slots: int
     number: int
@@ -45,7 +49,7 @@
     """
 
     def __init__(self, slots: int, longest_call_seconds: float) -> None:
-        """Start without loans."""
+        """Start without loans; ``slots`` is the back end's number of slots."""
         self.longest_call_seconds = longest_call_seconds
         self._slots = slots
         self._loans: dict[int, _Loan] = {}
@@ -68,8 +72,8 @@
     def asked(self, borrower: int, number: int, wanted: int, free: int, now: float) -> int:
         """Return how many slots ``borrower`` may hold now, under grant ``number``.
 
-        ``free`` is the number of slots used neither by the lender nor by a loan; a loan
-        grows only into those.
+        ``wanted`` is the number of slots that it requested. ``free`` is the number of slots
+        used neither by the lender nor by a loan; a loan grows only into those.
         """
         self._wanted_slots[borrower] = wanted
         loan = self._loans.setdefault(borrower, _Loan(0, 0, now))
--- a/src/peppershore/request/tenants/callers.py
+++ b/src/peppershore/request/tenants/callers.py
@@ -32,15 +32,15 @@
 NO_KEY = NotRun(STATUS_UNAUTHORIZED, "no-key")
 UNKNOWN_KEY = NotRun(STATUS_UNAUTHORIZED, "unknown-key")
 KEY_CHANGED = NotRun(STATUS_UNAVAILABLE, "key-changed-hands", RETRY_AFTER_MILLISECONDS)
-"""Another tenant holds the call's key by now, or no call needs a key any more: the call
-must be checked again."""
+"""Refusal: another tenant holds the call's key by now, or no call needs a key any more: the
+call must be checked again."""
 
 KEYS_NOT_CONFIRMED = NotRun(
     STATUS_UNAVAILABLE, "keys-not-confirmed", RETRY_AFTER_MILLISECONDS
 )
 PARENT_NOT_KNOWN = NotRun(STATUS_UNAVAILABLE, "parent-not-known")
-"""A back end makes a call for a request that this node does not know, or no longer. The
-refusal is not final, since no key is missing; and nobody waits for the call's result."""
+"""Refusal: a back end makes a call for a request that this node does not know, or no
+longer. It is not final, since no key is missing; and nobody waits for the call's result."""
 
 
 class OnBehalf(msgspec.Struct, frozen=True):
@@ -103,7 +103,7 @@
     """Checks keys against the tenants of the configuration in use."""
 
     def __init__(self, terms: KeyTerms) -> None:
-        """Start without tenants: no key is required."""
+        """Start without tenants: no key is required. ``terms`` limit the trust in keys."""
         self.keys = TenantKeys()
         self._terms = terms
 
--- a/src/peppershore/request/tenants/fair_shares.py
+++ b/src/peppershore/request/tenants/fair_shares.py
@@ -1,5 +1,8 @@
 """Start-time fair queueing of the waiting calls of one rank, over their tenants.
 
+Calls of one rank have the same class and priority, and all or none of them are retries by
+their callers. A ticket stands for one waiting call.
+
 Each tenant has its own queue, ordered by deadline. The tenant with the smallest virtual
 time goes first, and a call advances its tenant's time by one divided by the tenant's
 weight. Only served calls cost: one that is withdrawn or refused does not. A tenant whose
@@ -45,7 +48,7 @@
     __slots__ = ("_heap", "time", "waiting")
 
     def __init__(self, time: float) -> None:
-        """Start without tickets."""
+        """Start without tickets, at the virtual time ``time``."""
         self.time = time
         self.waiting = 0
         self._heap: list[tuple[float, int, Waiter]] = []
@@ -92,7 +95,7 @@
     __slots__ = ("_idle_tenant_times", "_tenants", "_time", "_weight_of", "waiting")
 
     def __init__(self, weight_of: WeightOf = equal_weight) -> None:
-        """Start without tickets."""
+        """Start without tickets; ``weight_of`` returns a tenant's share."""
         self.waiting = 0
         self._weight_of = weight_of
         self._time = 0.0
@@ -139,11 +142,17 @@
         return min(waiting, key=lambda ticket: (ticket.deadline, ticket.number))
 
     def last(self) -> Waiter:
-        """Return the ticket to evict: the latest one of the tenant that holds most."""
+        """Return the ticket to evict: the one with the latest deadline of one tenant.
+
+        That tenant has the most tickets waiting in proportion to its weight.
+        """
         return self._tenants[max(self._tenants, key=self._held)].last()
 
     def would_hold_less(self, tenant: str, other: str) -> bool:
-        """Report whether a tenant with one more ticket would hold less than another one."""
+        """Report whether a tenant with one more ticket would have fewer than another one.
+
+        Both numbers are divided by the tenants' weights.
+        """
         queue = self._tenants.get(tenant)
         waiting = queue.waiting if queue is not None else 0
         return tenant != other and (waiting + 1) / self._weight_of(tenant) < self._held(
--- a/src/peppershore/request/tenants/weights.py
+++ b/src/peppershore/request/tenants/weights.py
@@ -24,14 +24,15 @@
 """Number of calls, after decay, below which a tenant counts as having no demand."""
 
 SCALE_SECONDS = 4.0
-"""The sums are rescaled after this long, which bounds them and drops idle tenants."""
+"""After this long the sums of demand are rescaled, which bounds them and drops idle
+tenants."""
 
 MIN_WEIGHT = 0.01
 """Minimum weight relative to the mean, so that the smallest tenant still gets a turn."""
 
 
 class ConfiguredWeights:
-    """The tenants' configured weights: their limits as multiples of the mean limit.
+    """The tenants' configured weights: their rate limits as multiples of the mean one.
 
     A tenant without a limit gets the mean.
     """
@@ -74,7 +75,7 @@
     )
 
     def __init__(self, configured: ConfiguredWeights) -> None:
-        """Start without demand."""
+        """Start without demand; ``configured`` holds the configured weights."""
         self._configured = configured
         self._demand: dict[str, float] = {}
         self._total_demand = 0.0
@@ -109,7 +110,7 @@
         return DEMAND_PART * by_demand + (1.0 - DEMAND_PART) * by_weight
 
     def _scale_back(self, now: float) -> None:
-        """Decay the sums, drop idle tenants, and reload the configured weights."""
+        """Decay the sums of demand, drop idle tenants and reload the configured weights."""
         decay = math.exp((self._zero_at - now) / DEMAND_SECONDS)
         self._zero_at = now
         scaled = {name: demand * decay for name, demand in self._demand.items()}
--- a/src/peppershore/request/version_evidence.py
+++ b/src/peppershore/request/version_evidence.py
@@ -29,7 +29,7 @@
 
 
 def bucket_of(seconds: float) -> int:
-    """Return the index of the bucket that a duration falls into."""
+    """Return the index of the histogram bucket that a duration falls into."""
     if seconds <= MIN_SECONDS:
         return 0
     number = math.ceil(math.log(seconds / MIN_SECONDS) / _LOG_GROWTH)
@@ -46,10 +46,13 @@
 
 
 class VersionEvidence:
-    """Counts of calls since the roll-out began; empty without a roll-out."""
+    """Counts of the local back end's calls by route since the roll-out began.
+
+    Without a roll-out they are empty.
+    """
 
     def __init__(self) -> None:
-        """Start without a roll-out."""
+        """Start without a roll-out, so without counts."""
         self.began_milliseconds = 0
         self._routes: dict[str, _RouteCounts] = {}
         self._has_changed = False
@@ -62,7 +65,10 @@
             self.begin(began)
 
     def begin(self, began_milliseconds: int) -> None:
-        """Reset the counts, for another roll-out or another incarnation of the back end."""
+        """Reset the counts, for another roll-out or another incarnation of the back end.
+
+        ``began_milliseconds`` is when the roll-out began; 0 means that there is none.
+        """
         self.began_milliseconds = began_milliseconds
         self._routes.clear()
         self._has_changed = began_milliseconds > 0
@@ -70,7 +76,7 @@
     def note(
         self, route: str, seconds: float, result: AttemptResult | None, is_warm: bool
     ) -> None:
-        """Count one call that the back end began.
+        """Count one call that the back end began, and its duration in seconds.
 
         A refusal for load says nothing about the version, nor does the duration of a call
         at a back end that is still warming up.
--- a/src/peppershore/request/version_routing.py
+++ b/src/peppershore/request/version_routing.py
@@ -23,12 +23,12 @@
 State = TypeVar("State")
 
 SUBSET_BELOW_SHARE = ALL_CALLS // 2
-"""Below this share, the calls of the new version go to few of its back ends: a fault that
-shows only under load is found there, at the cost of the fewest callers."""
+"""Below this share, the calls of the new version go to a subset of its back ends: a fault
+that shows only under load is found there, at the cost of the fewest callers."""
 
 MIN_SUBSET = 3
-"""With fewer back ends, one slow or failing machine would decide how the version is
-rated."""
+"""Minimum size of the subset: with fewer back ends, one slow or failing machine would
+decide how the version is rated."""
 
 SUBSET_HEADROOM = 2.0
 """The subset has this many times the back ends that the share alone would need: the new
@@ -36,7 +36,10 @@
 
 
 def choose_version_group(settings: ServiceSettings, random: RandomSource) -> VersionGroup:
-    """Choose the version for one call at random."""
+    """Choose at random whether one call goes to the new or the old version.
+
+    Return "any" if no roll-out is in progress.
+    """
     if settings.rollout_state != RUNNING:
         return "any"
     if random.below(float(ALL_CALLS)) < settings.rollout_share:
@@ -82,7 +85,7 @@
 
 
 def _place(node: str) -> int:
-    """Return a node's sort key within its service: random, and the same everywhere.
+    """Return a node's sort key within its service: a hash, the same in all processes.
 
     If they were sorted by name, the first ones would all be in one zone.
     """
--- a/src/peppershore/request/wait_division.py
+++ b/src/peppershore/request/wait_division.py
@@ -15,8 +15,8 @@
 def wait_until(now: float, start_by: float, waits: int, max_queued_owners: int) -> float:
     """Return the monotonic time at which the ``waits``-th wait of a call times out.
 
-    The remaining waits share the time until ``start_by`` equally; the last one gets all
-    that is left.
+    A call may wait at ``max_queued_owners`` back ends in turn. The remaining waits share
+    the time until ``start_by`` equally; the last one gets all that is left.
     """
     left = max_queued_owners - waits + 1
     if start_by == math.inf or left <= 1 or now >= start_by:
--- a/src/peppershore/request/waiting.py
+++ b/src/peppershore/request/waiting.py
@@ -147,7 +147,8 @@
     def displaced_by(self, ticket: Ticket) -> Ticket | None:
         """Return the ticket to evict in favour of a new one, or None if there is none.
 
-        It is one of the last rank, and there of the tenant that holds most.
+        It is one of the last rank, and there of the tenant that has the most tickets
+        waiting in proportion to its weight.
         """
         for rank in sorted(self._queues, reverse=True):
             queue = self._queues[rank]
