--- a/src/peppershore/process/claims/client_core.py
+++ b/src/peppershore/process/claims/client_core.py
@@ -146,7 +146,7 @@
         return self._send_or_connect(self.table.add_note(note, now), now)
 
     def _restart_timeouts_if_idle(self, now: float) -> None:
-        """Restart the silence time-outs if no message was waiting for an answer."""
+        """Restart the time-outs of a silent replica and group, if no answer was awaited."""
         if not self.table:
             self._link_received_at = now
             self._group_answered_at = now
--- a/src/peppershore/process/claims/core.py
+++ b/src/peppershore/process/claims/core.py
@@ -62,7 +62,10 @@
 
 
 class WaitingRequest(msgspec.Struct, frozen=True):
-    """The link and the request that wait for a proposed entry to commit."""
+    """A node's request that waits until its proposed entry is committed.
+
+    ``request`` is its number on ``link``.
+    """
 
     link: LinkId
     request: int
@@ -125,7 +128,7 @@
             self._answer(applied)
 
     def on_leadership_gained(self) -> None:
-        """Start advancing the table's clock; replicate this leader's bounds to all."""
+        """Start to advance the table's clock; replicate this leader's table bounds."""
         self._clock_proposed_at = self.now
         self.propose(encode_entry(self._bounds))
 
--- a/src/peppershore/process/claims/machine.py
+++ b/src/peppershore/process/claims/machine.py
@@ -27,7 +27,7 @@
     """Applies committed entries and collects the answers for the waiting nodes."""
 
     def __init__(self, table: ClaimTable) -> None:
-        """Start with the given table."""
+        """Start with ``table``, to which committed entries are applied."""
         self.table = table
         self._applied: list[AppliedEntry] = []
 
@@ -41,9 +41,10 @@
         return self.table.snapshot()
 
     def begin_snapshot(self) -> Iterator[Piece]:
-        """Return the pieces of a snapshot of the current state.
+        """Return an iterator over the parts of a snapshot of the current state.
 
-        Entries may be applied while the pieces are consumed.
+        They are parts that are stored already, and new ones. Entries may be applied while
+        the iterator is consumed.
         """
         return self.table.begin_snapshot()
 
--- a/src/peppershore/process/claims/pending.py
+++ b/src/peppershore/process/claims/pending.py
@@ -49,7 +49,7 @@
     """All unanswered messages of one client, by request number."""
 
     def __init__(self) -> None:
-        """Start without messages."""
+        """Start without unanswered messages."""
         self.notes_dropped = 0
         self.answers_dropped = 0
         self._entries: dict[int, Pending] = {}
@@ -82,7 +82,7 @@
         return iter(list(self._entries))
 
     def add_want(self, request: ClaimRequest, deadline: float, now: float) -> Pending:
-        """Add a want, to be answered before its deadline; return its entry."""
+        """Add a claim request, to be answered before its deadline; return its entry."""
         entry = Pending(request, deadline, now)
         self._entries[request.request] = entry
         self._wants += 1
--- a/src/peppershore/process/claims/records.py
+++ b/src/peppershore/process/claims/records.py
@@ -16,7 +16,11 @@
 
 
 class ClaimRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One claimed call; ``claimed_at`` is in milliseconds of the table's clock."""
+    """One claimed call.
+
+    ``claimed_at`` is in milliseconds of the clock of the claims table (``ClaimTable``),
+    which starts at 0 and advances by log entries of the leader.
+    """
 
     attempt: str
     claimed_at: int
@@ -25,7 +29,10 @@
 
 
 class SegmentState(msgspec.Struct, array_like=True, frozen=True):
-    """A segment as encoded in a snapshot, with its records from the oldest on."""
+    """A segment as encoded in a snapshot; ``records`` begin with the oldest.
+
+    The other fields are as in ``Segment``.
+    """
 
     number: int
     taken: int
@@ -37,8 +44,10 @@
 class Segment:
     """Consecutively granted records; ``taken`` also counts those removed since.
 
-    ``part`` is the stored snapshot part with the current content, if there is one.
-    ``changes`` counts the changes.
+    ``records`` holds the encoded records by their idempotency keys. ``newest_claimed_at``
+    is the claim time of the newest one. ``answer_bytes`` is the size of their stored
+    answers. ``part`` is the stored snapshot part with the current content, if there is one.
+    ``changes`` counts the changes of the segment.
     """
 
     __slots__ = (
@@ -84,7 +93,7 @@
 
 
 def encode_record(record: ClaimRecord) -> bytes:
-    """Encode a record."""
+    """Encode a claim record in the form in which a segment holds it."""
     return _ENCODER.encode(record)
 
 
--- a/src/peppershore/process/claims/table.py
+++ b/src/peppershore/process/claims/table.py
@@ -44,7 +44,7 @@
 
 
 class TableHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The state in a snapshot that does not belong to a segment."""
+    """The part of the table's state that does not belong to a segment of records."""
 
     clock: int
     next_segment: int
@@ -119,9 +119,10 @@
     # --- snapshots -----------------------------------------------------------
 
     def begin_snapshot(self) -> Iterator[Piece]:
-        """Return the pieces of a snapshot of the current state.
+        """Return an iterator over the parts of a snapshot of the current state.
 
-        Entries may be applied while the pieces are consumed.
+        They are parts that are stored already, and new ones. Entries may be applied while
+        the iterator is consumed.
         """
         state = TableHeader(self._clock, self._next_segment, self.bounds)
         header = msgspec.msgpack.encode(state)
--- a/src/peppershore/process/claims/table_snapshot.py
+++ b/src/peppershore/process/claims/table_snapshot.py
@@ -1,7 +1,8 @@
 """A snapshot of the claims table, encoded one segment at a time while entries are applied.
 
-Each piece is prefixed with its length, so that a concatenated snapshot can be split into
-its pieces again. A segment is encoded before its first change after the snapshot began, so
+A snapshot is a sequence of parts: the table's header, which follows ``MAGIC``, then one for
+each segment. Each is prefixed with its length, so that a concatenated snapshot can be split
+into them again. A segment is encoded before its first change after the snapshot began, so
 that the snapshot holds its former state.
 """
 
@@ -20,10 +21,13 @@
 
 
 class TableSnapshot:
-    """One snapshot in progress."""
+    """One snapshot of a claims table in progress, encoded part by part."""
 
     def __init__(self, header: bytes, segments: list[Segment]) -> None:
-        """Record which segments are already stored and which have to be encoded."""
+        """Record which segments are already stored and which have to be encoded.
+
+        ``header`` is the encoded state that does not belong to a segment.
+        """
         self._header = header
         self._segments = segments
         self._stored = {
@@ -39,7 +43,7 @@
             self._encoded[segment.number] = framed(segment.encode())
 
     def pieces(self) -> Iterator[Piece]:
-        """Yield the pieces in order; each is encoded only when it is reached."""
+        """Yield the parts in order; each is encoded only when it is reached."""
         yield NewPiece(MAGIC + framed(self._header), lambda part: None)
         for segment in self._segments:
             stored = self._stored.get(segment.number)
@@ -72,7 +76,7 @@
 
 
 def unframed(state: bytes) -> Iterator[memoryview]:
-    """Yield the pieces of an encoded state that starts with ``MAGIC``."""
+    """Yield the parts of an encoded table, which must start with ``MAGIC``."""
     view = memoryview(state)
     offset = len(MAGIC)
     while offset < len(view):
--- a/src/peppershore/process/claims/wants.py
+++ b/src/peppershore/process/claims/wants.py
@@ -38,7 +38,10 @@
 
 
 class WantGranted(msgspec.Struct, frozen=True):
-    """The attempt may run the call once; the group stores the record for its horizon."""
+    """The attempt may run the call once.
+
+    The group stores the record of the claim for at least its horizon.
+    """
 
     horizon_seconds: int = DEFAULT_HORIZON_SECONDS
 
--- a/src/peppershore/process/endpoints/exchange.py
+++ b/src/peppershore/process/endpoints/exchange.py
@@ -60,7 +60,8 @@
 STEADY_AGE_SECONDS = 1.5
 """A relay counts as steadily confirmed while its confirmation is no older than this."""
 RESUME_GRACE_SECONDS = 4.0
-"""Least lease time that remains when this relay resumes after a suspension."""
+"""Minimum lease time of endpoints that remains when this relay resumes after a
+suspension."""
 BACKOFF_BASE_SECONDS = 0.2
 BACKOFF_CEILING_SECONDS = 1.0
 
@@ -92,7 +93,10 @@
     """Maintains a relay's endpoint table and its links to the other relays."""
 
     def __init__(self, settings: RelaySettings, numbers: LinkNumbers) -> None:
-        """Start with an empty table; ``start`` connects to the other relays."""
+        """Start with an empty table; ``start`` connects to the other relays.
+
+        ``numbers`` provides the ids of the links that are opened.
+        """
         self.table = EndpointTable()
         self.local_nodes = AdvertisedNodes()
         self.confirmed_at: float | None = None
--- a/src/peppershore/process/endpoints/table.py
+++ b/src/peppershore/process/endpoints/table.py
@@ -20,8 +20,8 @@
 STATE_GONE = "gone"
 
 TOMBSTONE_SECONDS = 600.0
-"""How long a gone or hidden endpoint is remembered, so that an old state of it that
-arrives late can't restore it."""
+"""How long an endpoint in state gone, or a hidden one, is remembered, so that an old state
+of it that arrives late can't restore it."""
 
 _ENCODER = msgspec.msgpack.Encoder()
 
--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -58,7 +58,11 @@
         keep: bool,
         names: WireNames = OWN_NAMES,
     ) -> None:
-        """With ``keep`` the answer is also stored, to be sent again to a resent call."""
+        """Prepare to answer the request of ``exchange``; nothing is sent yet.
+
+        With ``keep`` the answer is also stored, to be sent again if the caller sends the
+        call again. ``names`` are the names of the header fields.
+        """
         self._names = names
         self._release_timer: asyncio.TimerHandle | None = None
         self._held_bytes = 0
@@ -107,7 +111,7 @@
             self._send_head(head)
 
     def data(self, data: bytes) -> None:
-        """Process a piece of the answer's body."""
+        """Process a chunk of the answer's body."""
         self._store_piece(data)
         if self.begun:
             self._exchange.send_data(data)
@@ -161,7 +165,10 @@
         self._kept_bytes = 0
 
     def send_stored(self, answer: KeptAnswer, head_request: bool) -> None:
-        """Answer a call that was resent with the stored answer to the first one."""
+        """Send the stored answer to a call that the caller sent again.
+
+        With ``head_request``, the request's method is HEAD: no body is sent.
+        """
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
--- a/src/peppershore/process/node/data/backend_probe.py
+++ b/src/peppershore/process/node/data/backend_probe.py
@@ -14,7 +14,7 @@
 
 
 class BackendProbe:
-    """Connects at intervals; a back end counts as ready while that succeeds.
+    """Connects to the back end at intervals; it counts as ready while that succeeds.
 
     The back end's own reports are not used here, because they lag or mislead.
     """
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -107,7 +107,7 @@
     )
 
     def __init__(self, calls: Calls, exchange: ServerExchange, head: RequestHead) -> None:
-        """Create the call; it is processed from ``start`` on."""
+        """Create the call for the request ``head``; ``start`` processes it."""
         self._calls = calls
         self._exchange = exchange
         self._head = head
@@ -309,7 +309,7 @@
         """Resume the request body: the back end has caught up."""
         self._exchange.resume_body()
 
-    # --- used by the calls
+    # --- WaitingCall and LiveCall
 
     def dispatched(self, dispatch: Dispatch) -> None:
         """Start an attempt at the back end that admission chose."""
@@ -384,7 +384,7 @@
         if not self._over and self._attempt is None:
             self._fail_if_key_refused()
 
-    # --- inside
+    # --- internal
 
     def _fail_if_key_refused(self) -> bool:
         """Fail the call if its tenant's key is no longer accepted.
--- a/src/peppershore/process/node/data/call_entry.py
+++ b/src/peppershore/process/node/data/call_entry.py
@@ -225,7 +225,10 @@
         return headers
 
     def _with_client_retry_mark(self, plan: CallPlan) -> CallPlan:
-        """Mark a call as a caller's retry if its time left is below its route's usual."""
+        """Mark a call as a caller's retry, as seen by the time that the caller left it.
+
+        It is one if that time is shorter than usual for first sends on its route.
+        """
         is_client_retry = self._usual_deadlines.is_client_retry(
             plan.service, plan.route, plan.remaining
         )
--- a/src/peppershore/process/node/data/call_log.py
+++ b/src/peppershore/process/node/data/call_log.py
@@ -13,7 +13,10 @@
     """Logs every call that was not answered, and a sample of the answered calls."""
 
     def __init__(self, write: Callable[[Notice], None], answered_every: int) -> None:
-        """Log one of ``answered_every`` answered calls on average; none if 0."""
+        """Write with ``write`` the record of one of ``answered_every`` answered calls.
+
+        If ``answered_every`` is 0, no answered call is logged.
+        """
         self.write = write
         self._answered_every = answered_every
 
--- a/src/peppershore/process/node/data/call_retries.py
+++ b/src/peppershore/process/node/data/call_retries.py
@@ -87,7 +87,7 @@
         """Count an answered call; callers may retry at the rate of answers."""
         self._retry_paces[plan.target].answered(now)
 
-    # --- inside
+    # --- internal
 
     def _spend(self, plan: CallPlan, now: float) -> bool:
         if self._bound is None:
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -199,7 +199,7 @@
             self.large_answers.close()
         self.claims.close()
 
-    # --- used by a call
+    # --- for the calls in progress
 
     def add_call(self, call: LiveCall) -> None:
         """Register a new call."""
@@ -384,7 +384,7 @@
         end = CallEnd("abandoned", "caller-left", 0)
         self._log_call(plan, end, request_id, recorder)
 
-    # --- inside
+    # --- internal
 
     def _log_call(
         self,
--- a/src/peppershore/process/node/data/checked_claims.py
+++ b/src/peppershore/process/node/data/checked_claims.py
@@ -36,7 +36,7 @@
     async def claim(
         self, key: str, attempt: str, seconds: float
     ) -> Result[ClaimGranted, ClaimDenied]:
-        """Claim ``key`` for ``attempt``, unless the key is refused."""
+        """Claim ``key`` for ``attempt`` within ``seconds``, unless the key is refused."""
         refused = _refusal(key, self._longest_horizon)
         if refused is not None:
             return Failure(refused)
@@ -56,7 +56,7 @@
         self._claims.complete(key, attempt, answer)
 
     def release(self, key: str, attempt: str) -> None:
-        """Release the claim."""
+        """Release the claim of an attempt that has not run."""
         self._claims.release(key, attempt)
 
 
--- a/src/peppershore/process/node/data/claim_requests.py
+++ b/src/peppershore/process/node/data/claim_requests.py
@@ -22,7 +22,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def claim(self, key: str, attempt: str, seconds: float, sink: ClaimSink) -> None:
-        """Claim a key; ``sink`` receives the result later."""
+        """Claim ``key`` for ``attempt``, waiting at most ``seconds``.
+
+        ``sink`` receives the key and the result later.
+        """
         assert self.client is not None
         work = self._claim(self.client, key, attempt, seconds, sink)
         task = asyncio.get_running_loop().create_task(work)
--- a/src/peppershore/process/node/data/crash_watch.py
+++ b/src/peppershore/process/node/data/crash_watch.py
@@ -22,7 +22,7 @@
 their latency objective."""
 
 ExitSink = Callable[[bool], None]
-"""Receives whether the process has exited."""
+"""Receives whether the back end's process has exited."""
 
 
 class CrashWatch:
@@ -78,7 +78,10 @@
             self._probe_task = None
 
     async def _run_probe(self, life: str) -> None:
-        """Probe unless the end is known already; answer all calls that broke off so far."""
+        """Probe, unless the process is known to have exited; then report the result.
+
+        It is reported for all calls that broke off so far.
+        """
         has_ended = self._has_ended or await _refuses_connections(self._address)
         self._probe_task = None
         self._has_ended = has_ended and life == self.life
@@ -93,7 +96,7 @@
             sink(has_ended)
 
     def _suspects(self, pending: list[tuple[Fingerprint, ExitSink]]) -> tuple[Suspect, ...]:
-        """Return the requests that may be the cause.
+        """Return the requests that may have caused the exit.
 
         Left out are those that this incarnation answered before, and those whose body was
         not complete: such a request could not be recognized again.
--- a/src/peppershore/process/node/data/direct_attempt.py
+++ b/src/peppershore/process/node/data/direct_attempt.py
@@ -194,7 +194,7 @@
         """Forward that the back end reads again."""
         self._sink.sending_resumed()
 
-    # --- inside
+    # --- internal
 
     def _connected(self, outcome: ClientConnection | str) -> None:
         if isinstance(outcome, str):
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -71,7 +71,10 @@
         octets_sent: Callable[[], int] | None = None,
         event_loop: EventLoop | None = None,
     ) -> None:
-        """``octets_sent`` returns the total of bytes that this process has sent."""
+        """Start without answers on a link of ``link_megabits`` Mbit/s.
+
+        ``octets_sent`` returns the total of bytes that this process has sent.
+        """
         self._loop = event_loop or asyncio.get_running_loop()
         self._octets_sent = octets_sent or _all_octets_sent
         now = self._loop.time()
--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -211,7 +211,7 @@
         else:
             self._end(unreachable("owner-unreachable"))
 
-    # --- inside
+    # --- internal
 
     def _note_load(self, load: OwnerLoad | None) -> None:
         if load is not None:
--- a/src/peppershore/process/node/data/link_guard.py
+++ b/src/peppershore/process/node/data/link_guard.py
@@ -18,7 +18,10 @@
     """Authorizes messages; caches what is allowed for each peer and type of message."""
 
     def __init__(self, authorize: Authorize, notice_sink: Callable[[Notice], None]) -> None:
-        """``notice_sink`` receives a notice of each refused message."""
+        """``authorize`` decides on a message by the identity of its sender.
+
+        ``notice_sink`` receives a notice of each refused message.
+        """
         self._authorize = authorize
         self._notice_sink = notice_sink
         self._allowed: set[tuple[str, type[Message]]] = set()
--- a/src/peppershore/process/node/data/local_attempt.py
+++ b/src/peppershore/process/node/data/local_attempt.py
@@ -327,7 +327,7 @@
         """Forward that the back end reads again."""
         self._sink.sending_resumed()
 
-    # --- inside
+    # --- internal
 
     def _crash_checked(self, has_ended: bool) -> None:
         """Report the failure; ``has_ended`` is whether the back end's process ended."""
--- a/src/peppershore/process/node/data/local_back_end.py
+++ b/src/peppershore/process/node/data/local_back_end.py
@@ -146,7 +146,7 @@
         )
 
     def load_reported(self, told: bytes, life: str) -> None:
-        """Process the load that the back end reported in an answer.
+        """Process the load field ``told`` of an answer of the incarnation ``life``.
 
         A report of another incarnation or one that cannot be parsed is ignored.
         """
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -63,7 +63,11 @@
         *,
         packs_heads: bool = False,
     ) -> None:
-        """``hello`` identifies this node to owners; ``guard`` authorizes their messages."""
+        """Start without links.
+
+        ``hello`` identifies this node to owners; ``guard`` authorizes their messages.
+        ``packs_heads`` is passed on to ``CallLink``.
+        """
         self._packs_heads = packs_heads
         self._guard = guard
         self.on_load: LoadSink = lambda address, load, route: None
@@ -74,7 +78,7 @@
         self._closed = False
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
-        """Pass the attempt its link, at once if open and else once it is opened."""
+        """Pass ``attempt`` the link to the owner: at once if it is open, else later."""
         owner = self._owner(address)
         if owner.link is not None and owner.link.alive:
             attempt.link_open(owner.link)
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -2,7 +2,7 @@
 
 Wraps an attempt and sits between it and the receiver of its answer. The answer is read as
 far as there is room to buffer it, if possible to its end, so that the attempt ends and its
-slot is free while the answer still waits. It is then forwarded in pieces as the link
+slot is free while the answer still waits. It is then forwarded in chunks as the link
 carries them.
 """
 
@@ -61,7 +61,10 @@
         sink: AttemptSink,
         make: Callable[[AttemptSink], Attempt],
     ) -> None:
-        """Nothing is sent before ``start``; ``make`` returns the attempt for a sink."""
+        """Create the attempt with ``make``; nothing is sent before ``start``.
+
+        ``scheduler`` decides when the answer is sent, and ``sink`` receives it.
+        """
         self._scheduler = scheduler
         self._terms = terms
         self._sink = sink
@@ -89,7 +92,7 @@
         self._attempt.start()
 
     def send_data(self, data: bytes) -> None:
-        """Queue a piece of the request's body."""
+        """Queue a chunk of the request's body."""
         self._attempt.send_data(data)
 
     def send_end(self, trailers: HeaderList) -> None:
@@ -131,13 +134,13 @@
         self._sink.attempt_begun()
 
     def answer_head(self, head: AnswerHead) -> None:
-        """Store the head until the first piece is sent."""
+        """Store the head until the first chunk of the answer is sent."""
         self._head = head
         if head.content_length is not None and self._transfer is not None:
             self._scheduler.room.set_length(self._transfer, head.content_length)
 
     def answer_data(self, data: bytes) -> None:
-        """Buffer a piece of the answer; pause reading when there is no room for more."""
+        """Buffer a chunk of the answer; pause reading when there is no room for more."""
         if self._finished or self._transfer is None:
             return
         self._pieces.append(bytes(data))
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -1,4 +1,8 @@
-"""Runs a node's calls of tenants with a rate limit only as they are granted."""
+"""Admission of a node's calls whose tenant has a rate limit.
+
+Such a call runs only with a grant: the permission for one call, which a relay gives on
+behalf of the leader of the control group. The node requests grants as calls arrive.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 MILLISECONDS = 1_000
 
 WAIT_SHARE = 0.6
-"""A call may wait for a grant for this part of its wait time-out for a slot."""
+"""Share of its wait time-out for a slot for which a call may wait for a grant."""
 
 LEAST_WAIT_SECONDS = 0.3
 """A call may wait this long in any case, if its deadline allows. A request for grants, of
@@ -56,7 +60,7 @@
 
 USED_UP = "used-up"
 NOBODY_ANSWERED = "nobody-answered"
-"""Cause of a refusal, in its log line."""
+"""Cause of a refusal in its log line: no request for a grant was answered."""
 
 NEVER_ANSWERED = -1
 
@@ -89,7 +93,11 @@
         random: RandomSource,
         notice_sink: Callable[[Notice], None],
     ) -> None:
-        """Without ``quotas`` every call passes and no grants are requested."""
+        """Start without grants. Without ``quotas`` all calls pass and none are requested.
+
+        ``loop`` provides the time and the timers, ``random`` the spread of retry times, and
+        ``notice_sink`` receives the log lines of refusals.
+        """
         self.figures = QuotaMetrics()
         self._notice_sink = notice_sink
         self._log_limits = RefusalLines()
--- a/src/peppershore/process/node/data/refusal_lines.py
+++ b/src/peppershore/process/node/data/refusal_lines.py
@@ -13,24 +13,28 @@
 "configuration-not-confirmed" is used while that is uncertain."""
 
 LINES_PER_SECOND = 10.0
-"""Limit for each reason; all reasons together have less than a third of the log lines that
-calls may have."""
+"""Limit for each reason of a refusal; all reasons together have less than a third of the
+log lines that calls may have."""
 
 BURST = 10.0
 
 
 class RefusalLines:
-    """Counts, for each reason, the log lines left out since the last one written."""
+    """Limits the log lines of refused calls for each reason in ``KEY_REASONS``."""
 
     def __init__(self) -> None:
-        """Start with a full budget of ``BURST`` lines for each reason."""
+        """Start with a budget of ``BURST`` log lines for each reason of a refusal."""
         self._budgets = {
             reason: LineBudget(LINES_PER_SECOND, BURST) for reason in KEY_REASONS
         }
         self._left_out = dict.fromkeys(KEY_REASONS, 0)
 
     def take(self, reason: str, now: float) -> int | None:
-        """Return how many lines were left out before this one; None to leave it out too."""
+        """Decide whether a refusal for this reason is logged now.
+
+        Return how many log lines were left out for this reason since the last one written,
+        or None if this one is left out too. Other reasons have no limit here: return 0.
+        """
         budget = self._budgets.get(reason)
         if budget is None:
             return 0
--- a/src/peppershore/process/node/data/request_body.py
+++ b/src/peppershore/process/node/data/request_body.py
@@ -11,7 +11,8 @@
 """A body up to this size is retained, so that a retry can send it again."""
 
 HOLD_BYTES = 64 * 1024
-"""No more than this is read from the caller before the body can be forwarded."""
+"""Once more bytes of a body than this were received, reading from the caller pauses until
+they can be forwarded."""
 
 LARGEST_READ_BYTES = 256 * 1024
 """Maximum number of bytes that asyncio's transports read from a socket at a time."""
@@ -23,7 +24,7 @@
 
 
 class RequestBody:
-    """The pieces of one body, and how many of them were sent."""
+    """The chunks of one body, and how many of them were sent."""
 
     __slots__ = (
         "_pieces",
@@ -53,7 +54,7 @@
         return self.received > HOLD_BYTES and self._sent < len(self._pieces)
 
     def add(self, data: bytes) -> None:
-        """Append a piece that was received from the caller."""
+        """Append a chunk that was received from the caller."""
         self._pieces.append(data)
         self.fingerprint.add(data)
         self.received += len(data)
@@ -70,9 +71,9 @@
         self._sent = 0
 
     def send(self, attempt: Attempt) -> None:
-        """Send the attempt the pieces that it was not sent yet, and the end if received.
+        """Send the attempt the chunks that it was not sent yet, and the end if received.
 
-        Discards the pieces, so that no retry can send them, once the body is too large.
+        Discards the chunks, so that no retry can send them, once the body is too large.
         """
         for piece in self._pieces[self._sent :]:
             attempt.send_data(piece)
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -82,7 +82,7 @@
     )
 
     def __init__(self, link: CallLink, started: CallStarted, log: CallLog) -> None:
-        """Bind to the stream; nothing is sent before ``start``."""
+        """Serve the call that ``started`` opened on ``link``; ``start`` begins it."""
         self._log = log
         self._record: ServedRecord | None = None
         self._status = 0
@@ -179,7 +179,7 @@
         self._status = head.status
 
     def answer_data(self, data: bytes) -> None:
-        """Queue a piece of the answer's body."""
+        """Queue a chunk of the answer's body."""
         self._unsent.append(data)
 
     def answer_batch_ended(self) -> None:
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -278,7 +278,10 @@
         return admission
 
     def _pass_endpoints(self, admission: Admission, service: str, now: float) -> None:
-        """Pass an admission its endpoints, each with this node's limit of calls to it."""
+        """Pass a service's live endpoints to its admission.
+
+        Each has as its slots the number of calls that this node may have there.
+        """
         endpoints = self._endpoints.get(service, ())
         limited = [
             msgspec.structs.replace(endpoint, slots=endpoint.slots * OWNER_LIMIT_FACTOR)
--- a/src/peppershore/process/quarantine/sharing.py
+++ b/src/peppershore/process/quarantine/sharing.py
@@ -46,7 +46,7 @@
         self._is_kept = is_kept
 
     def remember(self, records: tuple[CrashRecord, ...], now: float) -> None:
-        """Load the records that were stored on disk."""
+        """Add records that were stored on disk to the table."""
         for record in records:
             self.table.merge(record, now)
 
@@ -118,6 +118,6 @@
     def _merged_records(
         self, records: tuple[CrashRecord, ...], now: float
     ) -> tuple[CrashRecord, ...]:
-        """Return the complete known records of these requests, after merging."""
+        """Return the table's records of the same requests, which include all reports."""
         known = (self.table.record(each.key, now) for each in records)
         return tuple(each for each in known if each is not None)
--- a/src/peppershore/process/quotas/bucket.py
+++ b/src/peppershore/process/quotas/bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of one tenant at the leader."""
+"""Token bucket of one tenant's rate limit, at the leader of the control group."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
     __slots__ = ("_filled_at", "_level", "began_at", "terms")
 
     def __init__(self, terms: BucketTerms, now: float) -> None:
-        """Start empty, as a previous leader may just have granted a full bucket."""
+        """Start empty, as a previous leader may just have granted a full bucket.
+
+        ``terms`` are the bucket's fill rate and capacity.
+        """
         self.terms = terms
         self.began_at = now
         self._level = 0.0
@@ -27,7 +30,7 @@
         self._level = min(self._level, terms.capacity)
 
     def take(self, calls: int, now: float) -> int:
-        """Remove up to ``calls`` calls from the bucket; return how many it granted."""
+        """Remove up to ``calls`` calls from the bucket; return how many were granted."""
         self._fill(now)
         granted = min(calls, int(self._level + ROUNDING))
         self._level -= granted
--- a/src/peppershore/process/quotas/decider.py
+++ b/src/peppershore/process/quotas/decider.py
@@ -1,4 +1,7 @@
-"""The leader's decisions on quota requests, without I/O.
+"""Decisions of the control group's leader on relays' requests for calls, without I/O.
+
+A relay requests, for tenants with a rate limit, the calls that its nodes want to run. The
+leader grants as many as the tenants' token buckets hold.
 
 The owner of a ``Decider`` must use it only while no other replica may grant calls; see
 ``control.quota_desk``.
@@ -45,7 +48,10 @@
 
 
 class Decider:
-    """Buckets of one leader in one term; times are seconds of the leader's boot clock."""
+    """Token buckets of one leader in one term, one for each tenant with a limit.
+
+    Times are seconds of the leader's boot clock.
+    """
 
     def __init__(self, quotas: QuotaSettings, term: int, now: float) -> None:
         """Start with empty buckets."""
@@ -103,7 +109,7 @@
         return self._usage.changes(now)
 
     def usage(self, now: float) -> tuple[TenantUsage, ...]:
-        """Return the use of each limited tenant since this leader's term began."""
+        """Return the calls granted and refused for each limited tenant in this term."""
         return tuple(
             self._usage_of(name, limit, now)
             for name, limit in sorted(self._limits.items())
--- a/src/peppershore/process/quotas/demand.py
+++ b/src/peppershore/process/quotas/demand.py
@@ -1,4 +1,4 @@
-"""Smoothed rate of calls of one tenant."""
+"""Smoothed rate of the calls of one tenant, to forecast its next calls."""
 
 from __future__ import annotations
 
--- a/src/peppershore/process/quotas/leased_calls.py
+++ b/src/peppershore/process/quotas/leased_calls.py
@@ -1,4 +1,8 @@
-"""Granted calls that are not used yet, and requests for calls that are not answered yet."""
+"""Granted calls that are not used yet, and requests for grants that are not answered yet.
+
+A node requests grants from a relay, and a relay requests them from the control group's
+leader. A grant permits a number of calls until its lease expires.
+"""
 
 from __future__ import annotations
 
@@ -85,7 +89,7 @@
     """
 
     def __init__(self, overdue_seconds: float, lease_seconds: float) -> None:
-        """Start without requests."""
+        """Start without requests; ``lease_seconds`` applies until the first answer."""
         self.lease = lease_seconds
         self._overdue_seconds = overdue_seconds
         self._number = 0
--- a/src/peppershore/process/quotas/node_grants.py
+++ b/src/peppershore/process/quotas/node_grants.py
@@ -1,4 +1,4 @@
-"""Granted calls at a node, which uses one for each counted call.
+"""Granted calls at a node, which uses one for each call that counts against a limit.
 
 This module only decides; ``node.data.quota_gate`` owns the timers and the calls.
 """
@@ -107,7 +107,7 @@
     """
 
     def __init__(self, quotas: QuotaSettings) -> None:
-        """Start without grants."""
+        """Start without grants; ``quotas`` sets the lease of a grant."""
         self._requests = OpenRequests(REQUEST_TIMEOUT_SECONDS, lease_seconds(quotas))
         self._tenants: dict[str, _TenantState] = {}
         self._due: set[str] = set()
--- a/src/peppershore/process/quotas/refusal_lines.py
+++ b/src/peppershore/process/quotas/refusal_lines.py
@@ -9,15 +9,19 @@
 reason of a refusal; the metrics show how many there were."""
 
 MOST_LINES = 20
-"""Maximum number of log lines that one node writes per period for all tenants together,
+"""Maximum number of log lines that one node writes in ``LINE_SECONDS`` for all tenants,
 which bounds the log when many tenants are refused at once."""
 
 
 class RefusalLines:
-    """Bounds the log lines of one node; times are seconds of its boot clock."""
+    """Limits how often one node logs that calls were refused by a tenant's limit.
+
+    At most one log line per tenant and ``MOST_LINES`` in all are written in
+    ``LINE_SECONDS``. Times are seconds of the node's boot clock.
+    """
 
     def __init__(self) -> None:
-        """Start without log lines."""
+        """Start with no refusal logged."""
         self._last: dict[str, float] = {}
         self._left_out: dict[str, int] = {}
         self._period_at = -math.inf
--- a/src/peppershore/process/quotas/relay_pool.py
+++ b/src/peppershore/process/quotas/relay_pool.py
@@ -55,7 +55,10 @@
 
 
 class RelayPool:
-    """Grants and requests of one relay; event methods return the commands to run."""
+    """Granted calls of one relay, and its requests for more.
+
+    The methods that handle an event return the commands to run.
+    """
 
     def __init__(self, quotas: QuotaSettings | None) -> None:
         """Start without grants. If ``quotas`` is None, every request is refused."""
--- a/src/peppershore/process/quotas/turns.py
+++ b/src/peppershore/process/quotas/turns.py
@@ -23,7 +23,7 @@
     __slots__ = ("_granted", "_next", "_updated_at")
 
     def __init__(self) -> None:
-        """Start without grants, so without a rate."""
+        """Start without grants, so without a known rate of grants."""
         self._granted = 0.0
         self._updated_at = 0.0
         self._next = 0.0
--- a/src/peppershore/process/quotas/usage.py
+++ b/src/peppershore/process/quotas/usage.py
@@ -5,8 +5,8 @@
 import msgspec
 
 NOT_BINDING_SECONDS = 5.0
-"""A limit that refused no call for this time counts as no longer binding. With a shorter
-time, each brief pause of a tenant at its limit would write a log line."""
+"""A limit that refused no call for this time counts as no longer binding (refusing calls).
+With a shorter time, each brief pause of a tenant at its limit would write a log line."""
 
 
 class LimitBegan(msgspec.Struct, frozen=True):
@@ -62,7 +62,10 @@
         return self._began_at is not None
 
     def add(self, granted: int, refused: int, window: float, now: float) -> bool:
-        """Count calls; return whether the limit starts to bind with them."""
+        """Count calls; return whether the limit starts to refuse calls with these.
+
+        ``window`` is the length in seconds of the windows over which calls are counted.
+        """
         self._advance_window(window, now)
         starts = refused > 0 and self._began_at is None
         if starts:
@@ -76,12 +79,15 @@
         return starts
 
     def rate(self, window: float, now: float) -> float:
-        """Return the granted calls per second of the last complete window."""
+        """Return the granted calls per second of the last complete window.
+
+        ``window`` is its length in seconds.
+        """
         self._advance_window(window, now)
         return self._last_window / window
 
     def end_if_not_binding(self, tenant: str, now: float) -> LimitEnded | None:
-        """Return the change, once, if the limit no longer binds; otherwise None."""
+        """Return the change, once, if the limit no longer refuses calls; otherwise None."""
         if self._began_at is None or now - self._refused_at < NOT_BINDING_SECONDS:
             return None
         seconds = self._refused_at - self._began_at
@@ -101,7 +107,7 @@
     """Use of limits by all tenants; times are seconds of the leader's boot clock."""
 
     def __init__(self, window_seconds: float) -> None:
-        """Start without tenants."""
+        """Start without tenants; rates are counted over ``window_seconds``."""
         self._window = window_seconds
         self._uses: dict[str, TenantUse] = {}
         self._changes: list[LimitChange] = []
@@ -120,7 +126,7 @@
             self._changes.append(LimitBegan(tenant))
 
     def changes(self, now: float) -> list[LimitChange]:
-        """Return the limits that started or stopped binding since the last query."""
+        """Return the limits that started or stopped refusing calls since the last query."""
         for tenant, use in self._uses.items():
             ended = use.end_if_not_binding(tenant, now)
             if ended is not None:
--- a/src/peppershore/process/relay/core.py
+++ b/src/peppershore/process/relay/core.py
@@ -241,7 +241,10 @@
             self._first_message(link, message)
 
     def _forward_evidence(self, node: str, message: EvidenceTold) -> None:
-        """Forward a node's evidence about its local back end to the replica."""
+        """Forward a node's call statistics of its local back end to the replica.
+
+        Roll-outs of the back ends' software are decided by these statistics.
+        """
         if message.evidence.node == node and self.source.is_open:
             assert self.source.link is not None
             shared = EvidenceShared(message.evidence)
--- a/src/peppershore/process/relay/departures.py
+++ b/src/peppershore/process/relay/departures.py
@@ -47,7 +47,11 @@
     """Nodes that disconnected from this relay and have not reconnected yet."""
 
     def __init__(self, catalog: ScopeCatalog) -> None:
-        """Compare what the nodes hold with the scopes of ``catalog``."""
+        """Start without disconnected nodes.
+
+        ``catalog`` has the current state of each scope, with which the state that a node
+        held is compared.
+        """
         self._catalog = catalog
         self._away: dict[str, Departure] = {}
         self._ended: set[str] = set()
@@ -72,7 +76,7 @@
         )
 
     def node_reconnected(self, node: str) -> None:
-        """Remove a node that reconnected to this relay."""
+        """Stop counting a node as disconnected: it reconnected to this relay."""
         self._away.pop(node, None)
 
     def seen_elsewhere(self, node: str, now: float) -> None:
@@ -88,7 +92,11 @@
         )
 
     def drop_expired(self, now: float) -> bool:
-        """Remove expired nodes; return whether a deadline passed since the last call."""
+        """Remove the nodes that have been away for too long to count any more.
+
+        Return whether a node was removed, or whether the set of nodes that do not count for
+        the version in force any more has changed since the last call.
+        """
         ended = {node for node, each in self._away.items() if now >= each.until}
         has_changed = ended != self._ended
         expired = [node for node, each in self._away.items() if now >= each.verifies_until]
--- a/src/peppershore/process/relay/distribution.py
+++ b/src/peppershore/process/relay/distribution.py
@@ -1,4 +1,4 @@
-"""Decide which session needs which update, and when it is sent.
+"""Decide which node session needs which configuration update, and when it is sent.
 
 At most one update per session is unanswered. Changes that arrive in the meantime are
 sent together after the answer, so a slow node uses no extra memory.
@@ -169,7 +169,10 @@
         return out
 
     def applied(self, session: NodeSession, message: UpdateApplied) -> bool:
-        """Handle a node's report of an applied version; return whether it needs more."""
+        """Handle a node's report of an applied version.
+
+        Return whether the node needs another update.
+        """
         is_older = message.version < session.outstanding_version
         session.version = max(session.version, message.version)
         if is_older:
--- a/src/peppershore/process/relay/fanout_scheduler.py
+++ b/src/peppershore/process/relay/fanout_scheduler.py
@@ -44,7 +44,10 @@
         return due_at - now
 
     def postpone(self, waiting: int, is_urgent: bool, now: float) -> float:
-        """Return the seconds by which to delay a due message, or 0 to send it now."""
+        """Return the seconds by which to delay a due message, or 0 to send it now.
+
+        ``waiting`` is the number of changes that wait for it.
+        """
         burst_ends_at = self._sent_at + BURST_WINDOW_SECONDS
         if is_urgent or waiting < BURST_ENDPOINTS or now >= burst_ends_at:
             return 0.0
--- a/src/peppershore/process/relay/heartbeats.py
+++ b/src/peppershore/process/relay/heartbeats.py
@@ -27,7 +27,10 @@
         period_seconds: float,
         freshness: Callable[[NodeSession, float | None], Freshness],
     ) -> None:
-        """Send each session the result of ``freshness`` once per period."""
+        """Start without sessions.
+
+        Each session is sent the result of ``freshness`` once per ``period_seconds``.
+        """
         self.bytes_sent = 0
         self._period_seconds = period_seconds
         self._freshness = freshness
@@ -36,19 +39,19 @@
 
     @property
     def slot_seconds(self) -> float:
-        """Time between two slots, in seconds."""
+        """Duration of one slot of the heartbeat period, in seconds."""
         return self._period_seconds / SLOTS
 
     def add(self, session: NodeSession) -> None:
-        """Assign a session to its slot."""
+        """Assign a session to a slot of the heartbeat period, by the id of its link."""
         self._slots[_slot_of(session)][session.link] = session
 
     def remove(self, session: NodeSession) -> None:
-        """Remove a session from its slot."""
+        """Remove a session, so that it is sent no more heartbeats."""
         self._slots[_slot_of(session)].pop(session.link, None)
 
     def next_slot(self, now: float) -> tuple[list[NodeSession], list[NodeSession]]:
-        """Advance to the next slot; return its live sessions and its silent ones."""
+        """Advance to the next slot of the period; return its live and silent sessions."""
         self._slot = (self._slot + 1) % SLOTS
         silent_before = now - SILENT_PERIODS * self._period_seconds
         alive: list[NodeSession] = []
--- a/src/peppershore/process/relay/hold.py
+++ b/src/peppershore/process/relay/hold.py
@@ -1,5 +1,7 @@
 """Delay changes whose routes point to a target without a ready endpoint.
 
+A scope (a service and a zone) identifies the nodes that share one configuration snapshot.
+
 A scope is held as a whole, because a snapshot is sent completely or not at all. It is
 released when every awaited target has a ready endpoint, or after a maximum time. Nodes
 without a configuration never wait, and nothing is held when the relay loads its first
--- a/src/peppershore/process/relay/node_service.py
+++ b/src/peppershore/process/relay/node_service.py
@@ -62,7 +62,7 @@
         exchange: EndpointExchange,
         fanout: EndpointFanout,
     ) -> None:
-        """Serve nodes with the given components."""
+        """Start without sessions; the components are shared with the relay's core."""
         self.progress_changed = False
         self.deferred_until = 0.0
         """Latest monotonic time, in seconds, at which a deferred node is to return."""
@@ -149,7 +149,7 @@
         return self.offer(self._distributor.confirm(confirmed_at))
 
     def heartbeat(self, now: float) -> list[Command]:
-        """Send the heartbeats of the next slot and close its silent sessions."""
+        """Send the heartbeats of the next slot of the period; close its silent sessions."""
         alive, silent = self.heartbeats.next_slot(now)
         out = self.heartbeats.send_to(alive, self._source.confirmed_at)
         for session in silent:
--- a/src/peppershore/process/relay/planned_stop.py
+++ b/src/peppershore/process/relay/planned_stop.py
@@ -19,13 +19,13 @@
     """Tracks the nodes that have not been told to move yet."""
 
     def __init__(self, links: list[LinkId], now: float) -> None:
-        """Begin the stop; ``links`` are the open sessions."""
+        """Begin the stop; ``links`` are the links of the open sessions."""
         self._remaining = links
         self._batch_size = max(1, round(len(links) * STOP_BATCH_SECONDS / SPREAD_SECONDS))
         self._ends_at = now + STOP_TIMEOUT_SECONDS
 
     def next_batch(self) -> list[Command]:
-        """Send a goodbye to the next batch of nodes."""
+        """Return goodbyes for the next batch of nodes, which tell them to move."""
         batch = self._remaining[: self._batch_size]
         del self._remaining[: self._batch_size]
         return [SendMessage(link, Goodbye(STOPPING)) for link in batch]
--- a/src/peppershore/process/storage/errors.py
+++ b/src/peppershore/process/storage/errors.py
@@ -26,7 +26,10 @@
 
 
 class StoreFailed(msgspec.Struct, frozen=True):
-    """A write failed as a whole; ``final`` if the store accepts no more writes."""
+    """A write to the store failed, and none of its records was stored.
+
+    ``final`` is true if the store accepts no more writes.
+    """
 
     reason: str
     final: bool
--- a/src/peppershore/process/storage/log_store.py
+++ b/src/peppershore/process/storage/log_store.py
@@ -51,7 +51,11 @@
         stored: StoredState,
         parts: frozenset[int],
     ) -> None:
-        """Use an open connection; callers use ``open_store`` instead."""
+        """Use an open connection to the store of ``owner``; callers use ``open_store``.
+
+        ``stored`` is the state that was loaded, ``parts`` are the numbers of the snapshot
+        parts that the file holds.
+        """
         self._connection = connection
         self._owner = owner
         self._last_index = _last_index(stored)
--- a/src/peppershore/process/storage/rows.py
+++ b/src/peppershore/process/storage/rows.py
@@ -43,19 +43,22 @@
 
     @property
     def checksum(self) -> int:
-        """Checksum of the row."""
+        """Checksum of the row of the table ``owner`` that holds these values."""
         names = f"{self.cluster}/{self.replica}".encode()
         return checksum_of(self.identity, self.group_id, OWNER_KIND, names)
 
 
 def write_owner(connection: sqlite3.Connection, owner: Owner) -> None:
-    """Write the row with the store's owner."""
+    """Write the row that names the replica to which the store belongs."""
     row = (owner.cluster, owner.replica, owner.identity, owner.group_id, owner.checksum)
     connection.execute("REPLACE INTO owner VALUES (1, ?, ?, ?, ?, ?)", row)
 
 
 def load_owner(connection: sqlite3.Connection) -> Owner:
-    """Load the store's owner; raise ``DamagedStoreError`` if the row is not valid."""
+    """Load the row that names the replica to which the store belongs.
+
+    Raise ``DamagedStoreError`` if the row is missing or not valid.
+    """
     row = connection.execute(
         "SELECT cluster, replica, identity, group_id, checksum FROM owner"
     ).fetchone()
@@ -68,13 +71,16 @@
 
 
 def write_hard_state(connection: sqlite3.Connection, state: HardState) -> None:
-    """Write the row with term and vote."""
+    """Write the row with the replica's current term and its vote in it."""
     row = (state.term, state.voted_for, _checksum_of_hard_state(state))
     connection.execute("REPLACE INTO hard_state VALUES (1, ?, ?, ?)", row)
 
 
 def load_hard_state(connection: sqlite3.Connection) -> HardState:
-    """Load term and vote; raise ``DamagedStoreError`` if the row is not valid."""
+    """Load the replica's current term and its vote in it.
+
+    Raise ``DamagedStoreError`` if the row is missing or not valid.
+    """
     row = connection.execute("SELECT term, voted_for, checksum FROM hard_state").fetchone()
     if row is None:
         raise DamagedStoreError("the store holds no term")
@@ -89,7 +95,7 @@
 
 
 def write_entries(connection: sqlite3.Connection, entries: tuple[LogEntry, ...]) -> None:
-    """Add log entries."""
+    """Add entries to the table of log entries; their indexes must be new."""
     rows = [
         (
             entry.index,
--- a/src/peppershore/process/storage/schema.py
+++ b/src/peppershore/process/storage/schema.py
@@ -50,7 +50,7 @@
 that make up the state."""
 
 FIRST_FORMAT = 1
-"""The format in which ``snapshot.state`` held the complete state."""
+"""First format version, in which the column ``snapshot.state`` held the complete state."""
 
 UPGRADE_FROM_FIRST_FORMAT = """
 ALTER TABLE owner ADD COLUMN checksum INTEGER NOT NULL DEFAULT 0;
@@ -65,7 +65,11 @@
 
 
 def checksum_of(position: int, term: int, kind: int, payload: bytes) -> int:
-    """Return the checksum of one row, which fits into SQLite's signed 64 bits."""
+    """Return the checksum of one row, which fits into SQLite's signed 64 bits.
+
+    ``position`` and ``term`` are those of the row, or other numbers that it holds;
+    ``kind`` keeps rows of different tables apart.
+    """
     head = f"{position}:{term}:{kind}:".encode()
     hasher = xxhash.xxh3_64(head)
     hasher.update(payload)
