--- a/src/peppershore/process/claims/client_core.py
+++ b/src/peppershore/process/claims/client_core.py
@@ -65,7 +65,7 @@
 
 
 class ClaimCounts(msgspec.Struct):
-    """Number of answered wants by outcome since the process started."""
+    """Number of answered claim requests by outcome since the process started."""
 
     granted: int = 0
     taken: int = 0
@@ -98,7 +98,7 @@
 
     @property
     def unavailable(self) -> bool:
-        """Whether the group is unavailable, so that wants are refused at once."""
+        """Whether the group is unavailable, so that claim requests are refused at once."""
         return self._unavailable_since is not None
 
     def step(self, event: events.Event, now: float) -> list[commands.Command]:
@@ -298,9 +298,10 @@
         return [commands.SetTimer(STALL_TIMER, TICK_SECONDS)]
 
     def _check_timeouts(self, now: float) -> list[commands.Command]:
-        """Handle the periodic timer: check all time-outs and retry notes.
+        """Handle the periodic timer: check all time-outs, retry completions and releases.
 
-        Expire wants, disconnect from a silent replica, and detect an unavailable group.
+        Expire claim requests, disconnect from a silent replica, and detect an unavailable
+        group.
         """
         self._timer_set = False
         if now - self._timer_due_at >= STALL_SECONDS:
@@ -336,7 +337,7 @@
         return result
 
     def _mark_unavailable(self, reason: str, now: float) -> list[commands.Command]:
-        """Refuse all waiting wants, and new ones until a quorum answers again."""
+        """Refuse all claim requests, waiting and new, until a quorum answers again."""
         result: list[commands.Command] = []
         wants = self.table.wants
         for request in self.table.requests():
@@ -353,7 +354,7 @@
     def _abandon(
         self, request: int, entry: Pending, outcome: WantUnavailable, now: float
     ) -> list[commands.Command]:
-        """Finish a want as unavailable; release its claim if the group may hold one."""
+        """Finish a claim request as unavailable; release any claim recorded for it."""
         self.table.pop(request)
         finish = self._finish(request, outcome)
         if entry.sends == 0 or outcome.reason == REASON_FULL:
--- a/src/peppershore/process/claims/pending.py
+++ b/src/peppershore/process/claims/pending.py
@@ -23,14 +23,15 @@
 beyond it are sent without their answer."""
 
 NOTE_SECONDS = 120.0
-"""Time after which an unanswered note is dropped. The group's record of its key then
-stays as it is."""
+"""Time after which an unanswered completion or release is dropped. The group's record of
+its key then stays as it is."""
 
 
 class Pending(msgspec.Struct):
-    """A message not yet answered; it is a note if ``deadline`` is None, else a want.
+    """A message not yet answered.
 
-    ``sent_at`` is the time of the last send, ``sends`` the number of sends.
+    It is a note (completion or release) if ``deadline`` is None, else a want (claim
+    request). ``sent_at`` is the time of the last send, ``sends`` the number of sends.
     """
 
     message: ClaimRequest | ClaimCompleted | ClaimReleased
@@ -67,17 +68,17 @@
 
     @property
     def wants_full(self) -> bool:
-        """Whether the maximum number of wants is reached."""
+        """Whether the maximum number of unanswered claim requests is reached."""
         return self._wants >= MAX_WANTS
 
     def get(self, request: int) -> Pending | None:
-        """Return an entry, or None if it was answered or dropped."""
+        """Return the message with a request number; None if it was answered or dropped."""
         return self._entries.get(request)
 
     def requests(self) -> Iterator[int]:
-        """Return the request numbers of all current entries, the oldest first.
+        """Return the request numbers of all unanswered messages, the oldest first.
 
-        Entries may be added and removed during the iteration.
+        Messages may be added and removed during the iteration.
         """
         return iter(list(self._entries))
 
@@ -89,7 +90,10 @@
         return entry
 
     def add_note(self, note: ClaimCompleted | ClaimReleased, now: float) -> Pending:
-        """Add a note and return its entry; drop the oldest note if there are too many."""
+        """Add a completion or release and return its entry.
+
+        If there are too many of these, drop the oldest.
+        """
         if len(self._entries) - self._wants >= MAX_NOTES:
             self._drop_oldest_note()
         entry = Pending(self._within_bytes(note), None, now)
@@ -98,7 +102,7 @@
         return entry
 
     def pop(self, request: int) -> Pending | None:
-        """Remove and return an entry; return None if there is none."""
+        """Remove and return the message with a request number; None if there is none."""
         entry = self._entries.pop(request, None)
         if entry is None:
             return None
@@ -108,7 +112,7 @@
         return entry
 
     def drop_old_notes(self, now: float) -> None:
-        """Drop the notes that were not answered within ``NOTE_SECONDS``."""
+        """Drop completions and releases that were not answered within ``NOTE_SECONDS``."""
         for request, entry in list(self._entries.items()):
             if not entry.is_want and now - entry.added_at >= NOTE_SECONDS:
                 self.pop(request)
--- a/src/peppershore/process/claims/table.py
+++ b/src/peppershore/process/claims/table.py
@@ -75,7 +75,8 @@
     ) -> None:
         """Start empty; store each record for ``horizon_milliseconds`` of the table's clock.
 
-        These bounds apply until the log or a snapshot provides others.
+        The three bounds apply until the log or a snapshot provides others.
+        ``segment_records`` is the number of records granted before a new segment is begun.
         """
         self.bounds = BoundsSet(horizon_milliseconds, max_records, max_answer_bytes)
         self.refused_full = 0
--- a/src/peppershore/process/node/data/call_log.py
+++ b/src/peppershore/process/node/data/call_log.py
@@ -13,9 +13,9 @@
     """Logs every call that was not answered, and a sample of the answered calls."""
 
     def __init__(self, write: Callable[[Notice], None], answered_every: int) -> None:
-        """Write with ``write`` the record of one of ``answered_every`` answered calls.
+        """Write call records with ``write``; of answered calls one of ``answered_every``.
 
-        If ``answered_every`` is 0, no answered call is logged.
+        This is an average. If ``answered_every`` is 0, no answered call is logged.
         """
         self.write = write
         self._answered_every = answered_every
--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -90,7 +90,7 @@
 
 
 class Calls:
-    """Configuration, limits, pools, retry budgets and counters of one node's calls."""
+    """Configuration, limits, connection pools, retry budgets and counters of calls."""
 
     def __init__(
         self,
--- a/src/peppershore/process/node/data/quota_gate.py
+++ b/src/peppershore/process/node/data/quota_gate.py
@@ -1,7 +1,7 @@
 """Admission of a node's calls whose tenant has a rate limit.
 
-Such a call runs only with a grant: the permission for one call, which a relay gives on
-behalf of the leader of the control group. The node requests grants as calls arrive.
+Such a call runs only once a relay has granted it, on behalf of the leader of the control
+group. The node requests grants as calls arrive.
 """
 
 from __future__ import annotations
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -176,7 +176,10 @@
         )
 
     def offer(self, ticket: Ticket, plan: CallPlan, call: WaitingCall) -> Decision:
-        """Request a slot; if queued, ``call`` gets ``dispatched`` or ``refused`` later."""
+        """Request a slot for ``call``.
+
+        If it is queued, its method ``dispatched`` or ``refused`` is called later.
+        """
         admission = self._admission(plan.target)
         if admission is None:
             return NotRun(STATUS_UNAVAILABLE, "service-not-held", MILLISECONDS)
--- a/src/peppershore/process/quotas/relay_pool.py
+++ b/src/peppershore/process/quotas/relay_pool.py
@@ -147,7 +147,8 @@
     def _answer_waiting(self, tenant: str, state: RelayTenant, now: float) -> None:
         """Answer the waiting requests in order, as far as there are calls to grant.
 
-        While a denial lasts, requests beyond that are denied; otherwise they wait on.
+        While the tenant is known to be at its limit, requests beyond that are denied;
+        otherwise they wait on.
         """
         state.leased.drop_expired(now)
         while state.waiting:
@@ -207,10 +208,11 @@
         return max(due_at, earliest), wanted
 
     def _due_at(self, state: RelayTenant) -> float:
-        """Return when to request calls for a tenant, never before its denial ends.
+        """Return when to request calls for a tenant, not while it is denied calls.
 
-        Calls are requested at once if nodes wait or if the debts exceed half of the calls
-        allowed in advance, otherwise when the oldest debt is ``MAX_DEBT_AGE_SECONDS`` old.
+        Calls are requested at once if nodes wait, or if the calls granted in advance and
+        not yet requested (debts) exceed half of those allowed. Otherwise they are requested
+        when the oldest debt is ``MAX_DEBT_AGE_SECONDS`` old.
         """
         if state.waiting or len(state.debts) > max(1, state.ahead // 2):
             return state.denied_until
@@ -235,7 +237,7 @@
         return [SetTimer(QUOTA_TIMER, self._timer_at - now)]
 
     def _drop_if_idle(self, tenant: str, state: RelayTenant, now: float) -> None:
-        """Drop the state of a tenant without recent requests and without a denial."""
+        """Drop the state of a tenant without recent requests that is not denied calls."""
         if not state.demand.expected(AHEAD_SECONDS, now) and state.denied_until <= now:
             del self._tenants[tenant]
 
--- a/src/peppershore/process/quotas/relay_tenant.py
+++ b/src/peppershore/process/quotas/relay_tenant.py
@@ -16,7 +16,7 @@
 
 
 class NodeRequest(msgspec.Struct):
-    """A request of a node that waits at its relay."""
+    """A node's request for calls that waits at its relay."""
 
     link: LinkId
     number: int
--- a/src/peppershore/process/quotas/terms.py
+++ b/src/peppershore/process/quotas/terms.py
@@ -2,8 +2,10 @@
 
 In a window of ``w`` seconds at most ``capacity + rate x (w + lease)`` calls run by grants
 of the leader, as a grant is valid for one lease at most. Calls that relays granted in
-advance come on top. Both together stay within
-``(rate x w + burst) x (1 + overshoot) + slack``.
+advance come on top. Both together stay within the window's bound,
+``(rate x w + burst) x (1 + overshoot) + slack``. What the bound leaves
+beyond ``burst + rate x (w + lease)`` is the window's spare: the bucket's capacity and the
+advance grants get shares of it.
 """
 
 from __future__ import annotations
@@ -15,8 +17,8 @@
 from peppershore.process.settings import QuotaSettings
 
 LEASE_SHARE = 0.8
-"""Share of a window's overshoot that may be used up because a grant stays valid for one
-lease."""
+"""Share of the overshoot, the fraction by which a window may exceed the limit, that may be
+used up because a grant stays valid for one lease."""
 
 MIN_LEASE_SECONDS = 0.1
 """Minimum lease of a grant. An answer must arrive within it, also if a process had to wait
@@ -31,12 +33,12 @@
 """Calls that a bucket without a burst still holds, as only whole calls are granted."""
 
 CAPACITY_SHARE = 0.35
-"""Share of the unused rest of a window's bound that a bucket holds beyond the burst.
+"""Share of a window's spare (calls) that a bucket holds beyond the burst.
 Calls that arrive at random come in clumps: a tenant limited to two calls a second is not
 over its limit because it sends three at once."""
 
 AHEAD_SHARE = 0.6
-"""Share of the unused rest of a window's bound that relays may grant in advance."""
+"""Share of a window's spare (calls) that relays may grant in advance."""
 
 
 class BucketTerms(msgspec.Struct, frozen=True):
--- a/src/peppershore/process/relay/endpoint_fanout.py
+++ b/src/peppershore/process/relay/endpoint_fanout.py
@@ -64,7 +64,10 @@
     def answer_held(
         self, session: NodeSession, held: EndpointsHeld, is_settled: bool
     ) -> list[Command]:
-        """Send a node all endpoints of its services if its digest differs."""
+        """Send a node all endpoints of its services if its digest differs.
+
+        ``is_settled`` is reported to the node: whether this relay's table is complete.
+        """
         services = self._catalog.services_held(session.scope)
         digest = self._table.digest(services)
         if held.digest == digest:
--- a/src/peppershore/process/relay/progress.py
+++ b/src/peppershore/process/relay/progress.py
@@ -43,7 +43,10 @@
     holds: HoldTracker,
     control_bytes: int,
 ) -> ProgressReported:
-    """Return a progress report as of ``status.at``."""
+    """Return a progress report as of ``status.at``.
+
+    ``control_bytes`` is the number of bytes that the relay has sent to nodes so far.
+    """
     away = departures.lagging(status.at)
     lagging = _lagging_nodes(distributor, holds)
     lagging += [_away(each) for each in away[: MAX_LAGGING_NODES - len(lagging)]]
--- a/src/peppershore/process/relay/session.py
+++ b/src/peppershore/process/relay/session.py
@@ -14,9 +14,10 @@
 class NodeSession:
     """What a relay knows about one connected node.
 
-    ``version`` is in effect at the node and ``digest`` is that of its configuration,
-    as the node last reported. ``digest`` is 0 after a refused update, so that the full
-    state is sent next. Times are monotonic seconds of the relay.
+    ``version`` is in effect at the node and ``digest`` is that of its configuration, as the
+    node last reported. ``digest`` is 0 after a refused update, so that the full state is
+    sent next. ``floor`` is the highest version that the node ever held. Times are monotonic
+    seconds of the relay.
     """
 
     link: LinkId
@@ -33,8 +34,8 @@
     needs_confirmation: bool
     """Whether to send only a version confirmed after ``hello_at``.
 
-    True for a node with no configuration and no floor, or after it refused an update
-    as unconfirmed; ``hello_at`` is then the time of that refusal."""
+    True for a node without a configuration (``version`` and ``floor`` are 0), or after it
+    refused an update as unconfirmed; ``hello_at`` is then the time of that refusal."""
     outstanding_version: Version = 0
     """Version of the unanswered update; 0 if there is none."""
     current_reported: Version = 0
@@ -58,7 +59,7 @@
         return self.version == 0
 
     def confirmed_at(self, relay_time: float | None) -> int | None:
-        """Convert a relay time to milliseconds of the node's clock; None if unknown."""
+        """Convert relay seconds to milliseconds of the node's clock; None if unknown."""
         return None if self.clock is None else self.clock.at(relay_time)
 
     @property
--- a/src/peppershore/process/storage/errors.py
+++ b/src/peppershore/process/storage/errors.py
@@ -26,7 +26,7 @@
 
 
 class StoreFailed(msgspec.Struct, frozen=True):
-    """A write to the store failed, and none of its records was stored.
+    """A write to the store failed: none of its records counts as stored.
 
     ``final`` is true if the store accepts no more writes.
     """
