--- a/src/peppershore/process/node/data/calls.py
+++ b/src/peppershore/process/node/data/calls.py
@@ -90,7 +90,7 @@
 
 
 class Calls:
-    """Configuration, limits, pools, retry budgets and counters of one node's calls."""
+    """Configuration, limits, connection pools, retry budgets and counters of calls."""
 
     def __init__(
         self,
@@ -199,7 +199,7 @@
             self.large_answers.close()
         self.claims.close()
 
-    # --- used by a call
+    # --- for the calls in progress
 
     def add_call(self, call: LiveCall) -> None:
         """Register a new call."""
@@ -384,7 +384,7 @@
         end = CallEnd("abandoned", "caller-left", 0)
         self._log_call(plan, end, request_id, recorder)
 
-    # --- inside
+    # --- internal
 
     def _log_call(
         self,
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -176,7 +176,10 @@
         )
 
     def offer(self, ticket: Ticket, plan: CallPlan, call: WaitingCall) -> Decision:
-        """Request a slot; if queued, ``call`` gets ``dispatched`` or ``refused`` later."""
+        """Request a slot for ``call``.
+
+        If it is queued, its method ``dispatched`` or ``refused`` is called later.
+        """
         admission = self._admission(plan.target)
         if admission is None:
             return NotRun(STATUS_UNAVAILABLE, "service-not-held", MILLISECONDS)
@@ -278,7 +281,10 @@
         return admission
 
     def _pass_endpoints(self, admission: Admission, service: str, now: float) -> None:
-        """Pass an admission its endpoints, each with this node's limit of calls to it."""
+        """Pass a service's live endpoints to its admission.
+
+        Each has as its slots the number of calls that this node may have there.
+        """
         endpoints = self._endpoints.get(service, ())
         limited = [
             msgspec.structs.replace(endpoint, slots=endpoint.slots * OWNER_LIMIT_FACTOR)
--- a/src/peppershore/process/quotas/relay_pool.py
+++ b/src/peppershore/process/quotas/relay_pool.py
@@ -55,7 +55,10 @@
 
 
 class RelayPool:
-    """Grants and requests of one relay; event methods return the commands to run."""
+    """Granted calls of one relay, and its requests for more.
+
+    The methods that handle an event return the commands to run.
+    """
 
     def __init__(self, quotas: QuotaSettings | None) -> None:
         """Start without grants. If ``quotas`` is None, every request is refused."""
@@ -144,7 +147,8 @@
     def _answer_waiting(self, tenant: str, state: RelayTenant, now: float) -> None:
         """Answer the waiting requests in order, as far as there are calls to grant.
 
-        While a denial lasts, requests beyond that are denied; otherwise they wait on.
+        While the tenant is known to be at its limit, requests beyond that are denied;
+        otherwise they wait on.
         """
         state.leased.drop_expired(now)
         while state.waiting:
@@ -204,10 +208,11 @@
         return max(due_at, earliest), wanted
 
     def _due_at(self, state: RelayTenant) -> float:
-        """Return when to request calls for a tenant, never before its denial ends.
+        """Return when to request calls for a tenant, not while it is denied calls.
 
-        Calls are requested at once if nodes wait or if the debts exceed half of the calls
-        allowed in advance, otherwise when the oldest debt is ``MAX_DEBT_AGE_SECONDS`` old.
+        Calls are requested at once if nodes wait, or if the calls granted in advance and
+        not yet requested (debts) exceed half of those allowed. Otherwise they are requested
+        when the oldest debt is ``MAX_DEBT_AGE_SECONDS`` old.
         """
         if state.waiting or len(state.debts) > max(1, state.ahead // 2):
             return state.denied_until
@@ -232,7 +237,7 @@
         return [SetTimer(QUOTA_TIMER, self._timer_at - now)]
 
     def _drop_if_idle(self, tenant: str, state: RelayTenant, now: float) -> None:
-        """Drop the state of a tenant without recent requests and without a denial."""
+        """Drop the state of a tenant without recent requests that is not denied calls."""
         if not state.demand.expected(AHEAD_SECONDS, now) and state.denied_until <= now:
             del self._tenants[tenant]
 
