--- a/src/peppershore/command/logs_command.py
+++ b/src/peppershore/command/logs_command.py
@@ -1,4 +1,4 @@
-"""``peppershore logs``: what a heap of log lines amounts to."""
+"""``peppershore logs``: summaries and analyses of collected log lines."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     "an example",
 )
 SHOWN_NODES = 20
-"""Nodes with most failed calls that people are shown; --json has all."""
+"""Number of nodes with most failed calls in the text output; --json shows all."""
 
 VERSION_HEADER = ("version", "nodes", "p50 ms", "p99 ms", "last ms", "last node", "cause")
 LATE_HEADER = (
@@ -54,10 +54,10 @@
     "on the way ms",
 )
 SHOWN_LATE = 40
-"""Late waits that people are shown, the longest first; --json has all."""
+"""Number of late waits in the text output, longest first; --json shows all."""
 
 DEFAULT_BOUND_MILLISECONDS = 2_000
-"""Later than this counts as late: a deployment's own bound goes under --bound."""
+"""A longer wait counts as late; --bound sets the bound of a deployment."""
 
 KIND_HEADER = ("direction", "kind", "bytes a second", "% of the link", "% at worst")
 BUSY_HEADER = (
@@ -70,7 +70,7 @@
     "round trip ms",
 )
 SHOWN_BUSY = 20
-"""Busiest intervals that people are shown; --json has all."""
+"""Number of busiest intervals in the text output; --json shows all."""
 
 PERCENT = 100.0
 EVENT_HEADER = ("lines", "level", "event", "processes")
@@ -78,7 +78,7 @@
 
 
 class CallEnds(msgspec.Struct, frozen=True):
-    """Calls that ended alike; ``example`` is the last logged one's request id."""
+    """Calls of a route with the same outcome; ``example`` is the last one's request id."""
 
     calls: int
     service: str
@@ -89,7 +89,7 @@
 
 
 class EventLines(msgspec.Struct, frozen=True):
-    """Lines of one event, and how many processes wrote them."""
+    """Number of lines of one event, and of the processes that wrote them."""
 
     lines: int
     level: str
@@ -98,7 +98,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """All that was read, the most frequent first; times are Unix milliseconds."""
+    """Counts of all lines read, most frequent first; times are Unix milliseconds."""
 
     lines: int
     foreign: int
@@ -117,7 +117,7 @@
 @click.argument("files", nargs=-1, required=True, type=click.File("r", errors="replace"))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def summary(files: tuple[TextIO, ...], as_json: bool) -> None:
-    """Count ends of calls and events in log FILES (- is standard input)."""
+    """Count outcomes of calls and events in log FILES (- is standard input)."""
     found = summarize(read_logs(files))
     if as_json:
         show_json(found)
@@ -132,11 +132,11 @@
 @click.argument("files", nargs=-1, required=True, type=click.File("r", errors="replace"))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def causes(files: tuple[TextIO, ...], as_json: bool) -> None:
-    """Tell why calls failed, by cause, second and back end, from FILES of all nodes.
+    """Show why calls failed, by cause, second and back end, from FILES of all nodes.
 
-    With the versions that nodes went by, and for how long one of them had not heard a
-    confirmation of its version (-1: never).  Calls without a line of their own count
-    with the next line of their kind.
+    Shows the versions that the nodes used, and the longest time for which one of them had
+    received no confirmation of its version (-1: never received).  Calls without a log line
+    of their own count with the next line of their kind.
     """
     found = lost_calls(read_logs(files).lines)
     if as_json:
@@ -161,7 +161,7 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def late(files: tuple[TextIO, ...], beyond: int, as_json: bool) -> None:
-    """Tell why answers were late, from FILES of all nodes.
+    """Show why answers were late, from FILES of all nodes.
 
     Nodes write lines of answered calls with ``log_answered_every`` above 0.
     """
@@ -186,9 +186,9 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def versions(files: tuple[TextIO, ...], bound: int, as_json: bool) -> None:
-    """Tell how long nodes waited for each version, and for what.
+    """Show how long nodes waited for each version, and for what.
 
-    FILES are those of all hubs (or replicas and relays) and nodes of a time.
+    FILES are the logs of all hubs (or replicas and relays) and nodes over a period.
     """
     found = version_times(read_logs(files).lines, bound)
     if as_json:
@@ -212,9 +212,9 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One JSON object as output.")
 def links(files: tuple[TextIO, ...], role: str, as_json: bool) -> None:
-    """Tell what filled the links, by kind of message, and the busiest moments.
+    """Show the load of the links by kind of message, and the busiest intervals.
 
-    Processes write the lines for it with ``link_report_milliseconds`` above 0.
+    Processes write the log lines for it with ``link_report_milliseconds`` above 0.
     """
     found = link_loads(read_logs(files).lines, role)
     if as_json:
@@ -268,19 +268,19 @@
 
 
 def summarize(files: LogFiles) -> Summary:
-    """Count the lines by what they tell."""
+    """Count the lines by event, and the calls by outcome."""
     times = [line.time for line in files.lines] or [0]
     return Summary(
         lines=len(files.lines),
         foreign=files.foreign,
         from_time=min(times),
         to_time=max(times),
-        calls=_call_ends(files.lines),
-        events=_events(files.lines),
+        calls=_calls_by_outcome(files.lines),
+        events=_lines_by_event(files.lines),
     )
 
 
-def _call_ends(lines: list[LogLine]) -> tuple[CallEnds, ...]:
+def _calls_by_outcome(lines: list[LogLine]) -> tuple[CallEnds, ...]:
     counts: Counter[tuple[str, str, str, str]] = Counter()
     examples: dict[tuple[str, str, str, str], str] = {}
     for line in lines:
@@ -295,7 +295,7 @@
     )
 
 
-def _events(lines: list[LogLine]) -> tuple[EventLines, ...]:
+def _lines_by_event(lines: list[LogLine]) -> tuple[EventLines, ...]:
     counts: Counter[tuple[str, str]] = Counter()
     processes: dict[tuple[str, str], set[str]] = {}
     for line in lines:
--- a/src/peppershore/connection/messages/base.py
+++ b/src/peppershore/connection/messages/base.py
@@ -8,8 +8,8 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of every message."""
+    """Base of every message that processes exchange on links."""
 
     def __repr__(self) -> str:
-        """Show of bytes only how many there are."""
+        """Show only the lengths of byte strings, not their content."""
         return describe(self)
--- a/src/peppershore/process/consensus/upkeep.py
+++ b/src/peppershore/process/consensus/membership_maintenance.py
@@ -32,38 +32,41 @@
 MAXIMUM_MEMBERS = 32
 
 
-class PresentReplica(msgspec.Struct, frozen=True):
+class ConnectedReplica(msgspec.Struct, frozen=True):
     """A replica that sent its hello to this leader.
 
-    ``heard_seconds`` is the time since its last message. ``caught_up`` is whether its
-    store durably holds all, or nearly all, entries of the leader's log.
+    ``seconds_since_contact`` is the time since its last message. ``caught_up`` is whether
+    its store durably holds all, or nearly all, entries of the leader's log.
     """
 
     name: str
     address: str
     identity: int
-    heard_seconds: float
+    seconds_since_contact: float
     caught_up: bool
 
     @property
     def is_responsive(self) -> bool:
-        """Whether its last message is less than ``SILENT_SECONDS`` old."""
-        return self.heard_seconds < SILENT_SECONDS
+        """Whether this replica's last message is less than ``SILENT_SECONDS`` old."""
+        return self.seconds_since_contact < SILENT_SECONDS
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """The leader's view of the group, on which the rules decide.
+    """The leader's view of the group.
 
-    ``present`` holds the other connected replicas by name. ``led_seconds`` is the time
-    since this replica became leader; no replica counts as silent for longer than that.
-    ``wanted_voters`` is the target number of voters.
+    From it, the rules of this module decide which replica to add, promote, demote or
+    remove.
+
+    ``present`` holds the other connected replicas by name. ``leadership_seconds`` is the
+    time since this replica became leader; no replica counts as silent for longer than
+    that. ``wanted_voters`` is the target number of voters.
     """
 
     leader: str
     membership: Membership
-    present: dict[str, PresentReplica]
+    present: dict[str, ConnectedReplica]
     wanted_voters: int
-    led_seconds: float
+    leadership_seconds: float
 
 
 Rule = Callable[[GroupView], Membership | None]
@@ -79,7 +82,7 @@
 
 
 def _replace_lost_store(view: GroupView) -> Membership | None:
-    """Make a member a learner that came back under its name with a new store.
+    """Make a learner of a member that came back under its name with a new store.
 
     The votes and entries of the lost store are gone, so it may not vote yet.
     """
@@ -201,5 +204,5 @@
 def _silent_seconds(view: GroupView, name: str) -> float:
     present = view.present.get(name)
     if present is None:
-        return view.led_seconds
-    return min(view.led_seconds, present.heard_seconds)
+        return view.leadership_seconds
+    return min(view.leadership_seconds, present.seconds_since_contact)
--- a/src/peppershore/process/control/rollout_orders.py
+++ b/src/peppershore/process/control/rollout_orders.py
@@ -45,7 +45,7 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """An order to bring in ``target_version`` of a service in ``duration_seconds``."""
+    """An order to move a service's calls to ``target_version`` in ``duration_seconds``."""
 
     service: str
     target_version: str
@@ -53,7 +53,7 @@
 
     @property
     def milliseconds(self) -> int:
-        """Duration that the roll-out may take."""
+        """Duration that the roll-out may take, in milliseconds."""
         return round(self.duration_seconds * 1_000)
 
 
@@ -71,25 +71,25 @@
     service: str
 
 
-class RolloutWanted(Event, frozen=True):
+class RolloutQueried(Event, frozen=True):
     """An operator asks for the latest roll-out of a service."""
 
     request: int
     service: str
 
 
-class RolloutTaken(msgspec.Struct, frozen=True):
+class RolloutAccepted(msgspec.Struct, frozen=True):
     """The order is accepted, by this request or an earlier one."""
 
 
-class RolloutUnderWay(msgspec.Struct, frozen=True):
+class RolloutInProgress(msgspec.Struct, frozen=True):
     """Another roll-out of that service is in progress; nothing changed."""
 
     target_version: str
 
 
 class RolloutRefused(msgspec.Struct, frozen=True):
-    """The order can't be carried out; nothing changed."""
+    """The order can't be carried out for this ``problem``; nothing changed."""
 
     problem: Problem
 
@@ -111,8 +111,8 @@
 
 
 RolloutOutcome = (
-    RolloutTaken
-    | RolloutUnderWay
+    RolloutAccepted
+    | RolloutInProgress
     | RolloutRefused
     | RolloutUnknown
     | RolloutUndecided
@@ -127,7 +127,7 @@
     outcome: RolloutOutcome
 
 
-RolloutRequest = RolloutOrdered | RolloutAborted | RolloutWanted
+RolloutRequest = RolloutOrdered | RolloutAborted | RolloutQueried
 
 
 class _PendingRequest:
@@ -146,7 +146,7 @@
     """The roll-out orders and queries in progress at one replica."""
 
     def __init__(self, replica: ControlCore) -> None:
-        """Start without requests."""
+        """Start without requests; ``replica`` carries out reads and edits."""
         self._replica = replica
         self._pending: dict[int, _PendingRequest] = {}
         self._reads: dict[int, int] = {}
@@ -182,13 +182,13 @@
             if pending.edit is None or pending.edit.change_id not in by_id:
                 continue
             if isinstance(by_id[pending.edit.change_id], EditAccepted):
-                self._answer(request, RolloutTaken())
+                self._answer(request, RolloutAccepted())
             else:
                 pending.edit = None
                 self._start_read(request)
 
     def tick(self) -> None:
-        """Answer requests that time out as undecided; retry reads and proposals."""
+        """Answer requests without an outcome in time as undecided; retry the others."""
         now = self._replica.now
         reading = set(self._reads.values())
         for request, pending in list(self._pending.items()):
@@ -205,13 +205,16 @@
         self._reads[self._replica.read()] = request
 
     def _handle_confirmed_read(self, request: int, pending: _PendingRequest) -> None:
-        """Decide on a state that a quorum confirmed after the request came."""
+        """Answer a request, or propose its edit, on the state that this replica holds now.
+
+        A quorum confirmed that state after the request came.
+        """
         match pending.event:
             case RolloutOrdered():
                 self._decide(request, pending, pending.event.order)
             case RolloutAborted():
                 self._abort(request, pending, pending.event.service)
-            case RolloutWanted():
+            case RolloutQueried():
                 known = rollout_of(self._replica.state.tree, pending.event.service)
                 outcome = RolloutUnknown() if known is None else RolloutRead(known)
                 self._answer(request, outcome)
@@ -243,7 +246,7 @@
     def _start_milliseconds(self, known: Rollout | None) -> int:
         """Return the start time of a new roll-out in milliseconds since the Unix epoch.
 
-        It is always later than the start of the previous roll-out.
+        It is always later than the start of ``known``, the service's previous roll-out.
         """
         now = self._replica.unix_milliseconds
         return now if known is None else max(now, known.began_milliseconds + 1)
@@ -255,13 +258,16 @@
         elif known.state == RUNNING:
             self._propose(pending, end_edit(known, ROLLED_BACK, ABORT_REASON))
         elif known.state == ROLLED_BACK:
-            self._answer(request, RolloutTaken())
+            self._answer(request, RolloutAccepted())
         else:
             problem = Problem("state", f"it is {known.state}", "a roll-out under way")
             self._answer(request, RolloutRefused(problem))
 
     def _propose(self, pending: _PendingRequest, edit: Edit) -> None:
-        """Have the leader propose the edit; it is accepted once even if repeated."""
+        """Send the edit to the leader, which proposes it.
+
+        An edit that is sent again is accepted once only.
+        """
         pending.edit = edit
         pending.sent_at = self._replica.now
         self._replica.submit_to_leader(edit)
@@ -269,7 +275,7 @@
     def _answer(self, request: int, outcome: RolloutOutcome) -> None:
         pending = self._pending.pop(request)
         self._replica.command(RolloutAnswered(request, outcome))
-        if not isinstance(pending.event, RolloutWanted):
+        if not isinstance(pending.event, RolloutQueried):
             self._replica.report(_notice(self._replica.name, pending.event, outcome))
 
 
@@ -291,9 +297,9 @@
     """
     is_same = known.version == order.target_version
     if is_same and known.milliseconds == order.milliseconds:
-        return RolloutTaken()
+        return RolloutAccepted()
     if known.state == RUNNING:
-        return RolloutUnderWay(known.version)
+        return RolloutInProgress(known.version)
     if is_same and known.state != ROLLED_BACK:
         return RolloutRefused(
             Problem("target_version", "runs already", "another version than the present")
@@ -314,9 +320,9 @@
 
 def _outcome_and_detail(outcome: RolloutOutcome) -> tuple[str, str]:
     match outcome:
-        case RolloutTaken():
+        case RolloutAccepted():
             return "taken", ""
-        case RolloutUnderWay(target_version=version):
+        case RolloutInProgress(target_version=version):
             return "under-way", f"the roll-out of {version} is in progress"
         case RolloutRefused(problem=problem):
             return "refused", f"{problem.subject} {problem.reason}"
--- a/src/peppershore/process/hub/configuration_api.py
+++ b/src/peppershore/process/hub/configuration_api.py
@@ -15,15 +15,15 @@
 from returns.result import Failure
 
 from peppershore.process.control.releases import (
+    ReleaseAccepted,
     ReleaseAnswered,
     ReleaseConflict,
     ReleaseInvalid,
     ReleaseOutcome,
+    ReleaseQueried,
     ReleaseRead,
     ReleaseSubmitted,
-    ReleaseTaken,
     ReleaseUndecided,
-    ReleaseWanted,
 )
 from peppershore.process.events import Event
 from peppershore.process.http_service import JSON, ServiceAnswer, ServiceRequest
@@ -51,7 +51,10 @@
 
 
 class RefusedBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """JSON body for a rejected request; ``current`` is the release in place."""
+    """JSON body for a rejected request; ``current`` is the release that is in place.
+
+    It is set only if the configuration conflicts with that release.
+    """
 
     error: str
     current: Version = 0
@@ -62,24 +65,24 @@
     """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None]) -> None:
-        """Pass events to the core with ``dispatch``."""
+        """Pass events to the control core with ``dispatch``."""
         self._dispatch = dispatch
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[ReleaseOutcome | ReleaseRead]] = {}
 
     def answered(self, command: ReleaseAnswered) -> None:
-        """Complete the waiting request with an answer of the core."""
+        """Complete the waiting HTTP request with the answer of the control core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Return the response to one HTTP request."""
+        """Return the response to an operator's HTTP request."""
         if request.path != CONFIGURATION_PATH:
             return _refusal(NOT_FOUND, RefusedBody("not found"))
         if request.method == "GET":
             number = next(self._numbers)
-            return _answer_of(await self._ask(number, ReleaseWanted(number)))
+            return _answer_of(await self._ask(number, ReleaseQueried(number)))
         if request.method not in ("PUT", "POST"):
             return _refusal(METHOD_NOT_ALLOWED, RefusedBody("GET or PUT"))
         decoded = decode_configuration(request.body)
@@ -100,7 +103,7 @@
 
 def _answer_of(outcome: ReleaseOutcome | ReleaseRead) -> ServiceAnswer:
     match outcome:
-        case ReleaseTaken(release=release):
+        case ReleaseAccepted(release=release):
             return ServiceAnswer(OK, msgspec.json.encode(TakenBody(release)), JSON)
         case ReleaseRead(configuration=configuration):
             return ServiceAnswer(OK, encode_configuration(configuration), JSON)
--- a/src/peppershore/process/hub/rollout_api.py
+++ b/src/peppershore/process/hub/rollout_api.py
@@ -18,17 +18,17 @@
 from peppershore.process.control.core import ControlCore
 from peppershore.process.control.rollout_orders import (
     RolloutAborted,
+    RolloutAccepted,
     RolloutAnswered,
+    RolloutInProgress,
     RolloutOrder,
     RolloutOrdered,
     RolloutOutcome,
+    RolloutQueried,
     RolloutRead,
     RolloutRefused,
-    RolloutTaken,
     RolloutUndecided,
-    RolloutUnderWay,
     RolloutUnknown,
-    RolloutWanted,
 )
 from peppershore.process.control.version_comparison import RouteComparison, VersionCounts
 from peppershore.process.events import Event
@@ -65,7 +65,7 @@
 class RouteFigures(msgspec.Struct, frozen=True):
     """Statistics of both versions on a route ("" for all routes together).
 
-    ``reason`` states the evidence against the new version.
+    ``reason`` says why the new version is rejected; it is empty if it is not.
     """
 
     route: str
@@ -106,20 +106,20 @@
     """Converts HTTP requests to events of the control core, its answers to responses."""
 
     def __init__(self, dispatch: Callable[[Event], None], core: ControlCore) -> None:
-        """Pass events to the core with ``dispatch``."""
+        """Pass events to ``core`` with ``dispatch``; read roll-outs' progress from it."""
         self._dispatch = dispatch
         self._core = core
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[RolloutOutcome]] = {}
 
     def answered(self, command: RolloutAnswered) -> None:
-        """Complete the waiting request with an answer of the core."""
+        """Complete the waiting HTTP request with the answer of the control core."""
         waiting = self._waiting.pop(command.request, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(command.outcome)
 
     async def answer(self, request: ServiceRequest) -> ServiceAnswer:
-        """Return the response to one HTTP request."""
+        """Return the response to an operator's HTTP request."""
         number = next(self._numbers)
         match request.path.strip("/").split("/"):
             case [root] if root == ROOT:
@@ -129,7 +129,7 @@
             case [root, service] if root == ROOT:
                 if request.method != "GET":
                     return _error(METHOD_NOT_ALLOWED, "GET")
-                return await self._ask(number, RolloutWanted(number, service))
+                return await self._ask(number, RolloutQueried(number, service))
             case [root, service, what] if root == ROOT and what == ABORT:
                 if request.method != "POST":
                     return _error(METHOD_NOT_ALLOWED, "POST")
@@ -186,12 +186,12 @@
 
 def _answer_of(outcome: RolloutOutcome) -> ServiceAnswer:
     match outcome:
-        case RolloutTaken():
+        case RolloutAccepted():
             return ServiceAnswer(OK, b"{}", JSON)
         case RolloutRead(rollout=rollout):
             body = StateBody(rollout.state, rollout.version)
             return ServiceAnswer(OK, msgspec.json.encode(body), JSON)
-        case RolloutUnderWay(target_version=version):
+        case RolloutInProgress(target_version=version):
             return _error(CONFLICT, f"that of {version} is under way")
         case RolloutRefused(problem=problem):
             error = RolloutError(f"{problem.subject} {problem.reason}", problem.allowed)
--- a/src/peppershore/process/node/data/answer_relay.py
+++ b/src/peppershore/process/node/data/answer_relay.py
@@ -58,7 +58,11 @@
         keep: bool,
         names: WireNames = OWN_NAMES,
     ) -> None:
-        """With ``keep`` the answer is also stored, to be sent again to a resent call."""
+        """Prepare to answer the request of ``exchange``; nothing is sent yet.
+
+        With ``keep`` the answer is also stored, to be sent again if the caller sends the
+        call again. ``names`` are the names of the header fields.
+        """
         self._names = names
         self._release_timer: asyncio.TimerHandle | None = None
         self._held_bytes = 0
@@ -81,7 +85,7 @@
         return self._head.status if self._head is not None else 0
 
     @property
-    def is_shed(self) -> bool:
+    def is_overload_refusal(self) -> bool:
         """Whether the back end itself refused the call because of its load.
 
         A refusal with an outcome header was forwarded from a node further along the path,
@@ -107,7 +111,7 @@
             self._send_head(head)
 
     def data(self, data: bytes) -> None:
-        """Process a piece of the answer's body."""
+        """Process a chunk of the answer's body."""
         self._store_piece(data)
         if self.begun:
             self._exchange.send_data(data)
@@ -160,8 +164,11 @@
         self._kept.clear()
         self._kept_bytes = 0
 
-    def give_kept(self, answer: KeptAnswer, head_request: bool) -> None:
-        """Answer a call that was resent with the stored answer to the first one."""
+    def send_stored(self, answer: KeptAnswer, head_request: bool) -> None:
+        """Send the stored answer to a call that the caller sent again.
+
+        With ``head_request``, the request's method is HEAD: no body is sent.
+        """
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
--- a/src/peppershore/process/node/data/call.py
+++ b/src/peppershore/process/node/data/call.py
@@ -16,18 +16,18 @@
 from peppershore.connection.messages.claims import KeptAnswer
 from peppershore.process.node.data.answer_relay import AnswerRelay
 from peppershore.process.node.data.attempt import Attempt, AttemptRequest
+from peppershore.process.node.data.attempt_results import (
+    FAILED_OUTCOME,
+    SHED_OUTCOME,
+    result_of_failure,
+    result_of_status,
+)
 from peppershore.process.node.data.call_story import CallRecorder
 from peppershore.process.node.data.calls import Calls
 from peppershore.process.node.data.request_body import (
     STREAMED_REPLAY_BYTES,
     RequestBody,
 )
-from peppershore.process.node.data.verdicts import (
-    FAILED_OUTCOME,
-    SHED_OUTCOME,
-    verdict_of_failure,
-    verdict_of_status,
-)
 from peppershore.request.admission import Dispatch, Waiting
 from peppershore.request.claim import (
     ClaimDenied,
@@ -36,7 +36,7 @@
     denied_as,
 )
 from peppershore.request.classification import CallPlan
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.fingerprint import Fingerprint, identity_of
 from peppershore.request.next_attempt import (
     AttemptTerms,
@@ -47,7 +47,7 @@
 )
 from peppershore.request.outcome import (
     BUSY,
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BODY_TOO_LARGE,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
@@ -57,8 +57,8 @@
     out_of_time,
     worse,
 )
-from peppershore.request.shared_patience import may_wait_on, wait_until
 from peppershore.request.tenants.callers import NOBODY
+from peppershore.request.wait_division import may_wait_on, wait_until
 from peppershore.request.waiting import Ticket
 
 SETTLE_TIMEOUT_SECONDS = 0.025
@@ -107,7 +107,7 @@
     )
 
     def __init__(self, calls: Calls, exchange: ServerExchange, head: RequestHead) -> None:
-        """Create the call; it is processed from ``start`` on."""
+        """Create the call for the request ``head``; ``start`` processes it."""
         self._calls = calls
         self._exchange = exchange
         self._head = head
@@ -210,7 +210,7 @@
             self._proceed()
         elif self._begun and self._attempt is not None:
             self._body.send(self._attempt)
-        elif self._body.held_too_much:
+        elif self._body.should_pause_reading:
             self._exchange.pause_body()
 
     def body_ended(self, trailers: HeaderList) -> None:
@@ -255,7 +255,7 @@
     def answer_head(self, head: AnswerHead) -> None:
         """Forward the head of the answer."""
         if self._probes_for_slot:
-            self._calls.admissions.asked_for_slot(self.plan, was_granted=True)
+            self._calls.admissions.slot_probed(self.plan, was_granted=True)
         self._answer.head(head)
 
     def answer_data(self, data: bytes) -> None:
@@ -272,7 +272,9 @@
         If the back end itself shed the call, or failed on a route that retries errors, the
         answer is discarded if the call may be retried at another back end.
         """
-        if self._answer.is_shed and self._retry_elsewhere_if_possible(SHED_OUTCOME, "shed"):
+        if self._answer.is_overload_refusal and self._retry_elsewhere_if_possible(
+            SHED_OUTCOME, "shed"
+        ):
             return
         if self._retries_error and self._retry_elsewhere_if_possible(
             FAILED_OUTCOME, "failed"
@@ -287,15 +289,15 @@
         self._calls.answered(
             self.plan, self._answer.status, self._request_id, self._recorder
         )
-        self._finish(verdict_of_status(self._answer.status))
+        self._finish(result_of_status(self._answer.status))
 
     def attempt_failed(self, failed: Failed) -> None:
         """Retry where that is safe and within the budget, else fail the call."""
         if failed.reason == BUSY and self._probes_for_slot:
-            self._calls.admissions.asked_for_slot(self.plan, was_granted=False)
-        if self._retry_if_possible(failed, verdict_of_failure(failed)):
+            self._calls.admissions.slot_probed(self.plan, was_granted=False)
+        if self._retry_if_possible(failed, result_of_failure(failed)):
             return
-        self._discard_attempt(failed, verdict_of_failure(failed))
+        self._discard_attempt(failed, result_of_failure(failed))
         assert self._worst_failure is not None
         self._fail(self._worst_failure)
 
@@ -307,7 +309,7 @@
         """Resume the request body: the back end has caught up."""
         self._exchange.resume_body()
 
-    # --- used by the calls
+    # --- WaitingCall and LiveCall
 
     def dispatched(self, dispatch: Dispatch) -> None:
         """Start an attempt at the back end that admission chose."""
@@ -316,7 +318,7 @@
         if self._fail_if_key_refused():
             return
         if self._progress.tries == 0:
-            self._calls.repeats.first_attempt(self.plan, self._loop.time())
+            self._calls.retries.first_attempt(self.plan, self._loop.time())
         may_wait = self._progress.may_wait or self._calls.admissions.waits_at_once(
             self.plan
         )
@@ -346,12 +348,12 @@
             service=plan.target,
             priority=plan.priority,
             may_wait=self._progress.may_wait
-            or not self._calls.admissions.looks_for_free_slots,
+            or not self._calls.admissions.probes_for_free_slots,
             start_by=wait_until(
                 self._attempt_began_at,
                 self._calls.start_by(plan, self._on_behalf),
                 max(1, self._progress.waits),
-                self._calls.admissions.most_waits(plan),
+                self._calls.admissions.max_queued_owners(plan),
             ),
             is_client_retry=plan.is_client_retry,
             route=plan.route,
@@ -382,7 +384,7 @@
         if not self._over and self._attempt is None:
             self._fail_if_key_refused()
 
-    # --- inside
+    # --- internal
 
     def _fail_if_key_refused(self) -> bool:
         """Fail the call if its tenant's key is no longer accepted.
@@ -424,7 +426,7 @@
             self._fail(outcome)
             return
         self._over = True
-        self._answer.give_kept(outcome, self._head.method == b"HEAD")
+        self._answer.send_stored(outcome, self._head.method == b"HEAD")
         self._calls.answered(self.plan, outcome.status, self._request_id, self._recorder)
         self._finish(None)
 
@@ -446,7 +448,7 @@
             self._ticket = None
             self._fail(worse(self._worst_failure, decision))
 
-    def _retry_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+    def _retry_if_possible(self, failed: Failed, result: AttemptResult | None) -> bool:
         """Schedule another attempt if that is safe, useful and within the retry budget.
 
         Return whether one was scheduled.
@@ -455,16 +457,16 @@
             return False
         self._progress = counted(self._progress, failed)
         step = next_step(
-            self._progress, failed, self._attempt_terms(failed.reason in SEEK_ON)
+            self._progress, failed, self._attempt_terms(failed.reason in PROBE_NEXT_REASONS)
         )
         if isinstance(step, GiveUp):
             return False
-        delay = self._calls.repeats.delay(
+        delay = self._calls.retries.delay(
             self.plan, self._progress.offers, self._loop.time(), step.costs_budget
         )
         if delay is None:
             return False
-        self._discard_attempt(failed, verdict)
+        self._discard_attempt(failed, result)
         if not step.elsewhere:
             self._excluded = frozenset()
         self._progress = msgspec.structs.replace(self._progress, may_wait=step.may_wait)
@@ -475,7 +477,9 @@
     def _retries_error(self) -> bool:
         return self.plan.settings.retry_errors and self._answer.is_error
 
-    def _retry_elsewhere_if_possible(self, failed: Failed, verdict: Verdict | None) -> bool:
+    def _retry_elsewhere_if_possible(
+        self, failed: Failed, result: AttemptResult | None
+    ) -> bool:
         """Discard a complete answer and retry, if there is another back end to try.
 
         Return whether a retry was scheduled.
@@ -483,7 +487,7 @@
         tried = self._excluded | self._current_node
         if not self._calls.admissions.has_back_end_besides(self.plan, tried):
             return False
-        return self._retry_if_possible(failed, verdict)
+        return self._retry_if_possible(failed, result)
 
     def _attempt_terms(self, for_free_slot: bool) -> AttemptTerms:
         tried = self._excluded | self._current_node
@@ -499,14 +503,14 @@
                 self._loop.time(),
                 self.plan.start_by,
                 self._progress.waits,
-                self._calls.admissions.most_waits(self.plan),
+                self._calls.admissions.max_queued_owners(self.plan),
             ),
         )
 
     @property
     def _probes_for_slot(self) -> bool:
         """Whether the current attempt probes for a free slot and may not wait for one."""
-        return self._calls.admissions.looks_for_free_slots and not self._progress.may_wait
+        return self._calls.admissions.probes_for_free_slots and not self._progress.may_wait
 
     @property
     def _current_node(self) -> frozenset[str]:
@@ -514,13 +518,13 @@
         dispatch = self._dispatch
         return frozenset() if dispatch is None else frozenset({dispatch.endpoint.node})
 
-    def _discard_attempt(self, failed: Failed, verdict: Verdict | None) -> None:
+    def _discard_attempt(self, failed: Failed, result: AttemptResult | None) -> None:
         for node in self._current_node:
             self._recorder.note_failure(self._loop.time(), node, failed)
         self._attempt = None
         self._begun = False
         self._excluded |= self._current_node
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._worst_failure = worse(self._worst_failure, failed)
 
     def _schedule_retry(self, delay: float) -> None:
@@ -571,11 +575,11 @@
         else:
             refusal = out_of_time()
             failed = worse(self._worst_failure, refusal)
-        verdict: Verdict | None = "late" if self._begun else None
+        result: AttemptResult | None = "late" if self._begun else None
         if self._attempt is not None:
             self._attempt.cancel()
             self._attempt = None
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._fail(failed)
 
     def _body_too_large(self) -> None:
@@ -595,7 +599,7 @@
         self._over = True
         if isinstance(failed, NotRun) and self._plan is not None:
             now = self._loop.time()
-            failed = self._calls.repeats.with_paced_retry_after(self._plan, failed, now)
+            failed = self._calls.retries.with_paced_retry_after(self._plan, failed, now)
         self._answer.fail(failed)
         if self._claim and isinstance(failed, NotRun):
             self._calls.claims.release(self._claim, self._claim_attempt)
@@ -611,7 +615,7 @@
             self._attempt.cancel()
         self._finish(None)
 
-    def _finish(self, verdict: Verdict | None) -> None:
+    def _finish(self, result: AttemptResult | None) -> None:
         self._over = True
         self._attempt = None
         if self._timer is not None:
@@ -621,12 +625,12 @@
         if self._ticket is not None:
             self._calls.admissions.withdraw(self._ticket, self.plan)
             self._ticket = None
-        self._free_slot(verdict)
+        self._free_slot(result)
         self._calls.remove_call(self)
 
-    def _free_slot(self, verdict: Verdict | None) -> None:
+    def _free_slot(self, result: AttemptResult | None) -> None:
         dispatch = self._dispatch
         self._dispatch = None
         if dispatch is not None:
             latency = self._loop.time() - self._attempt_began_at
-            self._calls.admissions.slot_freed(dispatch, self.plan, latency, verdict)
+            self._calls.admissions.slot_freed(dispatch, self.plan, latency, result)
--- a/src/peppershore/process/node/data/claim_desk.py
+++ b/src/peppershore/process/node/data/claim_requests.py
@@ -13,7 +13,7 @@
 ClaimSink = Callable[[str, Result[ClaimGranted, ClaimDenied]], None]
 
 
-class ClaimDesk:
+class ClaimRequests:
     """Passes claims to the claims group, if the node has one."""
 
     def __init__(self) -> None:
@@ -22,7 +22,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def claim(self, key: str, attempt: str, seconds: float, sink: ClaimSink) -> None:
-        """Claim a key; ``sink`` receives the result later."""
+        """Claim ``key`` for ``attempt``, waiting at most ``seconds``.
+
+        ``sink`` receives the key and the result later.
+        """
         assert self.client is not None
         work = self._claim(self.client, key, attempt, seconds, sink)
         task = asyncio.get_running_loop().create_task(work)
--- a/src/peppershore/process/node/data/large_answers.py
+++ b/src/peppershore/process/node/data/large_answers.py
@@ -71,7 +71,10 @@
         octets_sent: Callable[[], int] | None = None,
         event_loop: EventLoop | None = None,
     ) -> None:
-        """``octets_sent`` returns the total of bytes that this process has sent."""
+        """Start without answers on a link of ``link_megabits`` Mbit/s.
+
+        ``octets_sent`` returns the total of bytes that this process has sent.
+        """
         self._loop = event_loop or asyncio.get_running_loop()
         self._octets_sent = octets_sent or _all_octets_sent
         now = self._loop.time()
@@ -125,11 +128,11 @@
 
     def received(self, transfer: Transfer, octets: int) -> None:
         """Record that ``octets`` more bytes of an answer were received and buffered."""
-        self._room.came(transfer, octets, self._loop.time())
+        self._room.received(transfer, octets, self._loop.time())
 
     def forwarded(self, transfer: Transfer, octets: int) -> None:
         """Record that ``octets`` bytes of an answer are sent on the link now."""
-        self._room.went(transfer, octets)
+        self._room.forwarded(transfer, octets)
         self._large_octets += octets
 
     def may_buffer_more(self, transfer: Transfer) -> bool:
--- a/src/peppershore/process/node/data/own_attempt.py
+++ b/src/peppershore/process/node/data/local_attempt.py
@@ -13,18 +13,21 @@
 
 from peppershore.connection.http_head import AnswerHead, HeaderList
 from peppershore.process.node.data.attempt import AttemptRequest, AttemptSink
+from peppershore.process.node.data.attempt_results import (
+    result_of_failure,
+    result_of_status,
+)
 from peppershore.process.node.data.call_story import NEVER_RAN, ServedRun
 from peppershore.process.node.data.direct_attempt import DEFAULT_TERMS, DirectAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
-from peppershore.process.node.data.verdicts import verdict_of_failure, verdict_of_status
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.request.admission import Dispatch
-from peppershore.request.bodies_ahead import (
+from peppershore.request.body_prefetch import (
     FETCH_SECONDS,
+    MIN_RUN_WAIT_SECONDS,
     MOST_BYTES,
-    RUN_PATIENCE_SECONDS,
 )
 from peppershore.request.body_transfers import MOST_SECONDS, TRANSFER_SECONDS
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import (
     BACK_END_ENDED,
     BROKE_OFF,
@@ -44,7 +47,7 @@
 ABSENT_REASONS = frozenset({"back-end-unreachable", "other-back-end"})
 
 
-class OwnAttempt:
+class LocalAttempt:
     """Waits for body capacity and for a slot, then sends the call to the back end."""
 
     __slots__ = (
@@ -69,7 +72,7 @@
 
     def __init__(
         self,
-        backend: OwnBackend,
+        backend: LocalBackEnd,
         request: AttemptRequest,
         sink: AttemptSink,
         fetch_body: Callable[[], None] | None = None,
@@ -77,7 +80,7 @@
         """Create the attempt; it does nothing until ``start``.
 
         ``fetch_body`` requests a body that the caller's node holds back until then. When
-        that body has arrived completely, ``body_is_in`` must be called.
+        that body has arrived completely, ``body_prefetched`` must be called.
         """
         self._fetch_body = fetch_body
         self._fetching = False
@@ -119,7 +122,7 @@
         If the link has no capacity for a large body, the call waits for it if it may wait
         and is refused otherwise.
         """
-        if self._fetches_first and self._backend.begin_body(self._request):
+        if self._fetches_first and self._backend.begin_prefetch(self._request):
             self._fetch()
         elif not (self._request.body_on_credit and self._request.takes_room):
             self._ask_for_slot()
@@ -158,13 +161,13 @@
         self._timer = loop.call_later(FETCH_SECONDS, self._fetch_timed_out)
         self._fetch_body()
 
-    def body_is_in(self) -> None:
+    def body_prefetched(self) -> None:
         """Request a slot and allow the call to wait: the prefetched body is complete."""
         if not self._fetching:
             return
         self._end_fetch()
         now = asyncio.get_running_loop().time()
-        start_by = max(self._request.start_by, now + RUN_PATIENCE_SECONDS)
+        start_by = max(self._request.start_by, now + MIN_RUN_WAIT_SECONDS)
         self._request = msgspec.structs.replace(
             self._request, may_wait=True, start_by=start_by, priority=0
         )
@@ -177,7 +180,7 @@
     def _end_fetch(self) -> None:
         if self._fetching:
             self._fetching = False
-            self._backend.body_ended()
+            self._backend.end_prefetch()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -276,7 +279,7 @@
 
     def _load_reported(self, load_header: bytes) -> None:
         """Record the load reported by the incarnation that runs this call."""
-        self._backend.heard(load_header, self._terms.life)
+        self._backend.load_reported(load_header, self._terms.life)
 
     def answer_head(self, head: AnswerHead) -> None:
         """Forward the head of the answer."""
@@ -294,19 +297,19 @@
     def answer_ended(self, trailers: HeaderList) -> None:
         """Forward the end of the answer, then free the slot."""
         self._sink.answer_ended(trailers)
-        verdict = verdict_of_status(self._status)
-        if verdict == "good":
-            self._backend.ended_well(self._request.fingerprint)
-        self._end(verdict)
+        result = result_of_status(self._status)
+        if result == "good":
+            self._backend.record_answered(self._request.fingerprint)
+        self._end(result)
 
     def attempt_failed(self, failed: Failed) -> None:
         """Free the slot, then forward the failure.
 
         If the connection broke off, first find out whether the back end crashed.
         """
-        self._end(verdict_of_failure(failed))
+        self._end(result_of_failure(failed))
         if failed.reason in ABSENT_REASONS:
-            self._backend.refuse_not_there(self._terms.life)
+            self._backend.report_unreachable(self._terms.life)
         if failed.reason == BROKE_OFF:
             self._awaits_crash_check = True
             crashes = self._backend.crashes
@@ -324,7 +327,7 @@
         """Forward that the back end reads again."""
         self._sink.sending_resumed()
 
-    # --- inside
+    # --- internal
 
     def _crash_checked(self, has_ended: bool) -> None:
         """Report the failure; ``has_ended`` is whether the back end's process ended."""
@@ -357,7 +360,7 @@
         elif self._ticket is None:
             refusal = _no_body_capacity(NO_SLOT_IN_TIME)
         else:
-            refusal = self._backend.admission.refusal_of_impatient(self._ticket, now)
+            refusal = self._backend.admission.refusal_of_timed_out(self._ticket, now)
         self._end(None)
         self._sink.attempt_failed(refusal)
 
@@ -370,7 +373,7 @@
         else:
             self._sink.attempt_failed(out_of_time())
 
-    def _end(self, verdict: Verdict | None) -> None:
+    def _end(self, result: AttemptResult | None) -> None:
         if self._done:
             return
         self._done = True
@@ -385,7 +388,7 @@
         if dispatch is not None:
             self._mark_not_running()
             latency = asyncio.get_running_loop().time() - self._started
-            self._backend.finished(dispatch, latency, verdict)
+            self._backend.finished(dispatch, latency, result)
 
     def _mark_not_running(self) -> None:
         if self._is_running:
--- a/src/peppershore/process/node/data/own_backend.py
+++ b/src/peppershore/process/node/data/local_back_end.py
@@ -18,12 +18,12 @@
 from peppershore.connection.messages.calls import MICROSECONDS, HeaderFields, OwnerLoad
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.process.node.back_end_reports import (
-    NO_LIFE,
+    NO_INCARNATION,
     STATE_GONE,
     STATE_LEAVING,
     STATE_READY,
+    BackEndIncarnation,
     BackEndView,
-    Life,
 )
 from peppershore.process.node.data.attempt import AttemptRequest
 from peppershore.process.node.data.call_story import ServedRecord
@@ -33,11 +33,11 @@
 from peppershore.process.node.data.quarantine_gate import QuarantineGate
 from peppershore.process.node.data.waiting_attempt import WaitingAttempt
 from peppershore.request.admission import Admission, Dispatch, Waiting
-from peppershore.request.back_ends.own_report import OwnReport
-from peppershore.request.back_ends.told_load import read_load
-from peppershore.request.bodies_ahead import BodiesAhead
+from peppershore.request.back_ends.local_report import LocalReport
+from peppershore.request.back_ends.reported_load import read_load
+from peppershore.request.body_prefetch import BodyPrefetch
 from peppershore.request.body_transfers import BodyTransfers
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.fingerprint import Fingerprint
 from peppershore.request.outcome import SLOW_NOW, STATUS_UNAVAILABLE, NotRun
 from peppershore.request.picker import RandomSource
@@ -54,7 +54,7 @@
 MILLISECONDS = 1_000
 
 
-class OwnBackend:
+class LocalBackEnd:
     """Admits every call to the back end that is co-located with this node."""
 
     def __init__(
@@ -77,23 +77,23 @@
         """
         self.large_answers = large_answers
         self.leaving = False
-        self.on_not_there: Callable[[str], None] = lambda life: None
+        self.on_unreachable: Callable[[str], None] = lambda life: None
         self.slots = endpoint.slots
         self.running = RunningCalls()
         self.crashes = CrashWatch(endpoint.node, endpoint.address)
         self.quarantine = quarantine or QuarantineGate(asyncio.get_running_loop().time)
         self.transfers = transfers or BodyTransfers()
         self.evidence = VersionEvidence()
-        self.report = OwnReport()
+        self.report = LocalReport()
         self.refused_while_slow = 0
         """Number of calls refused while the machine was slow, so that they go elsewhere."""
         self._warm_at = 0.0
-        self._prefetches = BodiesAhead()
+        self._prefetches = BodyPrefetch()
         self._awaiting_transfer: dict[WaitingAttempt, None] = {}
         self._endpoint = endpoint
         self.service = endpoint.service
         self._names = names
-        self._life = NO_LIFE
+        self._life = NO_INCARNATION
         self._refuse_timer: asyncio.TimerHandle | None = None
         self._offered_slots = endpoint.slots
         self._lent = 0
@@ -109,7 +109,7 @@
         self._recheck_timer: asyncio.TimerHandle | None = None
 
     @property
-    def life(self) -> Life:
+    def life(self) -> BackEndIncarnation:
         """The current incarnation, to which new calls are sent."""
         return self._life
 
@@ -145,8 +145,8 @@
             link_wait_milliseconds=0 if scheduler is None else scheduler.wait_milliseconds,
         )
 
-    def heard(self, told: bytes, life: str) -> None:
-        """Process the load that the back end reported in an answer.
+    def load_reported(self, told: bytes, life: str) -> None:
+        """Process the load field ``told`` of an answer of the incarnation ``life``.
 
         A report of another incarnation or one that cannot be parsed is ignored.
         """
@@ -221,7 +221,7 @@
             warming_milliseconds=0,
         )
         now = asyncio.get_running_loop().time()
-        self.report = OwnReport()
+        self.report = LocalReport()
         self.admission.use_endpoints((self._endpoint,), now)
         self.pool.close_idle()
 
@@ -231,18 +231,18 @@
         self.leaving = True
         self.refuse_waiting()
 
-    def ended_well(self, fingerprint: Fingerprint) -> None:
+    def record_answered(self, fingerprint: Fingerprint) -> None:
         """Record that the back end answered such a request: it causes no crash."""
-        self.crashes.ended_well(fingerprint)
-        self.quarantine.ended_well(fingerprint)
+        self.crashes.record_answered(fingerprint)
+        self.quarantine.record_answered(fingerprint)
 
-    def refuse_not_there(self, life: str) -> None:
+    def report_unreachable(self, life: str) -> None:
         """Report that ``life`` cannot be reached: nothing or another incarnation answers.
 
         Ignored unless ``life`` is the current incarnation.
         """
         if life == self._life.name:
-            self.on_not_there(life)
+            self.on_unreachable(life)
 
     def use_settings(self, settings: ServiceSettings) -> None:
         """Apply new settings.
@@ -256,7 +256,7 @@
         self.admission.use_settings(settings)
         self._apply_limit()
 
-    def lend(self, slots: int) -> None:
+    def reserve_lent_slots(self, slots: int) -> None:
         """Reserve ``slots`` for other nodes, which call the back end directly."""
         self._lent = slots
         self._apply_limit()
@@ -298,18 +298,18 @@
         self._schedule_recheck()
         return ticket
 
-    def begin_body(self, request: AttemptRequest) -> bool:
+    def begin_prefetch(self, request: AttemptRequest) -> bool:
         """Return whether the body of a call without a slot is to be prefetched now.
 
         True if the call is likely to have a slot by the time its body is complete. The
-        caller must then call ``body_ended`` once.
+        caller must then call ``end_prefetch`` once.
         """
         if self._refusal(request) is not None:
             return False
         admission = self.admission
         return self._prefetches.begin(admission.in_flight, admission.waiting, self.slots)
 
-    def body_ended(self) -> None:
+    def end_prefetch(self) -> None:
         """Record that a prefetched body is complete or was given up."""
         self._prefetches.end()
 
@@ -362,14 +362,16 @@
         self._waiting.pop(ticket.number, None)
         self.admission.withdraw(ticket)
 
-    def finished(self, dispatch: Dispatch, latency: float, verdict: Verdict | None) -> None:
+    def finished(
+        self, dispatch: Dispatch, latency: float, result: AttemptResult | None
+    ) -> None:
         """Release the slot of an attempt that ended and start the next ones."""
         now = asyncio.get_running_loop().time()
         route, is_warm = dispatch.ticket.route, now >= self._warm_at
-        self.evidence.note(route, latency, verdict, is_warm)
-        if verdict == "good":
+        self.evidence.note(route, latency, result, is_warm)
+        if result == "good":
             self.report.ended(route, latency, now)
-        self.admission.finished(dispatch, latency, verdict, now)
+        self.admission.finished(dispatch, latency, result, now)
         self.start_waiting()
 
     def start_waiting(self) -> None:
@@ -381,9 +383,9 @@
             return
         now = asyncio.get_running_loop().time()
         self._set_limit(now)
-        for ticket in self.admission.hopeless(now):
+        for ticket in self.admission.take_unable_to_finish(now):
             given_up = self._waiting.pop(ticket.number)
-            given_up.refused(self.admission.refusal_of_hopeless(ticket, now))
+            given_up.refused(self.admission.refusal_of_unable_to_finish(ticket, now))
         for dispatch in self.admission.ready(now):
             attempt = self._waiting.pop(dispatch.ticket.number, None)
             if attempt is not None:
--- a/src/peppershore/process/node/data/owner_links.py
+++ b/src/peppershore/process/node/data/owner_links.py
@@ -21,10 +21,10 @@
 from peppershore.process.node.data.link_guard import LinkGuard
 from peppershore.request.slot_loans import Borrower
 
-GREETING_SECONDS = 1.0
+HANDSHAKE_TIMEOUT_SECONDS = 1.0
 """An owner that accepts a link and sends nothing for this long is considered lost."""
 
-SILENCE_SECONDS = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 """An owner that does not answer a probe for this long, with calls on its link, is
 considered lost: the outcome of the calls sent to it is unknown, and it is sent no more."""
 
@@ -63,7 +63,11 @@
         *,
         packs_heads: bool = False,
     ) -> None:
-        """``hello`` identifies this node to owners; ``guard`` authorizes their messages."""
+        """Start without links.
+
+        ``hello`` identifies this node to owners; ``guard`` authorizes their messages.
+        ``packs_heads`` is passed on to ``CallLink``.
+        """
         self._packs_heads = packs_heads
         self._guard = guard
         self.on_load: LoadSink = lambda address, load, route: None
@@ -74,7 +78,7 @@
         self._closed = False
 
     def when_open(self, address: str, attempt: LinkAttempt) -> None:
-        """Pass the attempt its link, at once if open and else once it is opened."""
+        """Pass ``attempt`` the link to the owner: at once if it is open, else later."""
         owner = self._owner(address)
         if owner.link is not None and owner.link.alive:
             attempt.link_open(owner.link)
@@ -82,7 +86,7 @@
         owner.waiting.append(attempt)
         self._open(address, owner)
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Process the load that an owner reported with a call of this route."""
         self.on_load(address, load, route)
 
@@ -160,7 +164,7 @@
         elif owner.probed_at is None:
             owner.probed_at = now
             link.send(CallLinkProbe(owner.last_received))
-        elif now - owner.probed_at >= SILENCE_SECONDS:
+        elif now - owner.probed_at >= PROBE_TIMEOUT_SECONDS:
             owner.link = None
             owner.borrower.lost()
             link.abandon("owner silent")
@@ -222,7 +226,7 @@
         link.send(self._hello)
         link.send(CallLinkProbe(0))
         try:
-            async with asyncio.timeout(GREETING_SECONDS):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 await alive
         except TimeoutError:
             link.close()
--- a/src/peppershore/process/node/data/served_stream.py
+++ b/src/peppershore/process/node/data/served_stream.py
@@ -34,13 +34,13 @@
     failure_end,
     served_story,
 )
-from peppershore.process.node.data.own_attempt import OwnAttempt
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_attempt import LocalAttempt
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.paced_answer import LargeTerms, PacedAnswer
 from peppershore.process.node.data.request_body import RequestBody
 from peppershore.request.fingerprint import Fingerprint
 from peppershore.request.outcome import (
-    SEEK_ON,
+    PROBE_NEXT_REASONS,
     STATUS_BAD_REQUEST,
     STATUS_GATEWAY_TIMEOUT,
     STATUS_UNAVAILABLE,
@@ -82,7 +82,7 @@
     )
 
     def __init__(self, link: CallLink, started: CallStarted, log: CallLog) -> None:
-        """Bind to the stream; nothing is sent before ``start``."""
+        """Serve the call that ``started`` opened on ``link``; ``start`` begins it."""
         self._log = log
         self._record: ServedRecord | None = None
         self._status = 0
@@ -93,8 +93,8 @@
         self._route = started.route
         self._cancellable = started.cancellable
         self._attempt: Attempt | None = None
-        self._own_attempt: OwnAttempt | None = None
-        self._backend: OwnBackend | None = None
+        self._own_attempt: LocalAttempt | None = None
+        self._backend: LocalBackEnd | None = None
         self._begun = False
         self._prefetches_body = False
         self._finished = False
@@ -104,7 +104,7 @@
         self._sending = SendWindow(started.answer_window or STREAM_WINDOW_BYTES)
         self._receiving = ReceiveWindow()
 
-    def start(self, backend: OwnBackend, started: CallStarted) -> None:
+    def start(self, backend: LocalBackEnd, started: CallStarted) -> None:
         """Start the attempt, which requests a slot from ``backend``."""
         if started.data:
             self._body.add(started.data)
@@ -122,11 +122,11 @@
         self._attempt = self._new_attempt(backend, request)
         self._attempt.start()
 
-    def _new_attempt(self, backend: OwnBackend, request: AttemptRequest) -> Attempt:
+    def _new_attempt(self, backend: LocalBackEnd, request: AttemptRequest) -> Attempt:
         """Return the attempt: a ``PacedAnswer`` if its answer is expected to be large."""
 
-        def make_attempt(sink: AttemptSink) -> OwnAttempt:
-            self._own_attempt = OwnAttempt(backend, request, sink, self._fetch_body)
+        def make_attempt(sink: AttemptSink) -> LocalAttempt:
+            self._own_attempt = LocalAttempt(backend, request, sink, self._fetch_body)
             return self._own_attempt
 
         scheduler = backend.large_answers
@@ -179,7 +179,7 @@
         self._status = head.status
 
     def answer_data(self, data: bytes) -> None:
-        """Queue a piece of the answer's body."""
+        """Queue a chunk of the answer's body."""
         self._unsent.append(data)
 
     def answer_batch_ended(self) -> None:
@@ -205,7 +205,7 @@
         if self._link is not None:
             self._link.send(_failure_message(self._stream, failed, self._load()))
         self._close()
-        if failed.reason not in SEEK_ON:
+        if failed.reason not in PROBE_NEXT_REASONS:
             self._log_end(failure_end(failed))
 
     def sending_paused(self) -> None:
@@ -230,7 +230,7 @@
         if self._begun and self._attempt is not None:
             self._body.send(self._attempt)
         elif self._own_attempt is not None and message.ended:
-            self._own_attempt.body_is_in()
+            self._own_attempt.body_prefetched()
         elif not self._prefetches_body:
             self._receiving.pause()
         self._send_credit(self._receiving.taken(len(message.data)))
--- a/src/peppershore/process/node/data/service_admissions.py
+++ b/src/peppershore/process/node/data/service_admissions.py
@@ -18,15 +18,15 @@
 from peppershore.process.commands import Notice
 from peppershore.process.node.data import notices
 from peppershore.process.node.data.call_story import ChoiceSeen
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.settings import NodeSettings
 from peppershore.request.admission import Admission, Decision, Dispatch, Waiting
 from peppershore.request.classification import CallPlan
-from peppershore.request.endpoint_state import EndpointState, Verdict
+from peppershore.request.endpoint_state import AttemptResult, EndpointState
 from peppershore.request.outcome import STATUS_UNAVAILABLE, NotRun
 from peppershore.request.picker import RandomSource
 from peppershore.request.tenants.weights import ConfiguredWeights
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.request.waiting import Ticket
 from peppershore.version.model import ServiceSettings
 
@@ -63,7 +63,7 @@
         ``weights`` holds the tenants' weights of the configuration in use.
         """
         self._weights = weights
-        self.own: OwnBackend | None = None
+        self.own: LocalBackEnd | None = None
         self._loop = asyncio.get_running_loop()
         self._settings = settings
         self._notice_sink = notice_sink
@@ -109,19 +109,19 @@
         if self._recheck_timer is not None:
             self._recheck_timer.cancel()
 
-    def draw_lane(self, service: str) -> Lane:
+    def choose_version_group(self, service: str) -> VersionGroup:
         """Choose at random which version of the service's software is to serve one call."""
         admission = self._admission(service)
-        return "any" if admission is None else admission.draw_lane()
+        return "any" if admission is None else admission.choose_version_group()
 
     @property
-    def looks_for_free_slots(self) -> bool:
+    def probes_for_free_slots(self) -> bool:
         """Whether a call probes each owner for a free slot before it waits for one."""
         return self._settings.seek_free_slots
 
-    def most_waits(self, plan: CallPlan) -> int:
+    def max_queued_owners(self, plan: CallPlan) -> int:
         """Return at how many owners a call may wait; one for a call with a large body."""
-        if plan.settings.streamed_bodies or not self.looks_for_free_slots:
+        if plan.settings.streamed_bodies or not self.probes_for_free_slots:
             return 1
         return self._settings.waits_at_owners
 
@@ -132,20 +132,22 @@
         out of free slots or refused for load. False if this node does not probe at all.
         """
         admission = self._admission(plan.target)
-        if admission is None or not self.looks_for_free_slots:
+        if admission is None or not self.probes_for_free_slots:
             return False
         now = self._loop.time()
-        return admission.seeking.is_in_vain(now) or admission.all_shed(now, plan.lane)
+        return admission.probing.is_suspended(now) or admission.all_refuse_for_load(
+            now, plan.lane
+        )
 
-    def asked_for_slot(self, plan: CallPlan, was_granted: bool) -> None:
+    def slot_probed(self, plan: CallPlan, was_granted: bool) -> None:
         """Record whether an owner granted a free slot to a call that may not wait."""
         admission = self._admission(plan.target)
         if admission is None:
             return
         if was_granted:
-            admission.seeking.granted()
+            admission.probing.granted()
         else:
-            admission.seeking.refused(self._loop.time())
+            admission.probing.refused(self._loop.time())
 
     def ticket(
         self, plan: CallPlan, excluded: frozenset[str], tries_another_zone: bool = False
@@ -174,7 +176,10 @@
         )
 
     def offer(self, ticket: Ticket, plan: CallPlan, call: WaitingCall) -> Decision:
-        """Request a slot; if queued, ``call`` gets ``dispatched`` or ``refused`` later."""
+        """Request a slot for ``call``.
+
+        If it is queued, its method ``dispatched`` or ``refused`` is called later.
+        """
         admission = self._admission(plan.target)
         if admission is None:
             return NotRun(STATUS_UNAVAILABLE, "service-not-held", MILLISECONDS)
@@ -195,11 +200,15 @@
             self._admissions[plan.target].withdraw(ticket)
 
     def slot_freed(
-        self, dispatch: Dispatch, plan: CallPlan, latency: float, verdict: Verdict | None
+        self,
+        dispatch: Dispatch,
+        plan: CallPlan,
+        latency: float,
+        result: AttemptResult | None,
     ) -> None:
         """Record the result of an attempt that ended, and start waiting calls."""
         admission = self._admissions[plan.target]
-        ejected = admission.finished(dispatch, latency, verdict, self._loop.time())
+        ejected = admission.finished(dispatch, latency, result, self._loop.time())
         if ejected is not None:
             node = dispatch.endpoint.node
             self._notice_sink(notices.BackendEjected(plan.target, node, ejected))
@@ -217,10 +226,10 @@
             nodes, self._loop.time(), for_free_slot, plan.lane
         )
 
-    def told_work(self, plan: CallPlan) -> float:
+    def reported_work(self, plan: CallPlan) -> float:
         """Return a route's mean service time in seconds by owners' reports; 0: unknown."""
         admission = self._admission(plan.target)
-        return 0.0 if admission is None else admission.told_work(plan.route)
+        return 0.0 if admission is None else admission.reported_work(plan.route)
 
     def state_of(self, service: str, node: str) -> EndpointState | None:
         """Return what this node knows of the state of one back end; None if nothing."""
@@ -272,7 +281,10 @@
         return admission
 
     def _pass_endpoints(self, admission: Admission, service: str, now: float) -> None:
-        """Pass an admission its endpoints, each with this node's limit of calls to it."""
+        """Pass a service's live endpoints to its admission.
+
+        Each has as its slots the number of calls that this node may have there.
+        """
         endpoints = self._endpoints.get(service, ())
         limited = [
             msgspec.structs.replace(endpoint, slots=endpoint.slots * OWNER_LIMIT_FACTOR)
@@ -282,7 +294,7 @@
         ]
         admission.use_endpoints(tuple(limited), now)
 
-    def load_heard(self, address: str, load: OwnerLoad, route: str) -> None:
+    def load_reported(self, address: str, load: OwnerLoad, route: str) -> None:
         """Process the load of its back end that the owner at an address reported."""
         now = self._loop.time()
         for node in self._nodes_behind.get(address, ()):
@@ -303,13 +315,13 @@
         if not admission.waiting:
             return
         now = self._loop.time()
-        for ticket in admission.hopeless(now):
+        for ticket in admission.take_unable_to_finish(now):
             self._waiting.pop(ticket.number).refused(
-                admission.refusal_of_hopeless(ticket, now)
+                admission.refusal_of_unable_to_finish(ticket, now)
             )
-        for ticket in admission.impatient(now):
+        for ticket in admission.take_timed_out(now):
             self._waiting.pop(ticket.number).refused(
-                admission.refusal_of_impatient(ticket, now)
+                admission.refusal_of_timed_out(ticket, now)
             )
         for dispatch in admission.ready(self._loop.time()):
             call = self._waiting.pop(dispatch.ticket.number, None)
--- a/src/peppershore/process/node/data_plane.py
+++ b/src/peppershore/process/node/data_plane.py
@@ -22,7 +22,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.connection.messages.rollouts import RouteEvidence
 from peppershore.process.commands import Notice
-from peppershore.process.node.back_end_reports import NO_LIFE, BackEndView
+from peppershore.process.node.back_end_reports import NO_INCARNATION, BackEndView
 from peppershore.process.node.data import notices
 from peppershore.process.node.data.backend_probe import STATE_READY, BackendProbe
 from peppershore.process.node.data.call import Call
@@ -30,7 +30,7 @@
 from peppershore.process.node.data.calls import Calls
 from peppershore.process.node.data.checked_claims import CheckedClaims
 from peppershore.process.node.data.link_guard import LinkGuard
-from peppershore.process.node.data.own_backend import OwnBackend
+from peppershore.process.node.data.local_back_end import LocalBackEnd
 from peppershore.process.node.data.owner_links import OwnerLinks
 from peppershore.process.randomness import Randomness
 from peppershore.process.settings import NodeSettings
@@ -70,7 +70,11 @@
 
 
 class ListenAddresses(msgspec.Struct, frozen=True):
-    """Addresses of a node's listeners, "IP:port"; ``internal`` is empty without one."""
+    """Addresses of a node's listeners, "IP:port".
+
+    ``callers`` is the listener for callers, ``internal`` that for calls from other nodes;
+    it is empty without one.
+    """
 
     callers: str
     internal: str
@@ -112,11 +116,17 @@
         self.on_back_end_ended: Callable[[str, tuple[Suspect, ...]], None] = (
             lambda life, under: None
         )
-        """Called with a crashed incarnation of the local back end and its requests."""
+        """Called with the name of a crashed incarnation of the local back end.
+
+        The second argument holds the requests that ran there.
+        """
         self.on_evidence: Callable[[int, tuple[RouteEvidence, ...]], None] = (
             lambda began, routes: None
         )
-        """Called with call statistics of the local back end since a roll-out's start."""
+        """Called with the call statistics of the local back end during a roll-out.
+
+        The first argument is the start of the roll-out in Unix milliseconds.
+        """
         self._settings = settings
         self._notice_sink = notice_sink
         self._loop = asyncio.get_running_loop()
@@ -173,15 +183,18 @@
         bound = leaving_bound_seconds(self._settings)
         if self._own is None:
             return
-        had_other_life = self._own.life not in (NO_LIFE, view.life)
+        had_other_life = self._own.life not in (NO_INCARNATION, view.life)
         self._own.use_view(view, bound)
         if had_other_life:
-            self._call_listener.lend_no_more()
+            self._call_listener.recall_loans()
 
     def on_back_end_unreachable(self, callback: Callable[[str], None]) -> None:
-        """Call ``callback`` with an incarnation of the back end that cannot be reached."""
+        """Call ``callback`` with the name of an incarnation that cannot be reached.
+
+        It is one of the local back end.
+        """
         if self._own is not None:
-            self._own.on_not_there = callback
+            self._own.on_unreachable = callback
 
     def on_backend_state(self, callback: Callable[[str], None]) -> None:
         """Start to probe the local back end; call ``callback`` with each new state.
@@ -213,16 +226,17 @@
         return ListenAddresses(callers, internal)
 
     def begin_drain(self) -> None:
-        """Begin a drain: recall slot loans and hand new connections to a successor.
+        """Begin a drain: recall slot loans and let a successor accept new connections.
 
-        Calls in flight continue.
+        The successor is a younger process that listens on the same address, if there is
+        one. Calls in flight continue.
         """
         if self.draining:
             return
         self.draining = True
         self._drain_began = self._loop.time()
         self._calls_at_drain = self._in_flight
-        self._call_listener.lend_no_more()
+        self._call_listener.recall_loans()
         self._listener.hand_over()
 
     async def drained(self, bound_seconds: float) -> DrainReport:
@@ -286,16 +300,16 @@
         """Number of other nodes' calls accepted for the local back end since the start."""
         return self._call_listener.streams_served
 
-    # --- ServerOwner
+    # --- interface ServerOwner, called by callers' connections
 
     def request_received(self, exchange: ServerExchange, head: RequestHead) -> RequestSink:
         """Create the call for a received request; its body is passed to the result."""
         self._caller_seen_at = self._loop.time()
         return Call(self.calls, exchange, head)
 
-    def may_be_repeated(self, head: RequestHead) -> bool:
+    def is_safe_to_retry(self, head: RequestHead) -> bool:
         """Return whether the route of a request declares it safe to retry."""
-        return self.calls.may_be_repeated(head)
+        return self.calls.is_safe_to_retry(head)
 
     def request_refused(self, problem: HeadProblem) -> bytes:
         """Count a malformed request; return the body of the error response."""
@@ -329,14 +343,14 @@
         now = self._loop.time()
         self._tick = self._loop.call_later(TICK_SECONDS, self._ticked)
         self.calls.tick(now)
-        self._call_listener.take_back_expired(now)
+        self._call_listener.reclaim_expired(now)
         if self._own is not None:
             self._own.pool.trim(now)
             self._send_evidence(self._own.evidence)
         self._close_idle(self._idle_seconds)
 
     def _send_evidence(self, evidence: VersionEvidence) -> None:
-        routes = evidence.take_news()
+        routes = evidence.take_changes()
         if routes is not None and evidence.began_milliseconds:
             self.on_evidence(evidence.began_milliseconds, routes)
 
@@ -369,7 +383,7 @@
         self._notice_sink(notices.BackEndEnded(self._settings.service, life, keys))
         self.on_back_end_ended(life, under)
         if self._own is not None:
-            self._own.refuse_not_there(life)
+            self._own.report_unreachable(life)
 
     def _longest_call_seconds(self) -> float:
         """Return the longest time-out of calls from other nodes to the local back end."""
@@ -417,7 +431,7 @@
 
 def _own_backend(
     settings: NodeSettings, random: Randomness, calls: Calls
-) -> OwnBackend | None:
+) -> LocalBackEnd | None:
     if not settings.backend:
         return None
     endpoint = Endpoint(
@@ -433,7 +447,7 @@
         connections=settings.connections,
     )
     transfers = BodyTransfers(settings.link_megabits)
-    backend = OwnBackend(
+    backend = LocalBackEnd(
         endpoint,
         ServiceSettings(),
         random,
--- a/src/peppershore/process/node/quarantine.py
+++ b/src/peppershore/process/node/quarantine.py
@@ -24,11 +24,13 @@
         """Record requests suspected after a crash, or a suspected one that was answered.
 
         ``relay`` is the link to the relay in use, None if there is none. Return the
-        commands that pass new records on.
+        commands that pass new records to the data plane and the relay.
         """
         if isinstance(event, BackEndEnded):
             under = event.under
-            records = tuple(self.table.ended(each, event.life, now) for each in under)
+            records = tuple(
+                self.table.record_crash(each, event.life, now) for each in under
+            )
         else:
             cleared = self.table.cleared(event.key, now)
             records = () if cleared is None else (cleared,)
--- a/src/peppershore/process/node/relay_sessions.py
+++ b/src/peppershore/process/node/relay_sessions.py
@@ -37,7 +37,7 @@
 WATCH_TIMER = "relay.watch"
 
 WATCH_SECONDS = 0.25
-"""Interval between checks of the relays."""
+"""Interval between checks whether the relays in use are silent or stale."""
 WATCH_WITHOUT_RELAY_SECONDS = 0.1
 """Interval between checks while there is no relay, or only a stale one."""
 OPENING_SECONDS = 1.0
@@ -58,10 +58,10 @@
 STALE_SHARE = 0.6
 """Age from which a confirmation is stale, as a share of ``apply_milliseconds``.
 
-A smaller share brings changes into use sooner but causes more futile dials. In simulations
-(8 seeds) with both relays of a zone without a quorum and a limit of 2 s, a node uses a
-change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8). The counts of futile dials
-with 12 nodes when a leader is lost are 8 (16 with 0.45, 3 with 0.8).
+A smaller share brings changes into use sooner but causes more links that are opened in
+vain. In simulations (8 random seeds) with both relays of a zone without a quorum and a
+limit of 2 s, a node uses a change after at most 1.35 s (1.0 s with 0.45, 1.75 s with 0.8).
+With 12 nodes, 8 links are opened in vain when a leader is lost (16 with 0.45, 3 with 0.8).
 """
 SEARCH_SPREAD_SECONDS = 0.1
 """Nodes of a stale relay spread the start of their search over this time."""
@@ -112,7 +112,11 @@
         numbers: LinkNumbers,
         make_hello: Callable[[], NodeHello],
     ) -> None:
-        """Initialize without any link; ``start`` opens the first one."""
+        """Initialize without any link; ``start`` opens the first one.
+
+        ``numbers`` supplies the ids of links, and ``make_hello`` the message that each
+        link begins with.
+        """
         self.active: RelaySession | None = None
         self.candidate: RelaySession | None = None
         self._zone = settings.zone
@@ -208,7 +212,7 @@
         session.last_received_at = now
 
     def resolve_candidate(self, session: RelaySession, now: float) -> list[Command]:
-        """Make a candidate that has answered the active relay, or reject it."""
+        """Put a candidate that has answered in the active relay's place, or reject it."""
         if session is not self.candidate:
             return []
         old = self.active
@@ -340,7 +344,7 @@
         return min(WATCH_SECONDS, fresh_for + ROUNDING_SECONDS)
 
     def _is_silent(self, session: RelaySession, now: float) -> bool:
-        """Return whether the relay has sent nothing for too long."""
+        """Return whether the session's relay has sent nothing for too long."""
         bound = self._silence_seconds
         if not session.answered:
             bound = min(bound, self._answer_timeout_seconds(session, now))
@@ -354,7 +358,7 @@
         return factor * self._short_opening_seconds
 
     def _is_stale(self, session: RelaySession, now: float) -> bool:
-        """Return whether the relay is cut off or was last confirmed too long ago."""
+        """Return whether the relay is cut off or a quorum confirmed it too long ago."""
         return session.is_cut_off or now - session.confirmed_at > self._stale_seconds
 
     @property
--- a/src/peppershore/request/back_ends/told_load.py
+++ b/src/peppershore/request/back_ends/reported_load.py
@@ -16,17 +16,18 @@
 
 MAX_FIELD_BYTES = 64
 MAX_CALLS = 100_000
-"""No single back end has more calls or slots than this."""
+"""A larger number of calls or slots is implausible for a single back end."""
 
 MIN_PERCENT = 10
 MAX_PERCENT = 10_000
-"""No machine is ten times as fast as usual, or a hundred times as slow."""
+"""Bounds of a plausible pace: no machine is ten times as fast as usual, or a hundred times
+as slow."""
 
 VALUES_WITHOUT_PACE = 3
 VALUES_WITH_PACE = 4
 
 
-class ToldLoad(msgspec.Struct, frozen=True):
+class ReportedLoad(msgspec.Struct, frozen=True):
     """Running and waiting calls of a back end, its slots, and its machine's pace.
 
     ``pace_percent`` is how long work takes now: 100 as usual, 0 if it is not reported.
@@ -38,7 +39,7 @@
     pace_percent: int = PACE_NOT_REPORTED
 
 
-def read_load(value: bytes) -> ToldLoad | None:
+def read_load(value: bytes) -> ReportedLoad | None:
     """Parse the field's value; return None if it is missing or malformed."""
     if not value or len(value) > MAX_FIELD_BYTES:
         return None
@@ -49,11 +50,11 @@
     if running is None or waiting is None or not slots:
         return None
     pace = parts[3] if len(parts) == VALUES_WITH_PACE else b""
-    return ToldLoad(running, waiting, slots, _percent(pace))
+    return ReportedLoad(running, waiting, slots, _percent(pace))
 
 
 def _count(part: bytes) -> int | None:
-    """Return the integer if it is plausible, else None; a sign is not allowed."""
+    """Return the number of calls or slots, or None if it is implausible or has a sign."""
     if not part.isdigit():
         return None
     count = int(part)
--- a/src/peppershore/request/classification.py
+++ b/src/peppershore/request/classification.py
@@ -17,7 +17,7 @@
     NotRun,
 )
 from peppershore.request.picker import RandomSource
-from peppershore.request.version_lanes import Lane
+from peppershore.request.version_routing import VersionGroup
 from peppershore.request.wire_names import OWN_NAMES, WireNames
 from peppershore.version.active import ActiveConfiguration
 from peppershore.version.model import CallClass, HopMode, RouteResource, RouteSettings
@@ -39,7 +39,8 @@
 """Share of its remaining time for which a call made by a back end may wait for a slot."""
 
 NO_CONFIGURATION_RETRY_AFTER_MILLISECONDS = 600
-"""A node that has just started holds a configuration about a second later."""
+"""Retry advice of a node that has no configuration yet. It gets one about a second after
+its start."""
 
 
 class CallPlan(msgspec.Struct, frozen=True):
@@ -72,7 +73,7 @@
     remaining: float | None = None
     is_client_retry: bool = False
     crossing_seconds: float = math.inf
-    lane: Lane = "any"
+    lane: VersionGroup = "any"
     tenant: str = ""
     is_counted: bool = False
     due: float = math.inf
@@ -150,7 +151,7 @@
     return latency * CROSS_ZONE_GAIN_SHARE / MILLISECONDS
 
 
-def first_in_line(plan: CallPlan, now: float) -> CallPlan:
+def prioritize_nested(plan: CallPlan, now: float) -> CallPlan:
     """Return the plan of a call nested in a running one, placed ahead of new calls.
 
     Its refusal would waste all the work done so far, so it may also wait longer.
--- a/src/peppershore/request/endpoint_state.py
+++ b/src/peppershore/request/endpoint_state.py
@@ -13,7 +13,7 @@
 from peppershore.connection.messages.endpoints import Endpoint
 from peppershore.request.back_ends.speed import Speed
 
-Verdict = Literal["good", "failed", "shed", "late"]
+AttemptResult = Literal["good", "failed", "shed", "late"]
 """Result of an attempt as far as it concerns the back end. "shed": the back end is alive
 and refused for load; "late": no answer within the time that the caller allowed."""
 
@@ -129,7 +129,7 @@
         """Report whether the back end is ejected because of failures."""
         return now < self.ejected_until
 
-    def sheds(self, now: float) -> bool:
+    def refused_for_load(self, now: float) -> bool:
         """Report whether it refused for load a moment ago, so that others are preferred."""
         return now < self.passed_over_until
 
@@ -164,7 +164,10 @@
         return max(0.0, self._link_wait - age) if age < LOAD_MAX_AGE_SECONDS else 0.0
 
     def has_link_room(self, now: float, due: float) -> bool:
-        """Report whether one more large answer would arrive by ``due`` by what is known."""
+        """Report whether, as far as is known, one more large answer would be in time.
+
+        ``due`` is the monotonic time by which it should arrive.
+        """
         return now + self.link_wait(now) <= due
 
     @property
@@ -174,7 +177,7 @@
 
     @property
     def others(self) -> int:
-        """Number of calls of other nodes, by the last report of its local node."""
+        """Number of calls of other nodes there, by the last report of its local node."""
         return self._others
 
     def load_age_milliseconds(self, now: float) -> int:
@@ -203,7 +206,11 @@
         return expected * failing / self.ramp(now)
 
     def _expected_multiple(self, calls: int, now: float, fade: float) -> float:
-        """Return the time until an answer, wait included, in multiples of the usual one."""
+        """Return the time until an answer, wait included, in multiples of the usual one.
+
+        ``calls`` is the number of calls already there; ``fade`` is the share of the learned
+        speed that still counts, from 0 to 1.
+        """
         pace = self.speed.expected(now, fade)
         slots = self._reported_slots or max(1, self.limit)
         utilization_cost = UTILIZATION_COST * min(1.0, calls / slots) ** 2
@@ -221,20 +228,20 @@
         """Smoothed duration of a call, in seconds."""
         return self._latency
 
-    def observe(self, latency: float, verdict: Verdict, now: float) -> None:
+    def observe(self, latency: float, result: AttemptResult, now: float) -> None:
         """Record the result of one finished attempt."""
-        if verdict == "late":
+        if result == "late":
             if latency < LATE_FACTOR * self._latency:
                 return
-            verdict = "failed"
+            result = "failed"
         elapsed = max(0.0, now - self._last_seen)
         self._last_seen = now
-        self._observe_failure(verdict != "good", elapsed)
-        if verdict == "failed":
+        self._observe_failure(result != "good", elapsed)
+        if result == "failed":
             self.consecutive_failures += 1
-        if verdict == "shed":
+        if result == "shed":
             self._pass_over(now)
-        if verdict != "good":
+        if result != "good":
             return
         self.consecutive_failures = 0
         self._ejections = 0
@@ -275,5 +282,9 @@
 
 
 def _weight(elapsed: float, decay: float) -> float:
-    """Return the weight of a new observation: at least 5 %, more after a long gap."""
+    """Return the weight of a new observation in a moving mean: at least 0.05.
+
+    It grows with the seconds elapsed since the last observation. ``decay`` is the time
+    constant in seconds.
+    """
     return max(0.05, 1.0 - math.exp(-elapsed / decay))
--- a/src/peppershore/request/version_lanes.py
+++ b/src/peppershore/request/version_routing.py
@@ -18,25 +18,28 @@
 from peppershore.version.model import ServiceSettings
 from peppershore.version.rollout import ALL_CALLS, RUNNING
 
-Lane = Literal["any", "new", "old"]
-LANES: tuple[Lane, ...] = ("any", "new", "old")
+VersionGroup = Literal["any", "new", "old"]
+LANES: tuple[VersionGroup, ...] = ("any", "new", "old")
 State = TypeVar("State")
 
 SUBSET_BELOW_SHARE = ALL_CALLS // 2
-"""Below this share, the calls of the new version go to few of its back ends: a fault that
-shows only under load is found there, at the cost of the fewest callers."""
+"""Below this share, the calls of the new version go to a subset of its back ends: a fault
+that shows only under load is found there, at the cost of the fewest callers."""
 
 MIN_SUBSET = 3
-"""With fewer back ends, one slow or failing machine would decide how the version is
-rated."""
+"""Minimum size of the subset: with fewer back ends, one slow or failing machine would
+decide how the version is rated."""
 
 SUBSET_HEADROOM = 2.0
 """The subset has this many times the back ends that the share alone would need: the new
 version gets a load like that of the old one, and has room for concurrent calls."""
 
 
-def draw_lane(settings: ServiceSettings, random: RandomSource) -> Lane:
-    """Choose the version for one call at random."""
+def choose_version_group(settings: ServiceSettings, random: RandomSource) -> VersionGroup:
+    """Choose at random whether one call goes to the new or the old version.
+
+    Return "any" if no roll-out is in progress.
+    """
     if settings.rollout_state != RUNNING:
         return "any"
     if random.below(float(ALL_CALLS)) < settings.rollout_share:
@@ -46,7 +49,7 @@
 
 def group_by_version(
     states: dict[str, State], versions: dict[str, str], settings: ServiceSettings
-) -> dict[Lane, tuple[dict[str, State], ...]]:
+) -> dict[VersionGroup, tuple[dict[str, State], ...]]:
     """Return for each version group the back ends to try, one set after the other.
 
     ``versions`` is the software version of each node.
@@ -67,7 +70,7 @@
 
 def _while_running(
     new: dict[str, State], old: dict[str, State], share: int
-) -> dict[Lane, tuple[dict[str, State], ...]]:
+) -> dict[VersionGroup, tuple[dict[str, State], ...]]:
     if share >= ALL_CALLS:
         return dict.fromkeys(LANES, (new or old,))
     few = _subset_of(new, share)
@@ -82,7 +85,7 @@
 
 
 def _place(node: str) -> int:
-    """Return a node's sort key within its service: random, and the same everywhere.
+    """Return a node's sort key within its service: a hash, the same in all processes.
 
     If they were sorted by name, the first ones would all be in one zone.
     """
--- a/tests/admin/test_admin_http.py
+++ b/tests/admin/test_admin_http.py
@@ -1,4 +1,4 @@
-"""The admin listener: pages, readiness, and input that is no HTTP."""
+"""Admin listener: pages, readiness, refused methods and input that is not HTTP."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Stage:
-    """An admin server whose readiness the test decides."""
+    """A running admin server whose readiness is set by the test."""
 
     def __init__(self) -> None:
         self.readiness = Readiness(True)
@@ -45,7 +45,7 @@
 
 
 def on_stage(work: Callable[[Stage], Awaitable[None]]) -> None:
-    async def play() -> None:
+    async def serve() -> None:
         stage = Stage()
         stage.port = await stage.server.start(f"{HOST}:0")
         try:
@@ -53,7 +53,7 @@
         finally:
             await stage.server.close()
 
-    asyncio.run(play())
+    asyncio.run(serve())
 
 
 def test_pages_are_served() -> None:
@@ -70,7 +70,7 @@
     on_stage(work)
 
 
-def test_readiness_says_why_not() -> None:
+def test_unready_answer_names_the_reason() -> None:
     async def work(stage: Stage) -> None:
         assert (await stage.get("/readyz")).startswith(b"HTTP/1.1 200")
         stage.readiness = Readiness(False, "no leader within its lease")
@@ -81,7 +81,7 @@
     on_stage(work)
 
 
-def test_connection_is_used_again() -> None:
+def test_connection_is_reused() -> None:
     async def work(stage: Stage) -> None:
         request = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
         answer = await stage.ask(request * 3)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("method", [b"POST", b"DELETE", b"PUT"])
-def test_nothing_can_be_changed(method: bytes) -> None:
+def test_methods_that_could_change_state_are_refused(method: bytes) -> None:
     async def work(stage: Stage) -> None:
         answer = await stage.ask(method + b" /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 405")
--- a/tests/claims/test_claim_keys.py
+++ b/tests/claims/test_claim_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: bounds, and the age that a UUID version 7 carries."""
+"""Validation of idempotency keys: length, characters, and the age of a UUID version 7."""
 
 import uuid
 
--- a/tests/logging/test_hidden_keys.py
+++ b/tests/logging/test_hidden_keys.py
@@ -1,4 +1,7 @@
-"""No text that people or logs get holds a tenant's key."""
+"""No output for people or logs contains a tenant's key or its digest.
+
+Only the configuration that operators read back contains the keys.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +23,14 @@
 from peppershore.process.commands import Notice
 from peppershore.process.configuration_page import configuration_page
 from peppershore.process.control.redaction import (
-    edits_without_material,
-    without_material,
+    redact_edits,
+    redact_tree,
 )
 from peppershore.process.control.releases import (
+    ReleaseAccepted,
     ReleaseInvalid,
     ReleaseRead,
     ReleaseSubmitted,
-    ReleaseTaken,
 )
 from peppershore.process.logging import JsonLineFormatter, LogIdentity
 from peppershore.process.status_page import render_status
@@ -55,7 +58,7 @@
 def keyed(
     *keys: str, version: int = 1, base: int = 0, **more: object
 ) -> WholeConfiguration:
-    """Give a small configuration with a tenant that has these keys."""
+    """Return a small configuration with a tenant that has these keys."""
     tenants = {"studio": TenantDefinition(keys, 350, 100)} | more
     return msgspec.structs.replace(configuration(version, base), tenants=tenants)
 
@@ -86,8 +89,8 @@
 
 def texts() -> Iterator[tuple[str, str]]:
     before, after, edit = two_trees()
-    shown = without_material(after)
-    seen_edit = edits_without_material((CommittedEdit(2, edit),))[0].edit
+    shown = redact_tree(after)
+    seen_edit = redact_edits((CommittedEdit(2, edit),))[0].edit
     catalog = ScopeCatalog()
     catalog.load(after)
     active = open_snapshot(catalog.snapshot(Scope("kassa", "pasila")))
@@ -99,7 +102,7 @@
     yield "history line of an open edit", "".join(map(describe, edit.operations))
     change = ChangeTenantKeys("studio", (OTHER_KEY,), (key_fingerprint(KEY),))
     of_keys = Edit("id", (change,))
-    seen_change = edits_without_material((CommittedEdit(2, of_keys),))[0].edit
+    seen_change = redact_edits((CommittedEdit(2, of_keys),))[0].edit
     yield "changed keys", repr(of_keys)
     yield "history answer of changed keys", msgspec.json.encode(seen_change).decode()
     yield (
@@ -150,20 +153,20 @@
 
 def test_a_changed_key_is_seen_by_its_fingerprint() -> None:
     before, after, edit = two_trees()
-    hidden = compare_trees(without_material(before), without_material(after))
+    hidden = compare_trees(redact_tree(before), redact_tree(after))
     assert hidden == compare_trees(before, after)
     assert [each.subject for each in hidden] == ["tenant:studio"]
     assert key_fingerprint(OTHER_KEY) in hidden[0].after
     assert key_fingerprint(OTHER_KEY) in "".join(map(describe, edit.operations))
-    assert "keys" not in describe(SetTenant("studio", 5)), "kept keys are not told"
+    assert "keys" not in describe(SetTenant("studio", 5)), "unchanged keys are not shown"
 
 
-def test_changed_keys_are_told_by_fingerprints() -> None:
+def test_changed_keys_are_shown_by_fingerprints() -> None:
     change = ChangeTenantKeys("studio", (OTHER_KEY,), (key_fingerprint(KEY),))
-    told = f"tenant keys studio +{key_fingerprint(OTHER_KEY)} -{key_fingerprint(KEY)}"
-    assert describe(change) == told
-    hidden = edits_without_material((CommittedEdit(2, Edit("id", (change,))),))[0]
-    assert describe(*hidden.edit.operations) == told
+    expected = f"tenant keys studio +{key_fingerprint(OTHER_KEY)} -{key_fingerprint(KEY)}"
+    assert describe(change) == expected
+    hidden = redact_edits((CommittedEdit(2, Edit("id", (change,))),))[0]
+    assert describe(*hidden.edit.operations) == expected
 
 
 def test_the_status_page_counts_tenants() -> None:
@@ -177,10 +180,10 @@
     assert KEY.encode() in encode_configuration(keyed(KEY))
 
 
-def test_a_group_takes_keys_gives_them_back_and_logs_none() -> None:
+def test_group_stores_and_returns_keys_but_logs_none() -> None:
     cluster = SelfKeptCluster(("a", "b", "c"))
     cluster.run_until(lambda: cluster.leader() is not None)
-    assert isinstance(cluster.outcome(cluster.submit("b", keyed(KEY))), ReleaseTaken)
+    assert isinstance(cluster.outcome(cluster.submit("b", keyed(KEY))), ReleaseAccepted)
     shared = keyed(KEY, version=2, base=1, other=TenantDefinition((KEY,)))
     refused = cluster.outcome(cluster.submit("c", shared))
     assert isinstance(refused, ReleaseInvalid)
--- a/tests/quotas/test_quota_parts.py
+++ b/tests/quotas/test_quota_parts.py
@@ -1,4 +1,4 @@
-"""The parts that grants go through: terms, decider, relay and node, each by itself."""
+"""Unit tests of quotas: bucket terms, leader, relay, node and retry times."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     TenantGrant,
 )
 from peppershore.process.commands import Command, SendMessage
-from peppershore.process.quotas.decider import AHEAD_SECONDS, FORGOTTEN_SECONDS, Decider
+from peppershore.process.quotas.decider import AHEAD_SECONDS, RELAY_EXPIRY_SECONDS, Decider
 from peppershore.process.quotas.limits import Limit, tenant_limits
 from peppershore.process.quotas.node_grants import (
     Denied,
@@ -24,10 +24,10 @@
     Unanswered,
     Waiter,
 )
-from peppershore.process.quotas.relay_line import RelayLine
 from peppershore.process.quotas.relay_pool import RelayPool
+from peppershore.process.quotas.relay_tenant import RelayTenant
 from peppershore.process.quotas.terms import lease_seconds, most_calls, terms_of
-from peppershore.process.quotas.turns import MOST_ADVICE_SECONDS, Turns
+from peppershore.process.quotas.turns import MAX_RETRY_SECONDS, Turns
 from peppershore.process.settings import QuotaSettings
 from peppershore.version.model import Tenant
 from peppershore.version.tree import empty_tree
@@ -87,7 +87,7 @@
     return deciding.answer(asker, 1, asks, now).grants[0]
 
 
-def test_a_bucket_begins_empty_and_says_when_there_is_one() -> None:
+def test_a_bucket_starts_empty_and_returns_the_wait_for_one_call() -> None:
     grant = grant_of(decider(), START)
     assert (grant.calls, grant.wait_milliseconds) == (0, 25)
 
@@ -102,13 +102,13 @@
     assert answer.grants == (TenantGrant("free", 70),)
 
 
-def test_a_tenant_that_is_none_is_granted_nothing() -> None:
+def test_an_unknown_tenant_is_granted_nothing() -> None:
     answer = decider().answer("r1/1", 1, (TenantAsk("nobody", 1),), START)
     assert answer.grants[0].calls == 0
     assert answer.grants[0].wait_milliseconds > 0
 
 
-def test_a_relay_gives_ahead_only_after_a_window_in_each_of_its_lives() -> None:
+def test_a_relay_grants_in_advance_only_after_a_window_in_each_incarnation() -> None:
     deciding = decider()
     wait = QUOTAS.window_seconds + 2.0 * AHEAD_SECONDS
     grant_of(deciding, START)
@@ -122,7 +122,7 @@
     assert grant_of(deciding, reborn + wait, asker="r1/2").ahead == alone // 2
 
 
-def test_all_shares_of_what_is_given_ahead_fit_into_it() -> None:
+def test_shares_of_all_relays_stay_within_the_advance_grants() -> None:
     deciding = decider()
     askers = [f"r{number}/1" for number in range(11)]
     for asker in askers:
@@ -133,7 +133,7 @@
     assert all(shares)
 
 
-def test_an_epoch_changes_with_limits_with_new_relays_and_with_those_gone() -> None:
+def test_an_epoch_changes_with_limits_with_new_relays_and_with_expired_ones() -> None:
     deciding = decider()
 
     def epoch(now: float, asker: str = "r1/1") -> int:
@@ -144,7 +144,7 @@
     second = epoch(START + 2.0, "r2/1")
     deciding.use_limits({"studio": Limit(1.0, 1.0)}, START + 3.0)
     third = epoch(START + 3.0)
-    silence = QUOTAS.window_seconds + FORGOTTEN_SECONDS
+    silence = QUOTAS.window_seconds + RELAY_EXPIRY_SECONDS
     fourth = epoch(START + silence + 4.0)
     assert len({first, second, third, fourth}) == 4
     assert Decider(QUOTAS, 4, START).answer("r1/1", 1, ONE, START).epoch > fourth
@@ -179,14 +179,14 @@
 
 
 def relay_with(calls: int, ahead: int = 0) -> RelayPool:
-    """Give a relay whose ask of START brought so many calls more than were needed."""
+    """Return a relay whose request at START was granted ``calls`` calls too many."""
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     pool.granted(granted(ask.number, 1 + calls, ahead=ahead), SOURCE, START + 0.01)
     return pool
 
 
-def test_what_a_relay_holds_is_given_with_the_rest_of_its_lease() -> None:
+def test_calls_held_by_a_relay_are_granted_for_the_rest_of_their_lease() -> None:
     pool = relay_with(3)
     (answer,) = sent(asked_by(pool, 2, START + 0.3, 9), NODE)
     assert isinstance(answer, QuotaGranted)
@@ -194,12 +194,12 @@
     assert answer.lease_milliseconds <= 100
 
 
-def test_what_a_relay_holds_ends_one_lease_after_its_ask() -> None:
+def test_calls_held_by_a_relay_expire_one_lease_after_their_request() -> None:
     pool = relay_with(3)
     assert sent(asked_by(pool, 1, START + LEASE, 9), NODE) == []
 
 
-def test_an_answer_that_comes_after_its_lease_brings_nothing() -> None:
+def test_an_answer_that_arrives_after_its_lease_grants_nothing() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     late = START + LEASE + 0.01
@@ -213,7 +213,7 @@
     assert sent(asked_by(pool, 1, START + 0.03, 9), NODE) == []
 
 
-def test_a_relay_gives_ahead_no_more_than_it_was_told_of() -> None:
+def test_a_relay_grants_no_more_in_advance_than_it_was_allowed() -> None:
     pool = relay_with(0, ahead=2)
     first = sent(asked_by(pool, 1, START + 0.02, 7), NODE)
     second = sent(asked_by(pool, 1, START + 0.03, 8), NODE)
@@ -221,7 +221,7 @@
     assert [len(first), len(second), len(third)] == [1, 1, 0]
 
 
-def test_what_was_given_ahead_is_paid_for_before_anything_else() -> None:
+def test_grants_cover_debts_before_anything_else() -> None:
     pool = relay_with(0, ahead=1)
     asked_by(pool, 1, START + 0.02, 7)
     (ask,) = sent(asked_by(pool, 1, START + 0.1, 8), SOURCE)
@@ -234,23 +234,23 @@
     assert answer.grants[0].wait_milliseconds >= 50
 
 
-def test_a_grant_pays_for_nothing_that_was_given_after_its_ask() -> None:
-    """It may have been granted earlier than that: a window could then hold both."""
-    line = RelayLine()
-    line.ahead = 2
-    line.give(1, is_ahead_valid=True, now=START)
-    line.give(1, is_ahead_valid=True, now=START + 0.2)
-    assert line.pay(2, sent_at=START + 0.1) == 1
-    assert list(line.debts) == [START + 0.2]
+def test_a_grant_covers_no_debt_made_after_its_request() -> None:
+    """The grant may be older than the call, and one window could then hold too many."""
+    state = RelayTenant()
+    state.ahead = 2
+    state.grant(1, is_ahead_valid=True, now=START)
+    state.grant(1, is_ahead_valid=True, now=START + 0.2)
+    assert state.cover_debts(2, sent_at=START + 0.1) == 1
+    assert list(state.debts) == [START + 0.2]
 
 
-def test_nothing_is_given_ahead_when_the_group_was_not_heard_for_a_while() -> None:
+def test_nothing_is_granted_in_advance_without_a_recent_answer() -> None:
     pool = relay_with(0, ahead=5)
     at = START + AHEAD_SECONDS + 0.01
     assert sent(asked_by(pool, 1, at, 9), NODE) == []
 
 
-def test_another_epoch_ends_what_was_told_before() -> None:
+def test_a_new_epoch_ends_the_allowed_advance_grants() -> None:
     pool = relay_with(0, ahead=5)
     (ask,) = sent(asked_by(pool, 6, START + 0.05, 8), SOURCE)
     other = QuotaGranted(ask.number, (TenantGrant("studio", 0, 1, 0),), 400, epoch=6)
@@ -258,7 +258,7 @@
     assert sent(asked_by(pool, 1, START + 0.2, 9), NODE) == []
 
 
-def test_a_denial_is_passed_on_at_once_while_it_lasts() -> None:
+def test_a_denial_is_forwarded_at_once_while_it_lasts() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     pool.granted(granted(ask.number, 0, wait=300), SOURCE, START + 0.01)
@@ -270,7 +270,7 @@
     assert sent(asked_by(pool, 1, START + 0.32, 10), SOURCE)
 
 
-def test_asks_of_many_nodes_go_as_one() -> None:
+def test_requests_of_many_nodes_are_sent_as_one() -> None:
     pool = RelayPool(QUOTAS)
     asked_by(pool, 1, START)
     for number in range(20):
@@ -281,7 +281,7 @@
     assert sorted(each.tenant for each in ask.asks) == ["t0", "t1", "t2", "t3"]
 
 
-def test_after_the_word_that_nobody_can_grant_a_relay_waits_a_little() -> None:
+def test_a_relay_waits_after_an_answer_that_no_replica_can_grant() -> None:
     pool = RelayPool(QUOTAS)
     (ask,) = sent(asked_by(pool, 1, START), SOURCE)
     unknown = QuotaGranted(ask.number, (), 0, is_known=False)
@@ -290,7 +290,7 @@
     assert sent(pool.timer(SOURCE, START + 0.07), SOURCE)
 
 
-def test_a_tenant_of_which_nobody_asks_any_more_is_forgotten_with_its_ask_open() -> None:
+def test_an_idle_tenant_is_dropped_while_its_request_is_open() -> None:
     pool = RelayPool(QUOTAS)
     assert sent(asked_by(pool, 1, START), SOURCE)
     pool.link_closed(NODE)
@@ -302,7 +302,7 @@
 # --- the node
 
 
-def test_a_tenant_taken_away_is_forgotten_with_its_ask_open() -> None:
+def test_a_removed_tenant_is_dropped_while_its_request_is_open() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 0.1), START)
     assert grants.due_ask(START) is not None
@@ -328,7 +328,7 @@
     assert grants.take("studio", late, START + LEASE) is None
 
 
-def test_calls_that_wait_share_an_ask_and_are_decided_in_order() -> None:
+def test_waiting_calls_share_a_request_and_are_decided_in_order() -> None:
     grants = NodeGrants(QUOTAS)
     waiters = [Waiter(number, START + 1.0) for number in range(3)]
     for waiter in waiters:
@@ -353,7 +353,7 @@
     assert len(grants.answered(answer, now + 0.001)) == calls
 
 
-def test_far_over_the_limit_repeats_ask_for_nothing_and_first_sends_go_on() -> None:
+def test_far_over_the_limit_retries_send_no_request_and_first_attempts_do() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 6, START)
     repeat = Waiter("repeat", START + 1.0, is_repeat=True)
@@ -363,21 +363,21 @@
     assert grants.due_ask(START + 0.1) is not None
 
 
-def test_a_repeat_of_a_clump_that_was_denied_once_is_asked_for() -> None:
+def test_a_retry_after_one_denied_clump_is_requested() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 1, START)
     repeat = Waiter("repeat", START + 1.0, is_repeat=True)
     assert grants.take("studio", repeat, START + 0.1) is None
 
 
-def test_repeats_are_asked_for_again_once_the_limit_denies_no_more() -> None:
+def test_retries_are_requested_again_once_the_limit_denies_no_more() -> None:
     grants = NodeGrants(QUOTAS)
     _denied(grants, 6, START)
     repeat = Waiter("repeat", START + 9.0, is_repeat=True)
     assert grants.take("studio", repeat, START + 5.0) is None
 
 
-def test_a_call_that_nobody_answers_is_told_so_in_time() -> None:
+def test_a_call_without_an_answer_is_decided_at_its_wait_timeout() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 0.3), START)
     assert grants.due_ask(START) is not None
@@ -389,7 +389,7 @@
     assert grants.next_due(START + 1.0) is None or grants.due_ask(START + 1.0) is None
 
 
-def test_an_answer_to_an_ask_of_before_the_lease_brings_nothing() -> None:
+def test_an_answer_to_a_request_older_than_the_lease_grants_nothing() -> None:
     grants = NodeGrants(QUOTAS)
     grants.take("studio", Waiter("only", START + 9.0), START)
     ask = grants.due_ask(START)
@@ -398,7 +398,7 @@
     assert grants.answered(answer, START + 5.0) == []
 
 
-# --- the way back
+# --- retry times
 
 
 def test_refused_callers_are_told_to_come_back_in_turn() -> None:
@@ -415,5 +415,5 @@
 def test_no_advice_is_longer_than_its_bound_however_many_are_refused() -> None:
     turns = Turns()
     advice = [turns.book(2.0, 0.5, START) for _ in range(1_000)]
-    assert max(advice) <= MOST_ADVICE_SECONDS
+    assert max(advice) <= MAX_RETRY_SECONDS
     assert not math.isnan(sum(advice))
--- a/tests/quotas/test_quota_usage.py
+++ b/tests/quotas/test_quota_usage.py
@@ -1,4 +1,4 @@
-"""How tenants use their limits: counted on the way to the leader, told to operators."""
+"""Usage of limits: refusals reported to the leader, and the table shown to operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from peppershore.process.quotas.node_grants import NodeGrants, Waiter
 from peppershore.process.quotas.relay_pool import RelayPool
 from peppershore.process.quotas.usage import (
-    CALM_SECONDS,
+    NOT_BINDING_SECONDS,
     LimitBegan,
     LimitEnded,
     Usage,
@@ -28,7 +28,7 @@
 WINDOW = QUOTAS.window_seconds
 
 
-def test_a_node_tells_each_refused_call_once_with_its_next_ask() -> None:
+def test_a_node_reports_each_refused_call_once_with_its_next_request() -> None:
     grants = NodeGrants(QUOTAS)
     for number in range(3):
         grants.take("studio", Waiter(number, START + 9.0), START)
@@ -46,7 +46,7 @@
     assert told == [3, 0]
 
 
-def test_a_relay_passes_on_what_its_nodes_refused() -> None:
+def test_a_relay_forwards_the_refusals_of_its_nodes() -> None:
     pool = RelayPool(QUOTAS)
     told: list[int] = []
     for number, refused in enumerate((4, 5, -1)):
@@ -64,9 +64,9 @@
     for turn in range(4):
         usage.add("studio", 5, 3, START + 1.0 + turn)
     assert usage.changes(START + 4.0) == [LimitBegan("studio")]
-    assert usage.changes(START + 4.0 + 0.9 * CALM_SECONDS) == []
+    assert usage.changes(START + 4.0 + 0.9 * NOT_BINDING_SECONDS) == []
     ended = LimitEnded("studio", 3.0, 20, 12)
-    assert usage.changes(START + 4.0 + CALM_SECONDS) == [ended]
+    assert usage.changes(START + 4.0 + NOT_BINDING_SECONDS) == [ended]
     assert usage.changes(START + 60.0) == []
     usage.add("studio", 0, 1, START + 70.0)
     assert usage.changes(START + 70.0) == [LimitBegan("studio")]
--- a/tests/relay/test_relay_node_machine.py
+++ b/tests/relay/test_relay_node_machine.py
@@ -1,4 +1,8 @@
-"""Random faults on relay and node cores: no step back, no part, and convergence."""
+"""Random faults on relay and node cores.
+
+No node may go back to a lower version or hold a partial configuration, and all nodes must
+converge.
+"""
 
 from __future__ import annotations
 
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -12,7 +12,7 @@
 from peppershore.connection.messages.endpoints import WARMING_NOT_TOLD, Endpoint
 from peppershore.process.randomness import Randomness
 from peppershore.request.admission import Admission, Dispatch, Waiting
-from peppershore.request.endpoint_state import Verdict
+from peppershore.request.endpoint_state import AttemptResult
 from peppershore.request.outcome import NotRun
 from peppershore.request.waiting import FAIRNESS_INTERVAL, Ticket
 from peppershore.version.model import CallClass, ServiceSettings
@@ -202,9 +202,12 @@
     long, short = harness.ticket(deadline=9.0), harness.ticket(deadline=2.0)
     assert isinstance(harness.admission.offer(long, 0.0), Waiting)
     assert isinstance(harness.admission.offer(short, 0.0), Waiting)
-    assert harness.admission.hopeless(1.0) == []
-    assert harness.admission.hopeless(1.7) == [short]
-    assert harness.admission.refusal_of_hopeless(short, 1.7).retry_after_milliseconds > 0
+    assert harness.admission.take_unable_to_finish(1.0) == []
+    assert harness.admission.take_unable_to_finish(1.7) == [short]
+    assert (
+        harness.admission.refusal_of_unable_to_finish(short, 1.7).retry_after_milliseconds
+        > 0
+    )
     assert harness.admission.waiting == 1
     harness.admission.finished(held.pop(), 0.5, "good", 1.7)
     assert [each.ticket for each in harness.admission.ready(1.7)] == [long]
@@ -218,23 +221,23 @@
     harness = AdmissionHarness(_endpoint("k1"), _endpoint("k2"), settings=settings)
     for _ in range(30):
         for dispatch in harness.fill(1):
-            verdict = "late" if dispatch.endpoint.node == "k1" else "good"
-            harness.admission.finished(dispatch, seconds, verdict, 0.0)
+            result = "late" if dispatch.endpoint.node == "k1" else "good"
+            harness.admission.finished(dispatch, seconds, result, 0.0)
     state = harness.admission.state("k1")
     assert state is not None
     assert state.ejected(0.5) == ejected
 
 
-@pytest.mark.parametrize(("verdict", "seconds"), [("failed", 0.001), ("good", 3.0)])
+@pytest.mark.parametrize(("result", "seconds"), [("failed", 0.001), ("good", 3.0)])
 def test_back_end_with_bad_results_is_tried_again_later(
-    verdict: Verdict, seconds: float
+    result: AttemptResult, seconds: float
 ) -> None:
     settings = ServiceSettings(slow_start_milliseconds=0, ejection_failures=0)
     harness = AdmissionHarness(_endpoint("bad"), _endpoint("well"), settings=settings)
     for _ in range(20):
         for dispatch in harness.fill(1):
             is_bad = dispatch.endpoint.node == "bad"
-            latency, seen = (seconds, verdict) if is_bad else (0.02, "good")
+            latency, seen = (seconds, result) if is_bad else (0.02, "good")
             harness.admission.finished(dispatch, latency, seen, 0.0)
 
     def picked(now: float) -> set[str]:
@@ -267,13 +270,17 @@
     assert state.ramp(1.0) < 0.2
 
 
+# Hypothesis derives its examples from the source of the state machine, which names it so.
+Desk = AdmissionHarness
+
+
 class AdmissionMachine(RuleBasedStateMachine):
-    """Random calls, completions, withdrawals and endpoint changes."""
+    """Random offers, ends, withdrawals and endpoint changes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.harness = AdmissionHarness(_endpoint("k1"), _endpoint("k2", zone="b"))
+        self.desk = Desk(_endpoint("k1"), _endpoint("k2", zone="b"))
         self.held: list[Dispatch] = []
         self.queued: list[Ticket] = []
 
@@ -282,8 +289,8 @@
         seconds=st.floats(0.0, 5.0),
     )
     def offer(self, call_class: CallClass, seconds: float) -> None:
-        ticket = self.harness.ticket(call_class, self.now + seconds)
-        decision = self.harness.admission.offer(ticket, self.now)
+        ticket = self.desk.ticket(call_class, self.now + seconds)
+        decision = self.desk.admission.offer(ticket, self.now)
         if isinstance(decision, Dispatch):
             self.held.append(decision)
         elif isinstance(decision, Waiting):
@@ -295,12 +302,12 @@
     @rule(data=st.data(), verdict=st.sampled_from(["good", "failed", "shed", None]))
     def finish(self, data: st.DataObject, verdict: str | None) -> None:
         dispatch = self.held.pop(data.draw(st.integers(0, len(self.held) - 1)))
-        self.harness.admission.finished(dispatch, 0.01, verdict, self.now)  # type: ignore[arg-type]
+        self.desk.admission.finished(dispatch, 0.01, verdict, self.now)  # type: ignore[arg-type]
 
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        for dispatch in self.harness.admission.ready(self.now):
+        for dispatch in self.desk.admission.ready(self.now):
             self.held.append(dispatch)
             self.queued.remove(dispatch.ticket)
 
@@ -308,7 +315,7 @@
     @rule(data=st.data())
     def withdraw(self, data: st.DataObject) -> None:
         ticket = self.queued.pop(data.draw(st.integers(0, len(self.queued) - 1)))
-        self.harness.admission.withdraw(ticket)
+        self.desk.admission.withdraw(ticket)
 
     @rule(states=st.lists(st.sampled_from(["ready", "leaving"]), min_size=2, max_size=2))
     def change_endpoints(self, states: list[str]) -> None:
@@ -316,19 +323,19 @@
             _endpoint("k1", state=states[0]),
             _endpoint("k2", zone="b", state=states[1]),
         )
-        self.harness.admission.use_endpoints(pair, self.now)
+        self.desk.admission.use_endpoints(pair, self.now)
 
     @invariant()
     def slots_hold(self) -> None:
         for node in ("k1", "k2"):
             used = sum(1 for dispatch in self.held if dispatch.endpoint.node == node)
-            state = self.harness.admission.state(node)
+            state = self.desk.admission.state(node)
             assert state is not None
             assert used == state.in_flight <= 2
 
     @invariant()
     def queue_holds(self) -> None:
-        assert self.harness.admission.waiting == len(self.queued) <= SETTINGS.queue_limit
+        assert self.desk.admission.waiting == len(self.queued) <= SETTINGS.queue_limit
 
 
 TestAdmissionMachine = AdmissionMachine.TestCase
