--- a/src/peppershore/connection/traffic.py
+++ b/src/peppershore/connection/traffic.py
@@ -24,7 +24,8 @@
 ARRAY_16 = 0xDC
 SHORT_TAGS = range(0x80)
 TAG_8 = 0xCC
-"""First bytes of the MessagePack arrays and integers with which messages begin."""
+"""The four constants above are MessagePack markers: a message begins with that of its
+array, and its integer tag follows, in one byte or, after ``TAG_8``, in the next."""
 
 
 class Tally(msgspec.Struct):
--- a/src/peppershore/process/claims/keys.py
+++ b/src/peppershore/process/claims/keys.py
@@ -18,7 +18,8 @@
 MIN_KEY_LENGTH = 8
 CLOCK_MARGIN_MILLISECONDS = 3_600_000
 MARGIN_DIVISOR = 4
-"""Divisor of the horizon: the margin is at most a quarter of the horizon."""
+"""The margin for clocks that differ is at most a quarter of the time for which claim
+records are stored (the horizon)."""
 
 _UUID_TIME_SHIFT = 80
 _TIMED_UUID_VERSION = 7
--- a/src/peppershore/process/consensus/snapshotting.py
+++ b/src/peppershore/process/consensus/snapshotting.py
@@ -79,7 +79,7 @@
         self._schedule_next_piece()
 
     def cancel(self) -> None:
-        """Discard the snapshot in progress: it is done, or the state was replaced."""
+        """Forget the snapshot in progress, as it is complete or the state was replaced."""
         self._pieces = None
         self._parts = []
 
--- a/src/peppershore/process/control/rollout_rules.py
+++ b/src/peppershore/process/control/rollout_rules.py
@@ -25,7 +25,8 @@
 LAST_WATCH_SHARE = 0.7
 """Share of the roll-out's duration up to which a version that has not passed the comparison
 with the old one is observed. After it the version is rolled back if it has had fewer than
-``MIN_CALLS`` or if its doubt reaches ``ROLLBACK_DOUBT``; otherwise it moves on."""
+``MIN_CALLS``, or if it is likely to be worse (see ``ROLLBACK_DOUBT``); otherwise it moves
+on."""
 
 ROLLBACK_DOUBT = 3.0
 """Doubt at which a version without a decision in time is rolled back. Doubt is the
--- a/src/peppershore/process/control/state.py
+++ b/src/peppershore/process/control/state.py
@@ -75,7 +75,10 @@
         self._prepared[index] = applied
 
     def forget_prepared(self) -> None:
-        """Drop prepared results: another leader may now write those entries."""
+        """Drop the stored results of own proposals.
+
+        Another leader may now write other entries at their indexes.
+        """
         self._prepared.clear()
 
     def apply(self, index: int, payload: bytes) -> None:
--- a/src/peppershore/process/endpoints/advertised.py
+++ b/src/peppershore/process/endpoints/advertised.py
@@ -26,7 +26,7 @@
 
 
 class AdvertisedNodes:
-    """Nodes that a relay advertises, each with the order of its endpoint state."""
+    """Nodes that a relay advertises, each with the (incarnation, sequence) of its state."""
 
     def __init__(self) -> None:
         """Start with an empty set."""
--- a/src/peppershore/process/node/data/call_story.py
+++ b/src/peppershore/process/node/data/call_story.py
@@ -111,7 +111,11 @@
 
 
 class ServedRun(msgspec.Struct, frozen=True):
-    """Wait time and pace of a peer's call, as in ``ServedStory``."""
+    """How long a peer's call waited for a slot, and the back end's pace while it ran.
+
+    ``waited_milliseconds`` is -1 if the call never got a slot. ``pace_percent`` is the
+    service time relative to the usual one (100: as usual), 0 without reports.
+    """
 
     waited_milliseconds: int = -1
     pace_percent: int = 0
--- a/src/peppershore/process/node/data/direct_attempt.py
+++ b/src/peppershore/process/node/data/direct_attempt.py
@@ -102,7 +102,7 @@
             return
         self._pool.connect(self._connected)
 
-    # --- Attempt
+    # --- the interface Attempt
 
     def send_data(self, data: bytes) -> None:
         """Queue a chunk of the request's body."""
--- a/src/peppershore/process/node/data/link_attempt.py
+++ b/src/peppershore/process/node/data/link_attempt.py
@@ -123,7 +123,7 @@
             refusal = unreachable("owner-unreachable")
             self._end(refusal)
 
-    # --- Attempt
+    # --- the interface Attempt
 
     def send_data(self, data: bytes) -> None:
         """Queue a chunk of the request's body."""
--- a/src/peppershore/process/node/data/local_attempt.py
+++ b/src/peppershore/process/node/data/local_attempt.py
@@ -229,7 +229,7 @@
         self._end(None)
         self._sink.attempt_failed(refusal)
 
-    # --- Attempt
+    # --- the interface Attempt
 
     def send_data(self, data: bytes) -> None:
         """Queue a chunk of the request's body."""
--- a/src/peppershore/process/node/data/paced_answer.py
+++ b/src/peppershore/process/node/data/paced_answer.py
@@ -77,7 +77,7 @@
         self._finished = False
         self._is_paused = False
 
-    # --- Attempt
+    # --- the interface Attempt
 
     def start(self) -> None:
         """Reserve room on the link, then start the attempt; fail it if there is none."""
--- a/src/peppershore/process/node/data/quarantine_gate.py
+++ b/src/peppershore/process/node/data/quarantine_gate.py
@@ -37,7 +37,10 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Start without records; ``clock`` returns monotonic seconds."""
         self.on_cleared: Callable[[bytes], None] = lambda key: None
-        """Called with the key of a suspect that the back end answered."""
+        """Called with the fingerprint of a suspect once a back end has answered it.
+
+        A suspect is a request under which back ends crashed.
+        """
         self._clock = clock
         self._quarantine = Quarantine()
         self._running_suspects: set[bytes] = set()
--- a/src/peppershore/process/relay/departures.py
+++ b/src/peppershore/process/relay/departures.py
@@ -92,10 +92,11 @@
         )
 
     def drop_expired(self, now: float) -> bool:
-        """Remove the nodes that have been away for too long to count any more.
+        """Remove the disconnected nodes whose ``verifies_until`` has passed.
 
-        Return whether a node was removed, or whether the set of nodes that do not count for
-        the version in force any more has changed since the last call.
+        A node past its ``until``, which is never later, already holds back the version in
+        force no more. Return whether a node was removed, or whether the set of nodes past
+        ``until`` has changed since the last call.
         """
         ended = {node for node, each in self._away.items() if now >= each.until}
         has_changed = ended != self._ended
--- a/src/peppershore/process/relay/hold.py
+++ b/src/peppershore/process/relay/hold.py
@@ -68,7 +68,11 @@
 
 
 class HoldTracker:
-    """Tracks which scopes are held and the state last released for each scope."""
+    """Tracks the scopes whose new configuration is held back from their nodes.
+
+    It is held back until the targets of its routes have back ends that are ready, or a
+    time-out passes. The state last released to the nodes is tracked for each scope.
+    """
 
     def __init__(
         self, catalog: ScopeCatalog, table: EndpointTable, hold_seconds: float
--- a/src/peppershore/process/relay/notices.py
+++ b/src/peppershore/process/relay/notices.py
@@ -31,7 +31,8 @@
 class TreeAdvanced(Notice, frozen=True):
     """The relay applied accepted edits.
 
-    ``affected_scopes`` is the number of scopes in use that changed.
+    ``affected_scopes`` counts the pairs of service and zone that have nodes at this relay
+    and whose configuration changed.
     """
 
     version: Version
--- a/src/peppershore/process/relay/source.py
+++ b/src/peppershore/process/relay/source.py
@@ -165,7 +165,7 @@
         self.tree_reached(tree_version)
 
     def tree_reached(self, tree_version: Version) -> None:
-        """Count the waiting confirmations whose version the tree has reached."""
+        """Put into effect the waiting confirmations whose version the tree has reached."""
         still_waiting: list[tuple[float, Version]] = []
         for requested_at, version in self._waiting:
             if version > tree_version:
--- a/src/peppershore/process/relay/tree_follower.py
+++ b/src/peppershore/process/relay/tree_follower.py
@@ -13,9 +13,10 @@
 
 
 class TreeChange(msgspec.Struct, frozen=True):
-    """A change of the tree: new version, number of edits, changed scopes in use.
+    """A change of the tree: new version, number of edits, and what they changed.
 
-    ``edits`` is 0 if a complete tree was loaded.
+    ``edits`` is 0 if a complete tree was loaded. ``affected`` holds the scopes (pairs of
+    hosted service and zone) with nodes at this relay whose configuration changed.
     """
 
     version: Version
--- a/src/peppershore/request/claim.py
+++ b/src/peppershore/request/claim.py
@@ -56,7 +56,7 @@
 
 
 class ClaimKeyRefused(msgspec.Struct, frozen=True):
-    """No claim can be trusted under this key; nothing was recorded."""
+    """The key is not accepted, for instance because it is too old; nothing was recorded."""
 
     reason: str
 
--- a/src/peppershore/request/fingerprint.py
+++ b/src/peppershore/request/fingerprint.py
@@ -13,8 +13,8 @@
 from peppershore.request.classification import host_of
 
 DIGEST_BYTES = 16
-"""Two requests share a digest by chance once in 2^64 pairs, and nobody can produce such a
-pair on purpose."""
+"""Size of a fingerprint's digest. Two requests share a digest by chance once in 2^64 pairs,
+and nobody can produce such a pair on purpose."""
 
 BODY_BYTES = 64 * 1024
 """Number of body bytes that are hashed. With this bound, the fingerprint of a larger body
--- a/src/peppershore/request/quarantine.py
+++ b/src/peppershore/request/quarantine.py
@@ -96,7 +96,10 @@
         """Start without known requests."""
         self._entries: dict[bytes, _Entry] = {}
         self._suspects: dict[bytes, set[bytes]] = {}
-        """Keys with two crashes or more, by the digest of the head."""
+        """Digests of the requests with two crashes or more, by the digest of their head.
+
+        Requests with equal heads and different bodies share an entry.
+        """
         self._digest: int | None = None
         """Cached digest of all entries; computing it takes 1 ms for 500 requests."""
 
--- a/src/peppershore/version/catalog.py
+++ b/src/peppershore/version/catalog.py
@@ -161,10 +161,10 @@
         return self._state(scope).digest
 
     def changed_at(self, scope: Scope) -> Version:
-        """Return the version at which a scope got its present digest.
+        """Return the version at which a scope's snapshot last changed.
 
-        For a scope that has not changed since it came into use, that is the version
-        at which it came into use.
+        For one that has not changed since this catalog began to track the scope (a pair of
+        hosted service and zone), that is the version at that time.
         """
         return self._state(scope).changed_at
 
