--- a/src/peppershore/process/settings_rules.py
+++ b/src/peppershore/process/settings_rules.py
@@ -109,7 +109,7 @@
 
 
 def optional(rule: Rule) -> Rule:
-    """Return ``rule`` extended to accept the empty string, for an unset value."""
+    """Return ``rule`` extended to accept the empty string, which turns the feature off."""
 
     def accept(value: object) -> Fault | None:
         return None if value == "" else rule(value)
